--- a/src/core/cell/admission.ts
+++ b/src/core/cell/admission.ts
@@ -1,4 +1,4 @@
-/** Admission: whether a new request is taken in or refused at once. */
+/** Admission control: whether a new request is queued or refused immediately. */
 
 import { createHash } from 'node:crypto';
 
@@ -8,35 +8,35 @@
 import type { Arrival } from './types';
 import type { CellView } from './view';
 
-/** What admission says of a request. */
+/** Result of the admission check: the forecast of the first token in milliseconds, or the reason for the refusal. */
 export type Verdict =
   | { readonly admitted: true; readonly forecastMs: number }
   | { readonly admitted: false; readonly code: CodeName; readonly retryAfterMs: number };
 
-/** A way to decide on new requests. */
+/** An admission policy. */
 export interface Admission {
   decide(now: number, view: CellView, arrival: Arrival): Verdict;
 }
 
-/** Shortest time that a refused caller is told to stay away, in milliseconds. */
-const RETRY_AFTER_FLOOR_MS = 100;
-/** Time to stay away when no runner is able, in milliseconds. */
+/** Minimum retry delay of a refused request before jitter, in milliseconds. */
+const MIN_RETRY_AFTER_MS = 100;
+/** Retry delay when no runner is available, in milliseconds. */
 const NO_RUNNER_RETRY_MS = 2000;
 
-/** A number in [0, 1) drawn from a request id, so that equal inputs give equal decisions. */
+/** Maps a request id to a number in [0, 1) by its hash, so that equal inputs give equal decisions. */
 export function fractionOf(id: string): number {
   return createHash('sha1').update(id).digest().readUInt32BE(0) / 2 ** 32;
 }
 
 /**
- * Spreads the return of refused callers over half to one and a half times the
- * wait. Callers refused together would otherwise return together and be refused again.
+ * Spreads the retries of refused callers over half to one and a half times the
+ * delay. Callers refused together would otherwise retry together and be refused again.
  */
 export function jitter(id: string, ms: number): number {
-  return Math.round(Math.max(RETRY_AFTER_FLOOR_MS, ms) * (0.5 + fractionOf(id)));
+  return Math.round(Math.max(MIN_RETRY_AFTER_MS, ms) * (0.5 + fractionOf(id)));
 }
 
-/** Leading blocks of the prompt that the best placed prefill runner has cached. */
+/** Number of leading prompt blocks cached at the prefill runner that has most of them. */
 export function bestHitBlocks(view: CellView, blocks: readonly number[]): number {
   if (blocks.length === 0) return 0;
   const hits = view.places.prefillRunners.map(({ runner }) =>
@@ -45,7 +45,7 @@
   return Math.max(0, ...hits);
 }
 
-/** Refuses what cannot have its first token by its deadline. */
+/** Refuses requests whose forecast first token, plus the learnt margin, is later than their deadline. */
 export class DeadlineAdmission implements Admission {
   decide(now: number, view: CellView, arrival: Arrival): Verdict {
     const { policy, places, waiting } = view;
@@ -59,13 +59,13 @@
     const ahead = waiting.ahead(arrival.team);
     const hitTokens = bestHitBlocks(view, arrival.blocks) * BLOCK_TOKENS;
     const forecastMs = forecastFirstToken(now, view, arrival.promptTokens, hitTokens, ahead);
-    const late =
+    const lateMs =
       forecastMs + view.margins.marginMs(arrival.team, forecastMs) - (arrival.deadline - now);
-    if (late > 0) {
+    if (lateMs > 0) {
       return {
         admitted: false,
         code: 'deadlineUnreachable',
-        retryAfterMs: jitter(arrival.id, late),
+        retryAfterMs: jitter(arrival.id, lateMs),
       };
     }
     if (waiting.size >= policy.queueLimit) {
@@ -75,7 +75,7 @@
   }
 }
 
-/** Baseline: takes everything in until the queue is full. */
+/** Baseline: admits every request until the queue is full. */
 export class OpenAdmission implements Admission {
   decide(_now: number, view: CellView, arrival: Arrival): Verdict {
     if (view.waiting.size >= view.policy.queueLimit) {
--- a/src/core/cell/admit.ts
+++ b/src/core/cell/admit.ts
@@ -1,4 +1,4 @@
-/** Controller of the queue: takes requests in, and refuses them as soon as they cannot be served in time. */
+/** Queue controller: admits requests and refuses them as soon as they cannot be served in time. */
 
 import type { CodeName } from '../codes';
 import { uncachedTokens } from '../prefix';
@@ -10,105 +10,107 @@
 import { newEntry } from './entry';
 import type { Arrival } from './types';
 
-/** Time that a resumed request may wait for a slot, in milliseconds. */
+/** Time that a resumed request may wait in the queue, in milliseconds. */
 const RESUME_WAIT_MS = 20_000;
 
-/** Writes the queue. */
+/** Adds requests to the queue and removes those that become unservable. */
 export class QueueController {
-  readonly #board: CellBoard;
+  readonly #state: CellBoard;
 
   readonly #admission: Admission;
 
-  /** When the first queued request is lost. */
-  #nextLoss = Infinity;
+  /** Earliest time at which a queued request becomes unservable. */
+  #nextUnservableAt = Infinity;
 
-  constructor(board: CellBoard, admission: Admission) {
-    this.#board = board;
+  constructor(state: CellBoard, admission: Admission) {
+    this.#state = state;
     this.#admission = admission;
   }
 
+  /** Earliest time at which a queued request becomes unservable; Infinity if none is queued. */
   get nextLoss(): number {
-    return this.#nextLoss;
+    return this.#nextUnservableAt;
   }
 
+  /** Admits a new request to the queue or refuses it. */
   arrive(now: number, arrival: Arrival): void {
-    const board = this.#board;
-    const known = board.requests.get(arrival.id);
+    const state = this.#state;
+    const known = state.requests.get(arrival.id);
     if (known) {
-      this.#arriveAgain(now, known);
+      this.#handleRepeatedArrival(now, known);
       return;
     }
-    board.counters.arrived += 1;
-    const verdict = this.#decide(now, arrival);
-    if (!verdict.admitted) {
-      board.counters.refused += 1;
-      const { code, retryAfterMs } = verdict;
-      board.emit({ kind: 'refuse', id: arrival.id, code, notRun: true, retryAfterMs });
+    state.counters.arrived += 1;
+    const decision = this.#decide(now, arrival);
+    if (!decision.admitted) {
+      state.counters.refused += 1;
+      const { code, retryAfterMs } = decision;
+      state.emit({ kind: 'refuse', id: arrival.id, code, notRun: true, retryAfterMs });
       return;
     }
-    board.budget.earn(arrival.team);
+    state.budget.earn(arrival.team);
     const entry = newEntry(arrival, now);
-    entry.forecastMs = verdict.forecastMs;
-    entry.hitBlocks = bestHitBlocks(board, arrival.blocks);
-    board.requests.set(arrival.id, entry);
-    board.waiting.push(arrival.team, entry);
-    this.#expectLoss(entry);
+    entry.forecastMs = decision.forecastMs;
+    entry.hitBlocks = bestHitBlocks(state, arrival.blocks);
+    state.requests.set(arrival.id, entry);
+    state.waiting.push(arrival.team, entry);
+    this.#updateNextUnservable(entry);
   }
 
-  /** A request that ended its engines is not taken in, whatever room there is. */
+  /** A quarantined request (one that crashed its engines) is refused regardless of free capacity. */
   #decide(now: number, arrival: Arrival): Verdict {
-    const retryAfterMs = this.#refusedForMs(now, arrival);
+    const retryAfterMs = this.#quarantineMs(now, arrival);
     if (retryAfterMs !== undefined) return { admitted: false, code: 'quarantined', retryAfterMs };
-    return this.#admission.decide(now, this.#board, arrival);
+    return this.#admission.decide(now, this.#state, arrival);
   }
 
-  #refusedForMs(now: number, { fingerprint }: Arrival): number | undefined {
+  #quarantineMs(now: number, { fingerprint }: Arrival): number | undefined {
     if (fingerprint === undefined) return undefined;
-    return this.#board.quarantine.refusedForMs(now, fingerprint);
+    return this.#state.quarantine.refusedForMs(now, fingerprint);
   }
 
-  /** Queues a request again, before the others, if the retry budget allows; gives it up otherwise. */
+  /** Puts a request back at the head of its queue if the retry budget allows it; refuses it otherwise. */
   retry(now: number, entry: Entry): void {
-    const board = this.#board;
-    if (this.#refusedForMs(now, entry.arrival) !== undefined) {
+    const state = this.#state;
+    if (this.#quarantineMs(now, entry.arrival) !== undefined) {
       this.giveUp(now, entry, 'quarantined');
       return;
     }
-    if (!board.budget.spend(entry.arrival.team)) {
+    if (!state.budget.spend(entry.arrival.team)) {
       this.giveUp(now, entry, 'retriesSpent');
       return;
     }
-    board.counters.retries += 1;
+    state.counters.retries += 1;
     entry.stage = 'queued';
     entry.since = now;
     if (entry.resumedAt > 0) {
       entry.arrival = { ...entry.arrival, deadline: now + RESUME_WAIT_MS };
-      board.waiting.unshift(RESUME_LANE, entry);
+      state.waiting.unshift(RESUME_LANE, entry);
     } else {
-      board.waiting.unshift(entry.arrival.team, entry);
+      state.waiting.unshift(entry.arrival.team, entry);
     }
-    this.#expectLoss(entry);
+    this.#updateNextUnservable(entry);
   }
 
-  /** Ends a request that will not be served; after it was sent to a runner this is not "not run". */
+  /** Refuses and removes a request. The refusal says "not run" only if the request was never sent to a runner. */
   giveUp(now: number, entry: Entry, code: CodeName): void {
-    const board = this.#board;
-    board.counters.refused += 1;
+    const state = this.#state;
+    state.counters.refused += 1;
     const { id } = entry.arrival;
-    const retryAfterMs = jitter(id, board.meanPrefillMs);
-    board.emit({ kind: 'refuse', id, code, notRun: !entry.sent, retryAfterMs });
-    board.drop(now, entry);
+    const retryAfterMs = jitter(id, state.meanPrefillMs);
+    state.emit({ kind: 'refuse', id, code, notRun: !entry.sent, retryAfterMs });
+    state.drop(now, entry);
   }
 
-  /** Refuses what can no longer have its first token in time, at the moment that is known. */
+  /** Refuses queued requests that can no longer get their first token by the deadline. */
   refuseLost(now: number): void {
-    if (now < this.#nextLoss) return;
-    const board = this.#board;
-    const lost = board.waiting.removeWhere((entry) => now >= this.#lossTime(entry));
-    for (const entry of lost) {
-      // It would have come later still; counting only first tokens that came would make the forecast look better than it is.
+    if (now < this.#nextUnservableAt) return;
+    const state = this.#state;
+    const unservable = state.waiting.removeWhere((entry) => now >= this.#unservableFrom(entry));
+    for (const entry of unservable) {
+      // The first token would have been later than the deadline. Observing only first tokens that were delivered would underestimate the lateness.
       if (!entry.sent) {
-        board.margins.observe(
+        state.margins.observe(
           entry.arrival.team,
           entry.forecastMs,
           entry.arrival.deadline - entry.arrivedAt,
@@ -116,47 +118,47 @@
       }
       this.giveUp(now, entry, entry.sent ? 'timedOut' : 'deadlineUnreachable');
     }
-    this.#nextLoss = Infinity;
-    for (const entry of board.requests.values()) {
-      if (entry.stage === 'queued') this.#expectLoss(entry);
+    this.#nextUnservableAt = Infinity;
+    for (const entry of state.requests.values()) {
+      if (entry.stage === 'queued') this.#updateNextUnservable(entry);
     }
   }
 
-  /** Tells again what was lost with a link. */
+  /** Repeats the last action of a request, whose message was lost with a connection. */
   repeat({ arrival: { id }, stage, prefillRunner, decodeRunner }: Entry): void {
     if (prefillRunner === undefined) return;
-    if (stage === 'prefilling') this.#board.emit({ kind: 'prefill', id, runner: prefillRunner });
+    if (stage === 'prefilling') this.#state.emit({ kind: 'prefill', id, runner: prefillRunner });
     if (stage === 'transferring' && decodeRunner !== undefined) {
-      this.#board.emit({ kind: 'decode', id, runner: decodeRunner, source: prefillRunner });
+      this.#state.emit({ kind: 'decode', id, runner: decodeRunner, source: prefillRunner });
     }
   }
 
   /**
-   * A gateway asks again for a request that it holds nothing for: what it was
-   * told, or what it told, was lost with its link. Without starting over, the
-   * request would hold its place here and wait for ever.
+   * Handles a repeated arrival: the gateway has no assignment for the request, because
+   * a message in either direction was lost with its connection. Unless the request starts
+   * over, it would hold its resources here and wait forever.
    */
-  #arriveAgain(now: number, entry: Entry): void {
+  #handleRepeatedArrival(now: number, entry: Entry): void {
     if (entry.stage === 'queued') return;
     if (entry.stage === 'prefilling') {
       this.repeat(entry);
       return;
     }
-    this.#board.waste(entry);
-    this.#board.leaveStage(now, entry);
+    this.#state.waste(entry);
+    this.#state.leaveStage(now, entry);
     this.retry(now, entry);
   }
 
-  #expectLoss(entry: Entry): void {
-    this.#nextLoss = Math.min(this.#nextLoss, this.#lossTime(entry));
+  #updateNextUnservable(entry: Entry): void {
+    this.#nextUnservableAt = Math.min(this.#nextUnservableAt, this.#unservableFrom(entry));
   }
 
   /** Time from which even an idle cell could not deliver the first token by the deadline. */
-  #lossTime({ arrival, hitBlocks }: Entry): number {
-    const { costs } = this.#board;
-    const work = uncachedTokens(arrival.promptTokens, hitBlocks);
+  #unservableFrom({ arrival, hitBlocks }: Entry): number {
+    const { costs } = this.#state;
+    const uncached = uncachedTokens(arrival.promptTokens, hitBlocks);
     const leastMs =
-      costs.prefillMs(work) + costs.transferMs(arrival.promptTokens) + costs.tokenMs(1);
+      costs.prefillMs(uncached) + costs.transferMs(arrival.promptTokens) + costs.tokenMs(1);
     return arrival.deadline - leastMs;
   }
 }
--- a/src/core/cell/board.ts
+++ b/src/core/cell/board.ts
@@ -1,4 +1,4 @@
-/** The blackboard of a cell. Controllers read all of it; each section names who writes to it. */
+/** State shared by the controllers of a cell. Every controller reads all of it; each section names its writers. */
 
 import { RetryBudget } from './budget';
 import { LearntCosts } from './costs';
@@ -16,62 +16,62 @@
 import type { CellRequest, CellView } from './view';
 import { uncachedTokens } from '../prefix';
 
-/** What a cell counted since it began. */
+/** Totals since the cell was created. */
 export interface CellCounters {
   arrived: number;
   refused: number;
   finished: number;
   cancelled: number;
-  /** Prompt tokens that were worked through. */
+  /** Prompt tokens that were prefilled. */
   prefillTokens: number;
-  /** Prompt tokens that were worked through in vain. */
+  /** Prompt tokens whose prefill was discarded. */
   wastedTokens: number;
   retries: number;
 }
 
-/** Queue of requests whose caller has tokens already; it goes before all teams. */
+/** Queue of requests whose caller already has tokens; it is served before the queues of all teams. */
 export const RESUME_LANE = '\u0000resume';
-/** Weight of that queue against a team of weight 1. */
-const RESUME_WEIGHT = 1e6;
+/** Weight of that queue relative to a team of weight 1. */
+const RESUME_QUEUE_WEIGHT = 1e6;
 
-/** Time of the whole cell that a team below its share may catch up in a burst, in milliseconds. */
-const CREDIT_MS = 3000;
+/** Processing time of the whole cell that a team below its share may catch up on in a burst, in milliseconds. */
+const BURST_CREDIT_MS = 3000;
 
-/** Sections of the blackboard. */
+/** The shared state. */
 export class CellBoard implements CellView {
-  /** Written by the cell on new settings. */
+  /** Written by the cell when the settings change. */
   policy: CellPolicy;
 
-  /** Written by the lifecycle, the prefill and the transfer controller through `leaveStage` and their own grants. */
+  /** Written by the lifecycle, prefill and transfer controllers, through `releaseResources` and their own assignments. */
   readonly places = new PlaceBook();
 
   /** Written by the lifecycle controller. */
   readonly outputs: OutputHistogram;
 
-  /** Written by the lifecycle and the prefill controller. */
+  /** Written by the lifecycle and prefill controllers. */
   readonly costs: LearntCosts;
 
   /** Written by the prefill controller and on cache events. */
   readonly prefixes = new PrefixMap();
 
-  /** Written by whoever gives work and hears how it went. */
+  /** Written by each controller that dispatches work or receives its outcome. */
   readonly health = new RunnerHealth();
 
-  /** Written by the admission controller; the prefill controller takes from it. */
+  /** Written by the queue controller; the prefill controller takes requests from it. */
   readonly waiting: FairQueue<Entry>;
 
-  /** Written by the admission and the lifecycle controller. */
+  /** Requests of the cell by id. Written by the queue and lifecycle controllers. */
   readonly requests = new Map<string, Entry>();
 
-  /** Requests that stream. */
+  /** Requests that are decoding. */
   readonly decoding = new Set<Entry>();
 
-  /** Requests whose prefill is kept and that wait for a slot and a link. */
+  /** Requests whose finished prefill is kept by its runner and that wait for a decode slot and a link. */
   readonly prefilled = new Set<Entry>();
 
   readonly budget = new RetryBudget();
 
-  /** Written by the lifecycle controller: requests that end their engines. */
+  /** Requests that crash their engines. Written by the lifecycle controller. */
   readonly quarantine = new Quarantine();
 
   readonly counters: CellCounters = {
@@ -84,14 +84,14 @@
     retries: 0,
   };
 
-  /** Written by the queue and the transfer controller. */
+  /** Written by the queue and transfer controllers. */
   readonly margins = new Margins();
 
   promised = 0;
 
   meanPrefillMs: number;
 
-  /** What is to be done, in order; taken after each event. */
+  /** Pending actions, in order; taken after each event. */
   readonly #actions: CellAction[] = [];
 
   constructor(policy: CellPolicy) {
@@ -100,28 +100,30 @@
     this.costs = new LearntCosts(policy);
     this.meanPrefillMs = policy.prefillBaseMs;
     this.waiting = new FairQueue<Entry>(
-      (team) => (team === RESUME_LANE ? RESUME_WEIGHT : (this.policy.shares[team] ?? 1)),
-      CREDIT_MS,
+      (team) => (team === RESUME_LANE ? RESUME_QUEUE_WEIGHT : (this.policy.shares[team] ?? 1)),
+      BURST_CREDIT_MS,
     );
   }
 
+  /** Appends an action for the cell's host. */
   emit(action: CellAction): void {
     this.#actions.push(action);
   }
 
+  /** Returns and clears the pending actions. */
   takeActions(): readonly CellAction[] {
     return this.#actions.splice(0);
   }
 
-  /** The prefill runner that has worked for a request. */
+  /** Load of the prefill runner assigned to a request; undefined if it has none or the runner is unknown. */
   sourceOf({ prefillRunner }: CellRequest): PrefillPlace | undefined {
     return prefillRunner === undefined ? undefined : this.places.prefillPlace(prefillRunner);
   }
 
-  /** Gives back whatever the request holds at its stage and leaves it queued nowhere. */
+  /** Releases everything that the request holds at its stage. Its stage becomes `queued`, but it is in no queue. */
   leaveStage(now: number, entry: Entry): void {
     const { stage, prefillRunner, decodeRunner, arrival } = entry;
-    if (stage === 'queued') this.#leaveQueue(entry);
+    if (stage === 'queued') this.#removeFromQueue(entry);
     if (stage === 'prefilling' && prefillRunner !== undefined) {
       this.places.endPrefill(prefillRunner, now);
     }
@@ -134,23 +136,24 @@
     entry.stage = 'queued';
   }
 
+  /** Releases the link of a request's transfer. */
   endTransfer(entry: Entry): void {
     const source = this.sourceOf(entry);
     if (source) this.places.freeLink(source.runner.link);
   }
 
-  /** Forgets a request after giving back what it holds. */
+  /** Releases everything that a request holds and removes the request. */
   drop(now: number, entry: Entry): void {
     this.leaveStage(now, entry);
     this.requests.delete(entry.arrival.id);
   }
 
-  /** Counts the prefill of a request as thrown away. */
+  /** Counts the prefill of a request as discarded. */
   waste({ arrival, hitBlocks }: CellRequest): void {
     this.counters.wastedTokens += uncachedTokens(arrival.promptTokens, hitBlocks);
   }
 
-  /** Checks the account against the requests; each line means a place was lost or counted twice. */
+  /** Compares the tracked capacity with the requests; each line means that a slot was lost or counted twice. */
   violations(): readonly string[] {
     const all = [...this.requests.values()];
     const found = this.places.decodeRunners.flatMap(({ runner, held }) => {
@@ -164,8 +167,8 @@
     return found;
   }
 
-  #leaveQueue(entry: Entry): void {
-    const left = this.waiting.remove(entry.arrival.team, entry);
-    if (!left) this.waiting.remove(RESUME_LANE, entry);
+  #removeFromQueue(entry: Entry): void {
+    const removed = this.waiting.remove(entry.arrival.team, entry);
+    if (!removed) this.waiting.remove(RESUME_LANE, entry);
   }
 }
--- a/src/core/cell/budget.ts
+++ b/src/core/cell/budget.ts
@@ -1,29 +1,30 @@
-/** Retry budgets: a token bucket for each team, filled by its first attempts. */
+/** Retry budgets: one token bucket per team, filled by the team's first attempts. */
 
-/** Retries earned by each first attempt. */
-const EARNED = 0.2;
-/** Most retries saved up. */
-const LIMIT = 10;
+/** Number of retries that each first attempt earns. */
+const RETRIES_PER_ATTEMPT = 0.2;
+/** Maximum number of retries that a team can accumulate. */
+const MAX_SAVED_RETRIES = 10;
 
 /**
- * Without a budget, a lost failure domain makes each of its requests come again
- * at once and overloads the domains that are left. A budget bounds the extra
- * load to a fixed share of the accepted load, whatever fails.
+ * Retry budgets of all teams. Without them, the failure of a failure domain would
+ * repeat all of its requests immediately and overload the remaining domains. A budget
+ * bounds the additional load to a fixed share of the accepted load, whatever fails.
  */
 export class RetryBudget {
   readonly #saved = new Map<string, number>();
 
+  /** Adds what a first attempt of the team earns. */
   earn(team: string): void {
-    const saved = this.#saved.get(team) ?? LIMIT;
-    const next = Math.min(LIMIT, saved + EARNED);
-    // A full bucket is the default, so it need not be stored.
-    if (next >= LIMIT) this.#saved.delete(team);
+    const saved = this.#saved.get(team) ?? MAX_SAVED_RETRIES;
+    const next = Math.min(MAX_SAVED_RETRIES, saved + RETRIES_PER_ATTEMPT);
+    // A full bucket is the default, so it is not stored.
+    if (next >= MAX_SAVED_RETRIES) this.#saved.delete(team);
     else this.#saved.set(team, next);
   }
 
-  /** Takes one retry, or says that none is left. */
+  /** Takes one retry from the team's budget; false if none is left. */
   spend(team: string): boolean {
-    const saved = this.#saved.get(team) ?? LIMIT;
+    const saved = this.#saved.get(team) ?? MAX_SAVED_RETRIES;
     if (saved < 1) return false;
     this.#saved.set(team, saved - 1);
     return true;
--- a/src/core/cell/cell.ts
+++ b/src/core/cell/cell.ts
@@ -1,7 +1,7 @@
 /**
- * The cell: takes events, lets its controllers write the blackboard, and answers
- * with actions. It has no clock, no socket and no random source; equal events
- * give equal actions.
+ * Scheduler of one cell: processes events, updates the shared state through its
+ * controllers and returns actions. It has no clock, no socket and no random source,
+ * so equal events give equal actions.
  */
 
 import { match } from 'ts-pattern';
@@ -21,28 +21,29 @@
 import type { CellAction, CellEvent, CellPolicy, LoadReport, Runner } from './types';
 import type { CellRequest, CellView } from './view';
 
-/** The variable parts of a cell. */
+/** Policy and replaceable strategies of a cell. */
 export interface CellOptions {
   readonly policy: CellPolicy;
-  /** Default: refuse what cannot meet its deadline. */
+  /** Default: refuse requests that cannot meet their deadline. */
   readonly admission?: Admission;
-  /** Default: start when a decode slot is likely in time. */
+  /** Default: start a prefill when a decode slot will probably be free in time. */
   readonly startRule?: StartRule;
-  /** Default: least cost in milliseconds. */
+  /** Default: the runner with the least cost in milliseconds. */
   readonly placement?: Placement;
   /**
-   * No request is granted before this time. A new owner does not know what its
-   * predecessor granted until the gateways have told it. Default: 0.
+   * End of the warm-up: no prefill is started before this time. The state of a new
+   * owner is incomplete until the gateways have reported what its predecessor assigned.
+   * Default: 0.
    */
   readonly grantsFrom?: number;
 }
 
-/** Longest time without a look at a queue that is not empty, in milliseconds. */
-const REVIEW_MS = 20;
+/** Maximum interval between scheduling passes while requests are queued, in milliseconds. */
+const SCHEDULING_INTERVAL_MS = 20;
 
-/** Plans one cell. */
+/** Schedules the requests of one cell. */
 export class Cell {
-  readonly #board: CellBoard;
+  readonly #state: CellBoard;
 
   readonly #queue: QueueController;
 
@@ -52,42 +53,44 @@
 
   readonly #lifecycle: LifecycleController;
 
-  readonly #grantsFrom: number;
+  readonly #warmUpUntil: number;
 
   constructor({ policy, admission, startRule, placement, grantsFrom }: CellOptions) {
-    const chosen = placement ?? new CostPlacement();
-    this.#board = new CellBoard(policy);
-    this.#queue = new QueueController(this.#board, admission ?? new DeadlineAdmission());
+    const chosenPlacement = placement ?? new CostPlacement();
+    this.#state = new CellBoard(policy);
+    this.#queue = new QueueController(this.#state, admission ?? new DeadlineAdmission());
     this.#prefills = new PrefillController(
-      this.#board,
+      this.#state,
       this.#queue,
       startRule ?? new DecodeFirst(),
-      chosen,
+      chosenPlacement,
     );
-    this.#transfers = new TransferController(this.#board, chosen);
-    this.#lifecycle = new LifecycleController(this.#board, this.#queue);
-    this.#grantsFrom = grantsFrom ?? 0;
+    this.#transfers = new TransferController(this.#state, chosenPlacement);
+    this.#lifecycle = new LifecycleController(this.#state, this.#queue);
+    this.#warmUpUntil = grantsFrom ?? 0;
   }
 
+  /** Read-only state, for policies and metrics. */
   get view(): CellView {
-    return this.#board;
+    return this.#state;
   }
 
+  /** Totals since the cell was created. */
   get counters(): Readonly<CellCounters> {
-    return this.#board.counters;
+    return this.#state.counters;
   }
 
-  /** Requests known to the cell. */
+  /** Requests that the cell currently holds, by id. */
   get requests(): ReadonlyMap<string, CellRequest> {
-    return this.#board.requests;
+    return this.#state.requests;
   }
 
-  /** Broken invariants, one line each. */
+  /** Violated invariants, one line each; empty if there are none. */
   violations(): readonly string[] {
-    return this.#board.violations();
+    return this.#state.violations();
   }
 
-  /** Takes one event and returns what is to be done, in order. */
+  /** Processes one event and returns the resulting actions, in order. */
   handle(now: number, event: CellEvent): readonly CellAction[] {
     match(event)
       .with({ kind: 'arrived' }, ({ arrival }) => this.#queue.arrive(now, arrival))
@@ -99,54 +102,54 @@
       .with({ kind: 'failed' }, (failed) => this.#lifecycle.fail(now, failed))
       .with({ kind: 'cancelled' }, ({ id }) => this.#lifecycle.cancel(now, id))
       .with({ kind: 'adopted' }, ({ adoption }) => this.#lifecycle.adopt(now, adoption))
-      .with({ kind: 'reported' }, ({ report }) => this.#report(now, report))
+      .with({ kind: 'reported' }, ({ report }) => this.#applyReport(now, report))
       .with({ kind: 'cached' }, ({ runner, added, removed }) => {
-        this.#board.prefixes.add(runner, added);
-        this.#board.prefixes.remove(runner, removed);
+        this.#state.prefixes.add(runner, added);
+        this.#state.prefixes.remove(runner, removed);
       })
       .with({ kind: 'runners' }, ({ runners }) => this.#setRunners(runners))
       .with({ kind: 'policy' }, ({ policy }) => this.#setPolicy(policy))
-      .with({ kind: 'departing' }, ({ runners }) => this.#board.places.setDeparting(runners))
+      .with({ kind: 'departing' }, ({ runners }) => this.#state.places.setDeparting(runners))
       .with({ kind: 'woke' }, () => {})
       .exhaustive();
-    this.#pump(now);
-    return this.#board.takeActions();
+    this.#schedule(now);
+    return this.#state.takeActions();
   }
 
-  /** When the cell wants to be woken if nothing else happens. */
+  /** Time of the next `woke` event that the cell needs if no other event occurs; Infinity if none. */
   nextWake(now: number): number {
     const next = Math.min(this.#queue.nextLoss, this.#prefills.nextExpiry);
-    if (this.#board.waiting.size === 0) return next;
-    return Math.min(next, Math.max(now + REVIEW_MS, this.#grantsFrom));
+    if (this.#state.waiting.size === 0) return next;
+    return Math.min(next, Math.max(now + SCHEDULING_INTERVAL_MS, this.#warmUpUntil));
   }
 
-  #pump(now: number): void {
+  #schedule(now: number): void {
     this.#lifecycle.countRunning(now);
     this.#prefills.expire(now);
     this.#transfers.sendAll(now);
     this.#queue.refuseLost(now);
-    if (now >= this.#grantsFrom) this.#prefills.startAll(now);
+    if (now >= this.#warmUpUntil) this.#prefills.startAll(now);
   }
 
-  #report(now: number, report: LoadReport): void {
-    this.#board.places.report(now, report);
+  #applyReport(now: number, report: LoadReport): void {
+    this.#state.places.report(now, report);
     this.#applyCaps();
   }
 
   #setRunners(runners: readonly Runner[]): void {
-    this.#board.places.setRunners(runners);
-    this.#board.health.setPoolSize(runners.length);
+    this.#state.places.setRunners(runners);
+    this.#state.health.setPoolSize(runners.length);
     this.#applyCaps();
   }
 
   #setPolicy(policy: CellPolicy): void {
-    this.#board.policy = policy;
+    this.#state.policy = policy;
     this.#applyCaps();
   }
 
-  /** Caps the batches so that the time between tokens stays within the target. */
+  /** Limits the batch sizes so that the time between tokens stays within the target. */
   #applyCaps(): void {
-    const { places, costs, policy } = this.#board;
+    const { places, costs, policy } = this.#state;
     for (const { runner } of places.decodeRunners) {
       places.setCap(runner.id, costs.batchWithin(policy.tokenTargetMs, runner.slots));
     }
--- a/src/core/cell/costs.ts
+++ b/src/core/cell/costs.ts
@@ -1,24 +1,24 @@
-/** Learnt costs of a service's runners: prefill, transfer and time between tokens. */
+/** Cost model of a service's runners, learnt from outcomes: prefill, transfer and time between tokens. */
 
 import { ScaledLine } from './line';
 import type { CellPolicy } from './types';
 
-/** Read-only view of the costs. */
+/** Read-only view of the cost model. */
 export interface Costs {
   /** Milliseconds to prefill this many tokens that are not cached. */
   prefillMs(tokens: number): number;
-  /** Milliseconds to move the KV cache of this many tokens over an idle link. */
+  /** Milliseconds to transfer the KV cache of this many tokens over an idle link. */
   transferMs(tokens: number): number;
   /** Milliseconds between tokens in a batch of this size. */
   tokenMs(batch: number): number;
-  /** Largest batch whose time between tokens stays within the target. */
+  /** Largest batch whose time between tokens stays within the target; at least 1 and at most `slots`. */
   batchWithin(targetMs: number, slots: number): number;
 }
 
-/** Keeps a batch that just meets the target from losing a place to rounding. */
-const ROUNDING = 1e-6;
+/** Keeps a batch that exactly meets the target from losing a slot to rounding. */
+const ROUNDING_TOLERANCE = 1e-6;
 
-/** Costs corrected by every outcome. */
+/** Costs that are corrected by each observed outcome. */
 export class LearntCosts implements Costs {
   readonly #prefill: ScaledLine;
 
@@ -45,14 +45,16 @@
   }
 
   batchWithin(targetMs: number, slots: number): number {
-    const batch = Math.floor(this.#token.sizeWithin(targetMs) + ROUNDING);
+    const batch = Math.floor(this.#token.sizeWithin(targetMs) + ROUNDING_TOLERANCE);
     return Math.max(1, Math.min(slots, batch));
   }
 
+  /** Records the duration of a prefill of this many uncached tokens. */
   observePrefill(tokens: number, ms: number): void {
     this.#prefill.observe(tokens, ms);
   }
 
+  /** Records the time between tokens in a batch of this size. */
   observeTokens(batch: number, msPerToken: number): void {
     this.#token.observe(batch, msPerToken);
   }
--- a/src/core/cell/entry.ts
+++ b/src/core/cell/entry.ts
@@ -1,14 +1,14 @@
-/** A request as the cell's controllers write it. */
+/** Mutable form of a request, as used by the cell's controllers. */
 
 import type { Arrival } from './types';
 import type { CellRequest, Stage } from './view';
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** A `CellRequest` in the hands of the controllers. */
+/** A `CellRequest` that the controllers may modify. */
 export type Entry = Mutable<CellRequest>;
 
-/** A request that has just come in. */
+/** Creates the entry of a request that has just arrived. */
 export function newEntry(arrival: Arrival, now: number): Entry {
   return {
     arrival,
@@ -28,7 +28,7 @@
   };
 }
 
-/** Whether a request at this stage will want a decode slot and has none yet. */
+/** Whether a request at this stage will need a decode slot and has none yet. */
 export function isPromised(stage: Stage): boolean {
   return stage === 'prefilling' || stage === 'prefilled';
 }
--- a/src/core/cell/forecast.ts
+++ b/src/core/cell/forecast.ts
@@ -1,8 +1,8 @@
-/** Forecasts from live state: when slots come free and when a first token can be out. */
+/** Forecasts from the current state: when slots become free and when a first token can be delivered. */
 
 import type { CellRequest, CellView } from './view';
 
-/** Mean and variance of a count. */
+/** Mean and variance of an uncertain count. */
 export interface Count {
   readonly mean: number;
   readonly variance: number;
@@ -15,7 +15,7 @@
   return Math.max(1, view.outputs.mean * view.costs.tokenMs(batch));
 }
 
-/** Output tokens that a streaming request should have by now. */
+/** Estimated number of output tokens that a decoding request has produced by now. */
 export function ageOf(
   now: number,
   view: CellView,
@@ -24,30 +24,30 @@
   return resumedAt + (now - since) / view.costs.tokenMs(batch);
 }
 
-/** Slots that running requests will free within the horizon. */
+/** Forecasts how many slots decoding requests release within the horizon. */
 export function expectReleases(now: number, view: CellView, horizonMs: number): Count {
   let mean = 0;
   let variance = 0;
   for (const request of view.decoding) {
-    const age = ageOf(now, view, request);
-    const more = horizonMs / view.costs.tokenMs(request.batch);
-    const mustEnd = age + more >= request.arrival.maxTokens;
-    const ends = mustEnd ? 1 : view.outputs.endsWithin(age, more);
+    const tokens = ageOf(now, view, request);
+    const moreTokens = horizonMs / view.costs.tokenMs(request.batch);
+    const mustEnd = tokens + moreTokens >= request.arrival.maxTokens;
+    const ends = mustEnd ? 1 : view.outputs.endsWithin(tokens, moreTokens);
     mean += ends;
     variance += ends * (1 - ends);
   }
   return { mean, variance };
 }
 
-/** Chance that a count is at least `least`, by the normal approximation. */
+/** Probability that a count is at least `least`, by the normal approximation. */
 export function chanceOfAtLeast(count: Count, least: number): number {
-  const gap = least - 0.5 - count.mean;
-  if (count.variance < 1e-9) return gap <= 0 ? 1 : 0;
-  return 1 - normalBelow(gap / Math.sqrt(count.variance));
+  const distance = least - 0.5 - count.mean;
+  if (count.variance < 1e-9) return distance <= 0 ? 1 : 0;
+  return 1 - normalCdf(distance / Math.sqrt(count.variance));
 }
 
 /** Standard normal distribution function; Abramowitz and Stegun 26.2.17, error under 1e-7. */
-function normalBelow(z: number): number {
+function normalCdf(z: number): number {
   const t = 1 / (1 + 0.2316419 * Math.abs(z));
   const tail =
     ((((1.330274429 * t - 1.821255978) * t + 1.781477937) * t - 0.356563782) * t + 0.31938153) * t;
@@ -55,7 +55,7 @@
   return z >= 0 ? 1 - density * tail : density * tail;
 }
 
-/** Milliseconds until a new request's first token, with `ahead` requests served before it. */
+/** Forecasts the milliseconds until a new request's first token, with `ahead` requests served before it. Infinity if no runner is available. */
 export function forecastFirstToken(
   now: number,
   view: CellView,
@@ -64,18 +64,18 @@
   ahead: number,
 ): number {
   const prefillMs = view.costs.prefillMs(Math.max(0, promptTokens - hitTokens));
-  const wait = Math.max(waitForPrefill(now, view, ahead), waitForSlot(view, ahead) - prefillMs);
-  return wait + prefillMs + view.costs.transferMs(promptTokens) + view.costs.tokenMs(1);
+  const waitMs = Math.max(prefillWaitMs(now, view, ahead), slotWaitMs(view, ahead) - prefillMs);
+  return waitMs + prefillMs + view.costs.transferMs(promptTokens) + view.costs.tokenMs(1);
 }
 
-function waitForPrefill(now: number, view: CellView, ahead: number): number {
+function prefillWaitMs(now: number, view: CellView, ahead: number): number {
   const runners = view.places.prefillRunners.filter(({ leaving }) => !leaving);
   if (runners.length === 0) return Infinity;
-  const backlog = runners.reduce((sum, place) => sum + Math.max(0, place.busyUntil - now), 0);
-  return (backlog + ahead * view.meanPrefillMs) / runners.length;
+  const backlogMs = runners.reduce((sum, load) => sum + Math.max(0, load.busyUntil - now), 0);
+  return (backlogMs + ahead * view.meanPrefillMs) / runners.length;
 }
 
-function waitForSlot(view: CellView, ahead: number): number {
+function slotWaitMs(view: CellView, ahead: number): number {
   const { decodeSlots, freeSlots } = view.places;
   if (decodeSlots === 0) return Infinity;
   const missing = ahead + 1 + view.promised - freeSlots;
--- a/src/core/cell/health.ts
+++ b/src/core/cell/health.ts
@@ -1,39 +1,43 @@
-/** Ejection of failing runners, with probes before they get full work again. */
+/** Ejection of failing runners (outlier ejection), with a single probe before they get full work again. */
 
 /** Read-only view of which runners may take work. */
 export interface Health {
-  /** Whether a runner may get one more request now. */
+  /** Whether a runner may get another request now. */
   allows(now: number, runner: string): boolean;
 }
 
-interface Standing {
+interface HealthRecord {
+  /** Consecutive failures. */
   failures: number;
+  /** End of the ejection; 0 if the runner is not ejected. */
   ejectedUntil: number;
-  /** Ejections in a row, for the back-off. */
+  /** Consecutive ejections, for the exponential back-off. */
   ejections: number;
+  /** Whether the probe after an ejection is in progress. */
   probing: boolean;
 }
 
-/** Failures in a row that eject a runner. */
+/** Consecutive failures that eject a runner. */
 const FAILURES_TO_EJECT = 3;
-/** First ejection in milliseconds; doubles each time. */
-const EJECTION_MS = 1000;
-/** Longest ejection in milliseconds. */
-const EJECTION_LIMIT_MS = 30_000;
+/** Duration of the first ejection, in milliseconds; it doubles with each further one. */
+const FIRST_EJECTION_MS = 1000;
+/** Maximum duration of an ejection, in milliseconds. */
+const MAX_EJECTION_MS = 30_000;
 /**
- * Most of a pool that may be ejected at once. When a whole failure domain goes,
- * ejecting all would turn a partial failure into a total one.
+ * Maximum fraction of a pool that may be ejected at the same time. When a whole failure
+ * domain fails, ejecting all of its runners would turn a partial failure into a total one.
  */
-const EJECTED_SHARE = 0.5;
+const MAX_EJECTED_FRACTION = 0.5;
 
-/** Counts failures in a row by runner. */
+/** Counts consecutive failures per runner and ejects runners that fail repeatedly. */
 export class RunnerHealth implements Health {
-  readonly #records = new Map<string, Standing>();
+  readonly #records = new Map<string, HealthRecord>();
 
-  #pool = 0;
+  #poolSize = 0;
 
+  /** Sets the number of runners of the pool, which bounds the number of ejections. */
   setPoolSize(size: number): void {
-    this.#pool = size;
+    this.#poolSize = size;
   }
 
   allows(now: number, runner: string): boolean {
@@ -42,22 +46,24 @@
     return now >= record.ejectedUntil && !record.probing;
   }
 
-  /** Notes that a runner was given work: after an ejection this is the one probe. */
+  /** Records that work was sent to a runner. After an ejection this is its single probe. */
   given(now: number, runner: string): void {
     const record = this.#records.get(runner);
     if (record && record.ejectedUntil > 0 && now >= record.ejectedUntil) record.probing = true;
   }
 
-  /** A request that ended without telling anything of the runner makes room for another probe. */
+  /** Records a request whose end says nothing about the runner, so that another probe may be sent. */
   inconclusive(runner: string): void {
     const record = this.#records.get(runner);
     if (record) record.probing = false;
   }
 
+  /** Records a success, which ends the ejection of the runner. */
   succeeded(runner: string): void {
     this.#records.delete(runner);
   }
 
+  /** Records a failure, and ejects the runner after several consecutive ones. */
   failed(now: number, runner: string): void {
     const record = this.#records.get(runner) ?? {
       failures: 0,
@@ -69,13 +75,14 @@
     record.failures += 1;
     record.probing = false;
     if (record.failures < FAILURES_TO_EJECT || !this.#mayEject(now)) return;
-    record.ejectedUntil = now + Math.min(EJECTION_LIMIT_MS, EJECTION_MS * 2 ** record.ejections);
+    record.ejectedUntil =
+      now + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** record.ejections);
     record.ejections += 1;
   }
 
   #mayEject(now: number): boolean {
     let ejected = 0;
     for (const record of this.#records.values()) if (record.ejectedUntil > now) ejected += 1;
-    return ejected + 1 <= this.#pool * EJECTED_SHARE;
+    return ejected + 1 <= this.#poolSize * MAX_EJECTED_FRACTION;
   }
 }
--- a/src/core/cell/lifecycle.ts
+++ b/src/core/cell/lifecycle.ts
@@ -1,4 +1,4 @@
-/** Controller of ends and of steps back: finished, cancelled, failed and adopted requests. */
+/** Lifecycle controller: handles finished, cancelled, failed and adopted requests. */
 
 import type { QueueController } from './admit';
 import type { CellBoard } from './board';
@@ -10,132 +10,134 @@
 
 type Failed = Extract<CellEvent, { kind: 'failed' }>;
 
-/** Period of counting running requests, in milliseconds. */
-const COUNT_MS = 500;
+/** Interval between observations of running requests, in milliseconds. */
+const OBSERVATION_INTERVAL_MS = 500;
 
-/** Writes requests that end or step back. */
+/** Ends requests, returns them to an earlier stage, or takes them over from a previous owner. */
 export class LifecycleController {
-  readonly #board: CellBoard;
+  readonly #state: CellBoard;
 
   readonly #queue: QueueController;
 
-  #countedAt = 0;
+  #observedAt = 0;
 
-  constructor(board: CellBoard, queue: QueueController) {
-    this.#board = board;
+  constructor(state: CellBoard, queue: QueueController) {
+    this.#state = state;
     this.#queue = queue;
   }
 
+  /** Records a completed request with its output length in tokens. */
   finish(now: number, id: string, tokens: number): void {
-    const board = this.#board;
-    const entry = board.requests.get(id);
+    const state = this.#state;
+    const entry = state.requests.get(id);
     if (!entry) return;
     if (entry.stage === 'decoding') {
-      const fresh = Math.max(1, tokens - entry.resumedAt);
-      board.outputs.expose(Math.min(entry.countedTokens, tokens), tokens);
-      board.outputs.end(tokens);
-      board.costs.observeTokens(this.#batchOf(entry), (now - entry.since) / fresh);
+      const newTokens = Math.max(1, tokens - entry.resumedAt);
+      state.outputs.expose(Math.min(entry.countedTokens, tokens), tokens);
+      state.outputs.end(tokens);
+      state.costs.observeTokens(this.#meanBatch(entry), (now - entry.since) / newTokens);
     }
-    board.counters.finished += 1;
+    state.counters.finished += 1;
     const { fingerprint } = entry.arrival;
-    if (fingerprint !== undefined) board.quarantine.completed(now, fingerprint);
-    board.drop(now, entry);
+    if (fingerprint !== undefined) state.quarantine.completed(now, fingerprint);
+    state.drop(now, entry);
   }
 
-  /** Counts the tokens of running requests into the distribution of output lengths, from time to time. */
+  /** Adds the estimated tokens of running requests to the distribution of output lengths, at a fixed interval. */
   countRunning(now: number): void {
-    if (now - this.#countedAt < COUNT_MS) return;
-    this.#countedAt = now;
-    const board = this.#board;
-    for (const entry of board.decoding) {
-      const age = Math.min(entry.arrival.maxTokens, ageOf(now, board, entry));
-      if (age > entry.countedTokens) {
-        board.outputs.expose(entry.countedTokens, age);
-        entry.countedTokens = age;
+    if (now - this.#observedAt < OBSERVATION_INTERVAL_MS) return;
+    this.#observedAt = now;
+    const state = this.#state;
+    for (const entry of state.decoding) {
+      const tokens = Math.min(entry.arrival.maxTokens, ageOf(now, state, entry));
+      if (tokens > entry.countedTokens) {
+        state.outputs.expose(entry.countedTokens, tokens);
+        entry.countedTokens = tokens;
       }
     }
   }
 
+  /** Ends a request that its caller cancelled. */
   cancel(now: number, id: string): void {
-    const board = this.#board;
-    const entry = board.requests.get(id);
+    const state = this.#state;
+    const entry = state.requests.get(id);
     if (!entry) return;
-    board.counters.cancelled += 1;
-    if (entry.stage === 'prefilling' || entry.stage === 'prefilled') board.waste(entry);
+    state.counters.cancelled += 1;
+    if (entry.stage === 'prefilling' || entry.stage === 'prefilled') state.waste(entry);
     for (const runner of [entry.prefillRunner, entry.decodeRunner]) {
-      if (runner !== undefined) board.health.inconclusive(runner);
+      if (runner !== undefined) state.health.inconclusive(runner);
     }
-    board.drop(now, entry);
+    state.drop(now, entry);
   }
 
-  /** What is proven not run, or lost, is queued again within the retry budget. */
+  /** Queues a failed request again within the retry budget, whether it provably did not run or its outcome is unknown. */
   fail(now: number, failed: Failed): void {
-    const board = this.#board;
+    const state = this.#state;
     const { id, runner, reason, tokens } = failed;
-    const entry = board.requests.get(id);
+    const entry = state.requests.get(id);
     if (!entry || (entry.prefillRunner !== runner && entry.decodeRunner !== runner)) return;
-    this.#judge(now, failed);
-    if (reason === 'lost') this.#suspect(now, entry, runner);
+    this.#recordHealth(now, failed);
+    if (reason === 'lost') this.#recordCrash(now, entry, runner);
     const keepsPrefill =
       reason === 'full' && entry.decodeRunner === runner && entry.keptUntil > now;
     if (keepsPrefill) {
-      this.#backToPrefilled(now, entry);
+      this.#returnToPrefilled(now, entry);
       return;
     }
-    if (entry.stage === 'prefilled' || entry.stage === 'transferring') board.waste(entry);
-    board.leaveStage(now, entry);
+    if (entry.stage === 'prefilled' || entry.stage === 'transferring') state.waste(entry);
+    state.leaveStage(now, entry);
     entry.avoid = runner;
-    noteTokensOut(entry, tokens);
+    extendPrompt(entry, tokens);
     this.#queue.retry(now, entry);
   }
 
   /**
-   * Takes over a request that ran under another owner, or comes into line with
-   * its gateway after messages crossed: it holds what the gateway says it holds.
+   * Takes over a request that ran under another owner, or reconciles it with its gateway
+   * after messages crossed. The gateway's record of the assigned runners takes precedence.
    */
   adopt(now: number, adoption: Adoption): void {
-    const board = this.#board;
+    const state = this.#state;
     const { arrival, prefillRunner } = adoption;
-    const known = board.requests.get(arrival.id);
-    if (known && agrees(known, adoption)) {
+    const known = state.requests.get(arrival.id);
+    if (known && isConsistent(known, adoption)) {
       this.#queue.repeat(known);
       return;
     }
-    if (known) board.drop(now, known);
+    if (known) state.drop(now, known);
     const entry = newEntry(arrival, now);
     entry.sent = true;
     entry.prefillRunner = prefillRunner;
-    board.requests.set(arrival.id, entry);
+    state.requests.set(arrival.id, entry);
     if (adoption.stage === 'decoding') this.#adoptDecoding(now, entry, adoption);
     else this.#adoptPrefill(now, entry, adoption);
   }
 
   #adoptDecoding(now: number, entry: Entry, { decodeRunner, arrival }: Adoption): void {
-    const board = this.#board;
+    const state = this.#state;
     entry.stage = 'decoding';
-    board.decoding.add(entry);
+    state.decoding.add(entry);
     if (decodeRunner === undefined) return;
     entry.decodeRunner = decodeRunner;
-    board.places.holdSlot(decodeRunner, now, arrival.promptTokens);
+    state.places.holdSlot(decodeRunner, now, arrival.promptTokens);
   }
 
   #adoptPrefill(now: number, entry: Entry, { stage, prefillRunner, arrival }: Adoption): void {
-    const board = this.#board;
-    board.promised += 1;
+    const state = this.#state;
+    state.promised += 1;
     if (stage === 'prefilling') {
       entry.stage = 'prefilling';
-      const workMs = board.costs.prefillMs(arrival.promptTokens);
-      if (prefillRunner !== undefined) board.places.givePrefill(prefillRunner, now, workMs);
+      const workMs = state.costs.prefillMs(arrival.promptTokens);
+      if (prefillRunner !== undefined) state.places.givePrefill(prefillRunner, now, workMs);
       return;
     }
     entry.stage = 'prefilled';
-    // Nobody here knows when it was finished; half of the time is a fair guess, and an eviction is only a retry.
-    entry.keptUntil = now + board.policy.keepMs / 2;
-    board.prefilled.add(entry);
+    // The completion time is unknown: assume that half of the retention time is left. An earlier eviction only causes a retry.
+    entry.keptUntil = now + state.policy.keepMs / 2;
+    state.prefilled.add(entry);
   }
 
-  #judge(now: number, { runner, reason }: Failed): void {
-    const { health, prefixes, places } = this.#board;
+  #recordHealth(now: number, { runner, reason }: Failed): void {
+    const { health, prefixes, places } = this.#state;
     if (reason === 'lost' || reason === 'unreachable') {
       health.failed(now, runner);
       prefixes.forget(runner);
@@ -145,47 +147,49 @@
     if (reason === 'leaving') places.refusedAsLeaving(runner, now);
   }
 
-  /** The engine may have ended under this request. Engines keep their ids when they start anew, so each end counts. */
-  #suspect(now: number, { arrival, stage, since }: Entry, runner: string): void {
+  /** Records that the engine may have crashed while processing this request. Engines keep their ids when they restart, so each crash gets its own key. */
+  #recordCrash(now: number, { arrival, stage, since }: Entry, runner: string): void {
     const { fingerprint } = arrival;
     const answeredAt = stage === 'decoding' ? since : undefined;
     if (fingerprint === undefined || !isTelling(now, answeredAt)) return;
-    this.#board.quarantine.ended(now, fingerprint, `${runner}@${now}`);
+    this.#state.quarantine.ended(now, fingerprint, `${runner}@${now}`);
   }
 
-  /** A finished prefill whose decode place was lost is used again while it is kept. */
-  #backToPrefilled(now: number, entry: Entry): void {
-    const board = this.#board;
-    board.leaveStage(now, entry);
+  /** Returns a request to the stage `prefilled` after it lost its decode slot, so that the prefill result is reused while it is kept. */
+  #returnToPrefilled(now: number, entry: Entry): void {
+    const state = this.#state;
+    state.leaveStage(now, entry);
     entry.stage = 'prefilled';
     entry.since = now;
-    board.promised += 1;
-    board.prefilled.add(entry);
+    state.promised += 1;
+    state.prefilled.add(entry);
   }
 
-  /** Mean of the batch that a request joined and the one it left. */
-  #batchOf({ decodeRunner, batch }: Entry): number {
-    const place =
-      decodeRunner === undefined ? undefined : this.#board.places.decodePlace(decodeRunner);
-    return (batch + (place?.held ?? batch)) / 2;
+  /** Mean of the batch sizes when the request joined and when it left. */
+  #meanBatch({ decodeRunner, batch }: Entry): number {
+    const load =
+      decodeRunner === undefined ? undefined : this.#state.places.decodePlace(decodeRunner);
+    return (batch + (load?.held ?? batch)) / 2;
   }
 }
 
-/** Tokens that the caller has become part of the prompt of the next run. */
-function noteTokensOut(entry: Entry, tokens: number): void {
-  const fresh = tokens - entry.resumedAt;
-  if (fresh <= 0) return;
+/** Extends the prompt of the next run by the output tokens that the caller has already received. */
+function extendPrompt(entry: Entry, tokens: number): void {
+  const newTokens = tokens - entry.resumedAt;
+  if (newTokens <= 0) return;
   entry.resumedAt = tokens;
   entry.countedTokens = tokens;
-  entry.arrival = { ...entry.arrival, promptTokens: entry.arrival.promptTokens + fresh };
+  entry.arrival = { ...entry.arrival, promptTokens: entry.arrival.promptTokens + newTokens };
 }
 
-/** Whether the cell and the gateway see a request alike, but for messages on their way. */
-function agrees({ stage, prefillRunner, decodeRunner }: Entry, told: Adoption): boolean {
-  if (told.stage === 'decoding') {
-    return (stage === 'transferring' || stage === 'decoding') && decodeRunner === told.decodeRunner;
+/** Whether the state of a request matches the gateway's report, allowing for messages in flight. */
+function isConsistent({ stage, prefillRunner, decodeRunner }: Entry, reported: Adoption): boolean {
+  if (reported.stage === 'decoding') {
+    return (
+      (stage === 'transferring' || stage === 'decoding') && decodeRunner === reported.decodeRunner
+    );
   }
-  if (prefillRunner !== told.prefillRunner) return false;
-  if (told.stage === 'prefilling') return stage === 'prefilling';
+  if (prefillRunner !== reported.prefillRunner) return false;
+  if (reported.stage === 'prefilling') return stage === 'prefilling';
   return stage === 'prefilled' || stage === 'transferring';
 }
--- a/src/core/cell/line.ts
+++ b/src/core/cell/line.ts
@@ -1,17 +1,17 @@
-/** A cost known by shape and learnt by scale: cost = scale × (base + slope × size). */
+/** Linear cost model with a configured shape and a learnt scale: cost = scale × (base + slope × size). */
 
-/** Weight of the newest observation. */
-const WEIGHT = 0.02;
-/** Bounds of the scale against a single wild observation. */
-const LEAST_SCALE = 0.05;
-const MOST_SCALE = 20;
+/** Weight of the newest observation in the moving average of the scale. */
+const NEWEST_WEIGHT = 0.02;
+/** Bounds of an observed scale, which limit the effect of a single outlier. */
+const MIN_SCALE = 0.05;
+const MAX_SCALE = 20;
 
 /**
- * A guess whose scale follows the outcomes.
+ * An initial estimate whose scale follows the observed costs.
  *
- * Fitting base and slope freely was tried: under load every batch has about the
- * same size, a line through such points has any slope, and batch caps worked out
- * from it swung between one and all slots.
+ * Base and slope are not fitted: under load all batches have about the same size, so
+ * the slope of a line through them is arbitrary, and the resulting batch caps swing
+ * between one slot and all slots.
  */
 export class ScaledLine {
   readonly #base: number;
@@ -21,25 +21,27 @@
   #scale = 1;
 
   /**
-   * @param base guess at the cost of size 0, in milliseconds
-   * @param slope guess at the cost of each further unit
+   * @param base initial estimate of the cost at size 0, in milliseconds
+   * @param slope initial estimate of the cost of each additional unit, in milliseconds
    */
   constructor(base: number, slope: number) {
     this.#base = base;
     this.#slope = slope;
   }
 
+  /** Records the cost of a given size. */
   observe(size: number, cost: number): void {
     const ratio = cost / (this.#base + this.#slope * size);
-    const bounded = Math.min(MOST_SCALE, Math.max(LEAST_SCALE, ratio));
-    this.#scale += WEIGHT * (bounded - this.#scale);
+    const bounded = Math.min(MAX_SCALE, Math.max(MIN_SCALE, ratio));
+    this.#scale += NEWEST_WEIGHT * (bounded - this.#scale);
   }
 
+  /** Estimated cost of a given size, in milliseconds. */
   at(size: number): number {
     return this.#scale * (this.#base + this.#slope * size);
   }
 
-  /** Largest size whose cost is at most this. */
+  /** Largest size whose estimated cost is at most `cost`. */
   sizeWithin(cost: number): number {
     return (cost / this.#scale - this.#base) / this.#slope;
   }
--- a/src/core/cell/placement.ts
+++ b/src/core/cell/placement.ts
@@ -1,4 +1,4 @@
-/** Which runner a prefill or a decode goes to. */
+/** Placement policies: which runner a prefill or a decode is assigned to. */
 
 import { BLOCK_TOKENS } from '../prefix';
 import type { DecodePlace, PrefillPlace } from './places';
@@ -6,23 +6,23 @@
 import type { Arrival } from './types';
 import type { CellView } from './view';
 
-/** A way to choose among runners that are able. */
+/** Chooses one of the runners that can take a request; undefined if there is none. */
 export interface Placement {
   prefill(
     now: number,
     view: CellView,
     arrival: Arrival,
-    able: readonly PrefillPlace[],
+    candidates: readonly PrefillPlace[],
   ): PrefillPlace | undefined;
   decode(
     now: number,
     view: CellView,
     arrival: Arrival,
-    able: readonly DecodePlace[],
+    candidates: readonly DecodePlace[],
   ): DecodePlace | undefined;
 }
 
-function least<T>(items: readonly T[], cost: (item: T) => number): T | undefined {
+function minBy<T>(items: readonly T[], cost: (item: T) => number): T | undefined {
   let best: T | undefined;
   let bestCost = Infinity;
   for (const item of items) {
@@ -35,35 +35,35 @@
   return best;
 }
 
-/** Least cost in milliseconds: queue, prefill left after the predicted hit, busy link. */
+/** Least cost in milliseconds: queueing, prefill of the tokens that are not predicted to be cached, and waiting for a busy link. */
 export class CostPlacement implements Placement {
   prefill(
     now: number,
     view: CellView,
     arrival: Arrival,
-    able: readonly PrefillPlace[],
+    candidates: readonly PrefillPlace[],
   ): PrefillPlace | undefined {
-    const moveMs = view.costs.transferMs(arrival.promptTokens);
-    return least(able, ({ runner, busyUntil }) => {
+    const transferMs = view.costs.transferMs(arrival.promptTokens);
+    return minBy(candidates, ({ runner, busyUntil }) => {
       const hitTokens = view.prefixes.hits(runner.id, arrival.blocks) * BLOCK_TOKENS;
       const workMs = view.costs.prefillMs(Math.max(0, arrival.promptTokens - hitTokens));
-      const linkMs = view.places.linkBusy(runner.link) ? moveMs : 0;
+      const linkMs = view.places.linkBusy(runner.link) ? transferMs : 0;
       return Math.max(0, busyUntil - now) + workMs + linkMs;
     });
   }
 
-  /** Least filled batch, since each further request slows every token of the batch. */
+  /** Selects the runner with the least filled batch, since each additional request slows down every token of the batch. */
   decode(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly DecodePlace[],
+    candidates: readonly DecodePlace[],
   ): DecodePlace | undefined {
-    return least(able, (place) => (place.cap - freeOf(place)) / place.cap);
+    return minBy(candidates, (load) => (load.cap - freeOf(load)) / load.cap);
   }
 }
 
-/** Baseline: each runner in turn. */
+/** Baseline: round robin. */
 export class RoundRobin implements Placement {
   #prefills = 0;
 
@@ -73,40 +73,40 @@
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly PrefillPlace[],
+    candidates: readonly PrefillPlace[],
   ): PrefillPlace | undefined {
     this.#prefills += 1;
-    return able[this.#prefills % able.length];
+    return candidates[this.#prefills % candidates.length];
   }
 
   decode(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly DecodePlace[],
+    candidates: readonly DecodePlace[],
   ): DecodePlace | undefined {
     this.#decodes += 1;
-    return able[this.#decodes % able.length];
+    return candidates[this.#decodes % candidates.length];
   }
 }
 
-/** Baseline: least load by the runners' own late reports. */
+/** Baseline: least load according to the runners' own delayed reports. */
 export class LeastReported implements Placement {
   prefill(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly PrefillPlace[],
+    candidates: readonly PrefillPlace[],
   ): PrefillPlace | undefined {
-    return least(able, ({ reported }) => reported);
+    return minBy(candidates, ({ reported }) => reported);
   }
 
   decode(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly DecodePlace[],
+    candidates: readonly DecodePlace[],
   ): DecodePlace | undefined {
-    return least(able, ({ reported }) => reported);
+    return minBy(candidates, ({ reported }) => reported);
   }
 }
--- a/src/core/cell/places.ts
+++ b/src/core/cell/places.ts
@@ -1,81 +1,85 @@
 /**
- * Exact account of what this cell has given out: decode slots, prefill backlog
- * and links. Load reports are late, so they only correct for what the cell did
- * not grant itself.
+ * Exact record of what this cell has assigned: decode slots, prefill backlog and
+ * links. Load reports are delayed, so they only correct for load that the cell did
+ * not assign itself.
  */
 
 import type { LoadReport, Runner } from './types';
 
-/** Read-only view of the account. */
+/** Read-only view of the capacity of a cell's runners. */
 export interface Places {
   readonly prefillRunners: readonly PrefillPlace[];
   readonly decodeRunners: readonly DecodePlace[];
-  /** Slots of all decode runners that take work, free or not. */
+  /** Total slots of the decode runners that are not leaving, free or not. */
   readonly decodeSlots: number;
-  /** Free decode slots less than batch caps allow. */
+  /** Total free decode slots within the batch caps. */
   readonly freeSlots: number;
+  /** Whether a link already carries as many transfers as allowed. */
   linkBusy(link: string): boolean;
 }
 
-/** A prefill runner and the work given to it. */
+/** A prefill runner and the work assigned to it. */
 export interface PrefillPlace {
   readonly runner: Runner;
   readonly leaving: boolean;
-  /** Prefills given and not yet reported done. */
+  /** Prefills assigned and not yet reported as finished. */
   readonly pending: number;
-  /** When its given work should be done. */
+  /** Estimated time at which its assigned work ends, in milliseconds. */
   readonly busyUntil: number;
-  /** What its lagged report said, for baselines that go by reports. */
+  /** Running requests according to its latest (delayed) report, for baselines that rely on reports. */
   readonly reported: number;
 }
 
-/** A decode runner and the slots given on it. */
+/** A decode runner and the slots reserved on it. */
 export interface DecodePlace {
   readonly runner: Runner;
   readonly leaving: boolean;
+  /** Slots reserved by this cell. */
   readonly held: number;
-  /** Slots in use that this cell did not give: left over from earlier owners. */
+  /** Slots in use that this cell did not reserve, left over from previous owners. */
   readonly foreign: number;
-  /** Slots that may be used, from the batch cap. */
+  /** Maximum number of slots in use, from the batch cap. */
   readonly cap: number;
+  /** KV cache in use by the reserved slots, in tokens. */
   readonly heldTokens: number;
+  /** Running requests according to its latest (delayed) report. */
   readonly reported: number;
 }
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
 /**
- * Signs that a runner leaves. Each comes from somewhere else and each is enough:
- * a report that came before an operator's order must not undo the order.
+ * Reasons why a runner counts as leaving. They come from different sources and any one
+ * suffices: a report that precedes an operator's command must not undo the command.
  */
-interface Signs {
+interface LeavingReasons {
   unlisted: boolean;
   reported: boolean;
   departing: boolean;
   refusedUntil: number;
 }
 
-interface GrantChange {
+interface SlotChange {
   readonly at: number;
   readonly change: number;
 }
 
-/** How long changes are kept to interpret a late report, in milliseconds. */
-const REPORT_LAG_LIMIT = 5000;
-/** Reports that look further back than this after a refusal do not undo it, in milliseconds. */
-const REFUSED_MS = 500;
+/** Time for which slot changes are kept to interpret a delayed report, in milliseconds. */
+const MAX_REPORT_LAG_MS = 5000;
+/** A refusal as leaving is only undone by a report measured at least this long after it, in milliseconds. */
+const REFUSAL_HOLD_MS = 500;
 
-interface DecodeState extends Mutable<DecodePlace> {
-  readonly changes: GrantChange[];
+interface DecodeRecord extends Mutable<DecodePlace> {
+  readonly changes: SlotChange[];
 }
 
-/** Slots of a runner that can be given now. */
-export function freeOf(place: DecodePlace): number {
-  if (place.leaving) return 0;
-  return Math.max(0, place.cap - place.held - place.foreign);
+/** Number of slots of a decode runner that can be reserved now. */
+export function freeOf(load: DecodePlace): number {
+  if (load.leaving) return 0;
+  return Math.max(0, load.cap - load.held - load.foreign);
 }
 
-/** Places without the runner that failed last, unless there is no other. */
+/** Excludes the runner that failed last, unless it is the only one. */
 export function avoiding<T extends { readonly runner: Runner }>(
   places: readonly T[],
   avoid: string | undefined,
@@ -84,17 +88,17 @@
   return others.length > 0 ? others : places;
 }
 
-/** The account itself; only the cell writes to it. */
+/** Tracks the capacity of a cell's runners. Only the cell modifies it. */
 export class PlaceBook implements Places {
   readonly #prefill = new Map<string, Mutable<PrefillPlace>>();
 
-  readonly #decode = new Map<string, DecodeState>();
+  readonly #decode = new Map<string, DecodeRecord>();
 
   readonly #links = new Map<string, number>();
 
-  readonly #signs = new Map<string, Signs>();
+  readonly #leavingReasons = new Map<string, LeavingReasons>();
 
-  /** Transfers at once on one link; more would only make each of them slower. */
+  /** Maximum number of concurrent transfers on one link; more would only slow each of them down. */
   readonly #transfersPerLink: number;
 
   constructor(transfersPerLink = 1) {
@@ -111,20 +115,22 @@
 
   get decodeSlots(): number {
     let total = 0;
-    for (const place of this.#decode.values()) total += place.leaving ? 0 : place.cap;
+    for (const load of this.#decode.values()) total += load.leaving ? 0 : load.cap;
     return total;
   }
 
   get freeSlots(): number {
     let total = 0;
-    for (const place of this.#decode.values()) total += freeOf(place);
+    for (const load of this.#decode.values()) total += freeOf(load);
     return total;
   }
 
+  /** Load of a prefill runner; undefined if the runner is unknown. */
   prefillPlace(id: string): PrefillPlace | undefined {
     return this.#prefill.get(id);
   }
 
+  /** Load of a decode runner; undefined if the runner is unknown. */
   decodePlace(id: string): DecodePlace | undefined {
     return this.#decode.get(id);
   }
@@ -133,104 +139,111 @@
     return (this.#links.get(link) ?? 0) >= this.#transfersPerLink;
   }
 
-  /** Takes over the operators' list; a runner that is gone from it keeps its account until its work ends. */
+  /** Applies the operators' list of runners. A runner that is no longer listed counts as leaving and stays tracked until its work ends. */
   setRunners(runners: readonly Runner[]): void {
     const listed = new Set(runners.map(({ id }) => id));
     for (const runner of runners) {
       if (runner.role === 'prefill') this.#addPrefill(runner);
       if (runner.role === 'decode') this.#addDecode(runner);
     }
-    for (const id of this.#ids()) {
-      this.#signsOf(id).unlisted = !listed.has(id);
-      this.#weigh(id);
+    for (const id of this.#runnerIds()) {
+      this.#reasonsOf(id).unlisted = !listed.has(id);
+      this.#updateLeaving(id);
     }
   }
 
-  /** Runners that leave by the platform's list or the operators' word. */
+  /** Sets the runners that the platform lists as leaving or that operators drain. */
   setDeparting(runners: readonly string[]): void {
-    for (const id of this.#ids()) {
-      this.#signsOf(id).departing = runners.includes(id);
-      this.#weigh(id);
+    for (const id of this.#runnerIds()) {
+      this.#reasonsOf(id).departing = runners.includes(id);
+      this.#updateLeaving(id);
     }
   }
 
-  /** A runner that refused work as leaving gets none until a report from after that says otherwise. */
+  /** Records that a runner refused work because it is leaving. It gets no work until a later report says otherwise. */
   refusedAsLeaving(runner: string, now: number): void {
-    this.#signsOf(runner).refusedUntil = now + REFUSED_MS;
-    this.#weigh(runner);
+    this.#reasonsOf(runner).refusedUntil = now + REFUSAL_HOLD_MS;
+    this.#updateLeaving(runner);
   }
 
+  /** Sets the batch cap of a decode runner. */
   setCap(runner: string, cap: number): void {
-    const place = this.#decode.get(runner);
-    if (place) place.cap = cap;
+    const load = this.#decode.get(runner);
+    if (load) load.cap = cap;
   }
 
+  /** Adds a prefill of the estimated duration in milliseconds to a runner's backlog. */
   givePrefill(runner: string, now: number, ms: number): void {
-    const place = this.#prefill.get(runner);
-    if (!place) return;
-    place.pending += 1;
-    place.busyUntil = Math.max(now, place.busyUntil) + ms;
+    const load = this.#prefill.get(runner);
+    if (!load) return;
+    load.pending += 1;
+    load.busyUntil = Math.max(now, load.busyUntil) + ms;
   }
 
+  /** Removes a prefill from a runner's backlog. */
   endPrefill(runner: string, now: number): void {
-    const place = this.#prefill.get(runner);
-    if (!place) return;
-    place.pending = Math.max(0, place.pending - 1);
-    if (place.pending === 0) place.busyUntil = now;
+    const load = this.#prefill.get(runner);
+    if (!load) return;
+    load.pending = Math.max(0, load.pending - 1);
+    if (load.pending === 0) load.busyUntil = now;
   }
 
+  /** Reserves a decode slot and the KV cache of this many tokens. */
   holdSlot(runner: string, now: number, tokens: number): void {
     this.#changeSlot(runner, now, 1, tokens);
   }
 
+  /** Releases a decode slot and the KV cache of this many tokens. */
   freeSlot(runner: string, now: number, tokens: number): void {
     this.#changeSlot(runner, now, -1, -tokens);
   }
 
+  /** Counts a transfer that starts on a link. */
   holdLink(link: string): void {
     this.#links.set(link, (this.#links.get(link) ?? 0) + 1);
   }
 
+  /** Counts a transfer that ended on a link. */
   freeLink(link: string): void {
-    const left = (this.#links.get(link) ?? 0) - 1;
-    if (left > 0) this.#links.set(link, left);
+    const remaining = (this.#links.get(link) ?? 0) - 1;
+    if (remaining > 0) this.#links.set(link, remaining);
     else this.#links.delete(link);
   }
 
-  /** Nothing that was granted after the report's time is overridden by it. */
+  /** Applies a load report. It does not override what was assigned after its measurement. */
   report(now: number, report: LoadReport): void {
-    const signs = this.#signsOf(report.runner);
-    signs.reported = report.leaving;
-    if (report.asOf >= signs.refusedUntil) signs.refusedUntil = 0;
-    this.#weigh(report.runner);
+    const reasons = this.#reasonsOf(report.runner);
+    reasons.reported = report.leaving;
+    if (report.asOf >= reasons.refusedUntil) reasons.refusedUntil = 0;
+    this.#updateLeaving(report.runner);
     const prefill = this.#prefill.get(report.runner);
     if (prefill) prefill.reported = report.running;
     const decode = this.#decode.get(report.runner);
     if (!decode) return;
     decode.reported = report.running;
-    while (decode.changes[0] && decode.changes[0].at < now - REPORT_LAG_LIMIT) {
+    while (decode.changes[0] && decode.changes[0].at < now - MAX_REPORT_LAG_MS) {
       decode.changes.shift();
     }
-    const since = decode.changes.filter(({ at }) => at >= report.asOf);
-    const heldThen = since.reduce((held, { change }) => held - change, decode.held);
-    // Slots asked for just before the report may not have reached the runner yet, so only a surplus counts.
-    decode.foreign = Math.max(0, report.running - heldThen);
+    const later = decode.changes.filter(({ at }) => at >= report.asOf);
+    const heldAtReport = later.reduce((held, { change }) => held - change, decode.held);
+    // Requests sent just before the measurement may not have reached the runner yet, so only a surplus counts.
+    decode.foreign = Math.max(0, report.running - heldAtReport);
   }
 
-  #ids(): readonly string[] {
+  #runnerIds(): readonly string[] {
     return [...this.#prefill.keys(), ...this.#decode.keys()];
   }
 
-  #signsOf(runner: string): Signs {
-    const known = this.#signs.get(runner);
+  #reasonsOf(runner: string): LeavingReasons {
+    const known = this.#leavingReasons.get(runner);
     if (known) return known;
-    const signs = { unlisted: false, reported: false, departing: false, refusedUntil: 0 };
-    this.#signs.set(runner, signs);
-    return signs;
+    const reasons = { unlisted: false, reported: false, departing: false, refusedUntil: 0 };
+    this.#leavingReasons.set(runner, reasons);
+    return reasons;
   }
 
-  #weigh(runner: string): void {
-    const { unlisted, reported, departing, refusedUntil } = this.#signsOf(runner);
+  #updateLeaving(runner: string): void {
+    const { unlisted, reported, departing, refusedUntil } = this.#reasonsOf(runner);
     const leaving = unlisted || reported || departing || refusedUntil > 0;
     const prefill = this.#prefill.get(runner);
     const decode = this.#decode.get(runner);
@@ -239,11 +252,11 @@
   }
 
   #changeSlot(runner: string, at: number, change: 1 | -1, tokens: number): void {
-    const place = this.#decode.get(runner);
-    if (!place) return;
-    place.held += change;
-    place.heldTokens += tokens;
-    place.changes.push({ at, change });
+    const load = this.#decode.get(runner);
+    if (!load) return;
+    load.held += change;
+    load.heldTokens += tokens;
+    load.changes.push({ at, change });
   }
 
   #addPrefill(runner: Runner): void {
--- a/src/core/cell/prefill.ts
+++ b/src/core/cell/prefill.ts
@@ -1,4 +1,4 @@
-/** Controller of prefills: starts them when their results will be used, and gives up results that were not. */
+/** Prefill controller: starts prefills whose results will be used in time and discards results that were not used. */
 
 import { uncachedTokens } from '../prefix';
 import type { QueueController } from './admit';
@@ -10,18 +10,18 @@
 import type { Placement } from './placement';
 import type { StartRule } from './start';
 
-/** A prefill runner gets its next prefill this long before it is done with the last, in milliseconds. */
+/** A prefill runner gets its next prefill this long before its current work ends, in milliseconds. */
 const LOOKAHEAD_MS = 15;
-/** Prefills at one runner: one at work and one that follows. */
-const PENDING_LIMIT = 2;
-/** A result is given up this long before its eviction, in milliseconds. */
+/** Maximum number of prefills at one runner: one running and one queued. */
+const MAX_PENDING = 2;
+/** A result is discarded this long before its eviction, in milliseconds. */
 const EVICTION_MARGIN_MS = 5;
-/** Weight of the newest prefill in the fading mean. */
-const MEAN_WEIGHT = 0.05;
+/** Weight of the newest prefill in the exponential moving average of the prefill cost. */
+const NEWEST_WEIGHT = 0.05;
 
-/** Writes the prefill backlog. */
+/** Assigns queued requests to prefill runners. */
 export class PrefillController {
-  readonly #board: CellBoard;
+  readonly #state: CellBoard;
 
   readonly #queue: QueueController;
 
@@ -29,104 +29,105 @@
 
   readonly #placement: Placement;
 
-  constructor(board: CellBoard, queue: QueueController, rule: StartRule, placement: Placement) {
-    this.#board = board;
+  constructor(state: CellBoard, queue: QueueController, rule: StartRule, placement: Placement) {
+    this.#state = state;
     this.#queue = queue;
     this.#rule = rule;
     this.#placement = placement;
   }
 
-  /** Starts prefills while the rule allows and runners are able. */
+  /** Starts prefills while the start rule allows it and runners are available. */
   startAll(now: number): void {
     while (this.#startNext(now));
   }
 
+  /** Records a finished prefill; the request then waits for a decode slot. */
   finish(now: number, id: string, cachedTokens: number, keptUntil: number): void {
-    const board = this.#board;
-    const entry = board.requests.get(id);
+    const state = this.#state;
+    const entry = state.requests.get(id);
     if (entry?.stage !== 'prefilling' || entry.prefillRunner === undefined) return;
-    const work = Math.max(0, entry.arrival.promptTokens - cachedTokens);
-    // Only a prefill that had the runner to itself tells what it costs.
-    const alone = board.sourceOf(entry)?.pending === 1;
-    if (alone) board.costs.observePrefill(work, now - entry.since);
-    board.places.endPrefill(entry.prefillRunner, now);
-    board.health.succeeded(entry.prefillRunner);
-    board.counters.prefillTokens += work;
+    const workTokens = Math.max(0, entry.arrival.promptTokens - cachedTokens);
+    // The duration of a prefill measures its cost only if it had the runner to itself.
+    const ranAlone = state.sourceOf(entry)?.pending === 1;
+    if (ranAlone) state.costs.observePrefill(workTokens, now - entry.since);
+    state.places.endPrefill(entry.prefillRunner, now);
+    state.health.succeeded(entry.prefillRunner);
+    state.counters.prefillTokens += workTokens;
     entry.stage = 'prefilled';
     entry.since = now;
     entry.keptUntil = keptUntil;
-    board.prefilled.add(entry);
+    state.prefilled.add(entry);
   }
 
-  /** Results that were not used in time are queued again before the runner evicts them unseen. */
+  /** Discards results that were not used in time and queues their requests again, before the runner evicts them without notice. */
   expire(now: number): void {
-    const board = this.#board;
-    for (const entry of board.prefilled) {
+    const state = this.#state;
+    for (const entry of state.prefilled) {
       if (now >= entry.keptUntil - EVICTION_MARGIN_MS) {
-        board.waste(entry);
-        board.leaveStage(now, entry);
+        state.waste(entry);
+        state.leaveStage(now, entry);
         this.#queue.retry(now, entry);
       }
     }
   }
 
-  /** When the next result is given up. */
+  /** Time at which the next result is discarded; Infinity if there is none. */
   get nextExpiry(): number {
     let next = Infinity;
-    for (const { keptUntil } of this.#board.prefilled) {
+    for (const { keptUntil } of this.#state.prefilled) {
       next = Math.min(next, keptUntil - EVICTION_MARGIN_MS);
     }
     return next;
   }
 
   #startNext(now: number): boolean {
-    const board = this.#board;
-    const entry = board.waiting.peek();
-    const place = entry ? this.#choose(now, entry) : undefined;
-    if (!entry || !place) return false;
+    const state = this.#state;
+    const entry = state.waiting.peek();
+    const load = entry ? this.#selectRunner(now, entry) : undefined;
+    if (!entry || !load) return false;
     const { arrival } = entry;
-    const hitBlocks = board.prefixes.hits(place.runner.id, arrival.blocks);
-    const workMs = board.costs.prefillMs(uncachedTokens(arrival.promptTokens, hitBlocks));
-    const readyInMs = Math.max(0, place.busyUntil - now) + workMs;
-    if (!this.#rule.mayStart(now, board, readyInMs)) return false;
-    board.waiting.take(this.#costMs(workMs));
-    this.#start(now, entry, place, hitBlocks, workMs);
+    const hitBlocks = state.prefixes.hits(load.runner.id, arrival.blocks);
+    const workMs = state.costs.prefillMs(uncachedTokens(arrival.promptTokens, hitBlocks));
+    const readyInMs = Math.max(0, load.busyUntil - now) + workMs;
+    if (!this.#rule.mayStart(now, state, readyInMs)) return false;
+    state.waiting.take(this.#costMs(workMs));
+    this.#start(now, entry, load, hitBlocks, workMs);
     return true;
   }
 
-  /** Time of the whole cell that a request takes, on prefill or on decode, whichever is scarcer. */
+  /** Share of the cell's processing time that a request takes, in milliseconds: at prefill or at decode, whichever is scarcer. */
   #costMs(workMs: number): number {
-    const { places } = this.#board;
+    const { places } = this.#state;
     const prefillMs = workMs / Math.max(1, places.prefillRunners.length);
-    const decodeMs = residenceMs(this.#board) / Math.max(1, places.decodeSlots);
+    const decodeMs = residenceMs(this.#state) / Math.max(1, places.decodeSlots);
     return Math.max(prefillMs, decodeMs);
   }
 
-  #choose(now: number, entry: Entry): PrefillPlace | undefined {
-    const board = this.#board;
-    const able = board.places.prefillRunners.filter(
-      (place) =>
-        !place.leaving &&
-        place.busyUntil - now <= LOOKAHEAD_MS &&
-        place.pending < PENDING_LIMIT &&
-        board.health.allows(now, place.runner.id),
+  #selectRunner(now: number, entry: Entry): PrefillPlace | undefined {
+    const state = this.#state;
+    const candidates = state.places.prefillRunners.filter(
+      (load) =>
+        !load.leaving &&
+        load.busyUntil - now <= LOOKAHEAD_MS &&
+        load.pending < MAX_PENDING &&
+        state.health.allows(now, load.runner.id),
     );
-    return this.#placement.prefill(now, board, entry.arrival, avoiding(able, entry.avoid));
+    return this.#placement.prefill(now, state, entry.arrival, avoiding(candidates, entry.avoid));
   }
 
-  #start(now: number, entry: Entry, place: PrefillPlace, hitBlocks: number, workMs: number): void {
-    const board = this.#board;
-    const runner = place.runner.id;
+  #start(now: number, entry: Entry, load: PrefillPlace, hitBlocks: number, workMs: number): void {
+    const state = this.#state;
+    const runner = load.runner.id;
     entry.stage = 'prefilling';
     entry.since = now;
     entry.prefillRunner = runner;
     entry.hitBlocks = hitBlocks;
     entry.sent = true;
-    board.promised += 1;
-    board.meanPrefillMs += MEAN_WEIGHT * (workMs - board.meanPrefillMs);
-    board.places.givePrefill(runner, now, workMs);
-    board.prefixes.add(runner, entry.arrival.blocks);
-    board.health.given(now, runner);
-    board.emit({ kind: 'prefill', id: entry.arrival.id, runner });
+    state.promised += 1;
+    state.meanPrefillMs += NEWEST_WEIGHT * (workMs - state.meanPrefillMs);
+    state.places.givePrefill(runner, now, workMs);
+    state.prefixes.add(runner, entry.arrival.blocks);
+    state.health.given(now, runner);
+    state.emit({ kind: 'prefill', id: entry.arrival.id, runner });
   }
 }
--- a/src/core/cell/prefixes.ts
+++ b/src/core/cell/prefixes.ts
@@ -1,20 +1,20 @@
 /**
- * What each prefill runner probably has in its prefix cache.
+ * Prediction of the contents of each prefill runner's prefix cache.
  *
- * Our own routing is told first; the runners' cache events come late and with
- * gaps, so they only add and remove single blocks and are never waited for.
+ * It is based on the cell's own assignments. The runners' cache events are delayed and
+ * incomplete, so they only add and remove single blocks, and nothing waits for them.
  */
 
 /** Read-only view of the prediction. */
 export interface Prefixes {
-  /** Leading blocks of a prompt that the runner should have. */
+  /** Number of leading blocks of a prompt that are predicted to be cached at the runner. */
   hits(runner: string, blocks: readonly number[]): number;
 }
 
-/** Blocks remembered for each runner, least recently used out first. */
-const BLOCKS_PER_RUNNER = 4096;
+/** Maximum number of blocks kept per runner; the least recently used are removed first. */
+const MAX_BLOCKS_PER_RUNNER = 4096;
 
-/** Prediction from routing and events. */
+/** Predicted cache contents, updated by assignments and cache events. */
 export class PrefixMap implements Prefixes {
   readonly #runners = new Map<string, Set<number>>();
 
@@ -25,7 +25,7 @@
     return miss < 0 ? blocks.length : miss;
   }
 
-  /** Notes that a runner has worked through these blocks. */
+  /** Records that a runner has these blocks cached. */
   add(runner: string, blocks: readonly number[]): void {
     const known = this.#runners.get(runner) ?? new Set<number>();
     this.#runners.set(runner, known);
@@ -34,17 +34,18 @@
       known.add(block);
     }
     for (const oldest of known) {
-      if (known.size <= BLOCKS_PER_RUNNER) break;
+      if (known.size <= MAX_BLOCKS_PER_RUNNER) break;
       known.delete(oldest);
     }
   }
 
+  /** Records that a runner has evicted these blocks. */
   remove(runner: string, blocks: readonly number[]): void {
     const known = this.#runners.get(runner);
     for (const block of blocks) known?.delete(block);
   }
 
-  /** A runner that was lost comes back with an empty cache. */
+  /** Clears the prediction for a runner that was lost, since it restarts with an empty cache. */
   forget(runner: string): void {
     this.#runners.delete(runner);
   }
--- a/src/core/cell/quantile.ts
+++ b/src/core/cell/quantile.ts
@@ -1,29 +1,31 @@
-/** Running estimate of a quantile of a drifting quantity, in constant memory. */
+/** Streaming estimate of a quantile of a non-stationary quantity, in constant memory. */
 
-/** Moves up after each value above the estimate and down after each below, in the ratio that balances at the quantile. */
+/** Increases the estimate after each value above it and decreases it after each other value, in the ratio whose equilibrium is the quantile. */
 export class RunningQuantile {
-  readonly #part: number;
+  readonly #quantile: number;
 
   readonly #step: number;
 
   #estimate: number;
 
   /**
-   * @param part the quantile, 0.9 for the value that nine in ten stay below
-   * @param step movement for each value, in the unit of the values
-   * @param start first estimate
+   * @param quantile fraction of the values below the estimate, such as 0.9
+   * @param step change of the estimate per value, in the unit of the values
+   * @param start initial estimate
    */
-  constructor(part: number, step: number, start: number) {
-    this.#part = part;
+  constructor(quantile: number, step: number, start: number) {
+    this.#quantile = quantile;
     this.#step = step;
     this.#estimate = start;
   }
 
+  /** Current estimate. */
   get value(): number {
     return this.#estimate;
   }
 
+  /** Updates the estimate with a new value. */
   observe(value: number): void {
-    this.#estimate += this.#step * (value > this.#estimate ? this.#part : this.#part - 1);
+    this.#estimate += this.#step * (value > this.#estimate ? this.#quantile : this.#quantile - 1);
   }
 }
--- a/src/core/cell/shares.ts
+++ b/src/core/cell/shares.ts
@@ -1,28 +1,28 @@
-/** Weighted fair queue between groups, work-conserving. */
+/** Work-conserving weighted fair queue of entries in groups. */
 
 import { FairShares } from '../fair';
 
-/** Read-only view of who waits. */
+/** Read-only view of the queue. */
 export interface Waiting {
-  /** Entries waiting in all groups. */
+  /** Number of entries in all groups. */
   readonly size: number;
-  /** Entries waiting in one group. */
+  /** Number of entries in one group. */
   waitingOf(group: string): number;
-  /** Entries that go before a new entry of this group, at the mean cost of an entry. */
+  /** Number of entries that would be served before a new entry of this group, assuming the mean cost per entry. */
   ahead(group: string): number;
 }
 
-/** Weight of the newest entry in the mean cost. */
-const MEAN_WEIGHT = 0.05;
+/** Weight of the newest entry in the moving average of the cost. */
+const NEWEST_WEIGHT = 0.05;
 
-interface Lane<T> {
+interface GroupQueue<T> {
   readonly name: string;
   readonly entries: T[];
 }
 
-/** Entries in groups; one entry at a time is offered and then taken. */
+/** Weighted fair queue: `peek` returns the next entry, `take` removes it and charges its cost. */
 export class FairQueue<T> implements Waiting {
-  readonly #lanes = new Map<string, Lane<T>>();
+  readonly #groups = new Map<string, GroupQueue<T>>();
 
   readonly #shares: FairShares;
 
@@ -31,8 +31,8 @@
   #meanCost = 0;
 
   /**
-   * @param weightOf share of a group against the others
-   * @param credit cost that a group may catch up after it was idle or below its share
+   * @param weightOf weight of a group relative to the others
+   * @param credit cost that a group may catch up on after it was idle or below its share
    */
   constructor(weightOf: (group: string) => number, credit: number) {
     this.#shares = new FairShares(weightOf, credit);
@@ -43,106 +43,107 @@
   }
 
   waitingOf(group: string): number {
-    return this.#lanes.get(group)?.entries.length ?? 0;
+    return this.#groups.get(group)?.entries.length ?? 0;
   }
 
   ahead(group: string): number {
     const own = this.waitingOf(group);
     const tag = this.#shares.tagOf(group) + this.#shares.stepOf(group, own * this.#meanCost);
     let count = own;
-    for (const lane of this.#lanes.values()) {
-      if (lane.name !== group) count += this.#startsBefore(lane, tag);
+    for (const queue of this.#groups.values()) {
+      if (queue.name !== group) count += this.#startsBefore(queue, tag);
     }
     return count;
   }
 
+  /** Appends an entry to its group. */
   push(group: string, entry: T): void {
-    this.#laneFor(group).entries.push(entry);
+    this.#groupQueueFor(group).entries.push(entry);
     this.#size += 1;
   }
 
-  /** Puts an entry back before the others of its group. */
+  /** Puts an entry back at the head of its group. */
   unshift(group: string, entry: T): void {
-    this.#laneFor(group).entries.unshift(entry);
+    this.#groupQueueFor(group).entries.unshift(entry);
     this.#size += 1;
   }
 
-  /** The entry whose turn it is. */
+  /** The next entry in scheduling order; undefined if the queue is empty. */
   peek(): T | undefined {
     return this.#next()?.entries[0];
   }
 
-  /** Takes the entry that `peek` shows and charges its cost to its group. */
+  /** Removes the entry that `peek` returns and charges its cost to its group; undefined if the queue is empty. */
   take(cost: number): T | undefined {
-    const lane = this.#next();
-    if (!lane) return undefined;
-    const entry = lane.entries.shift();
+    const queue = this.#next();
+    if (!queue) return undefined;
+    const entry = queue.entries.shift();
     this.#size -= 1;
-    this.#shares.charge(lane.name, cost);
-    this.#meanCost += MEAN_WEIGHT * (cost - this.#meanCost);
-    this.#dropEmpty(lane);
+    this.#shares.charge(queue.name, cost);
+    this.#meanCost += NEWEST_WEIGHT * (cost - this.#meanCost);
+    this.#removeIfEmpty(queue);
     return entry;
   }
 
-  /** Removes and returns every entry of which `gone` holds. */
-  removeWhere(gone: (entry: T) => boolean): readonly T[] {
+  /** Removes and returns all entries that match `matches`. */
+  removeWhere(matches: (entry: T) => boolean): readonly T[] {
     const removed: T[] = [];
-    for (const lane of [...this.#lanes.values()]) {
-      const kept = lane.entries.filter((entry) => !gone(entry));
-      if (kept.length < lane.entries.length) {
-        removed.push(...lane.entries.filter(gone));
-        lane.entries.splice(0, lane.entries.length, ...kept);
-        this.#dropEmpty(lane);
+    for (const queue of [...this.#groups.values()]) {
+      const kept = queue.entries.filter((entry) => !matches(entry));
+      if (kept.length < queue.entries.length) {
+        removed.push(...queue.entries.filter(matches));
+        queue.entries.splice(0, queue.entries.length, ...kept);
+        this.#removeIfEmpty(queue);
       }
     }
     this.#size -= removed.length;
     return removed;
   }
 
-  /** Removes one entry of a group. */
+  /** Removes one entry of a group; false if it is not queued there. */
   remove(group: string, entry: T): boolean {
-    const lane = this.#lanes.get(group);
-    const index = lane ? lane.entries.indexOf(entry) : -1;
-    if (!lane || index < 0) return false;
-    lane.entries.splice(index, 1);
+    const queue = this.#groups.get(group);
+    const index = queue ? queue.entries.indexOf(entry) : -1;
+    if (!queue || index < 0) return false;
+    queue.entries.splice(index, 1);
     this.#size -= 1;
-    this.#dropEmpty(lane);
+    this.#removeIfEmpty(queue);
     return true;
   }
 
-  /** Entries of a lane that start before a virtual time. */
-  #startsBefore({ name, entries }: Lane<T>, time: number): number {
+  /** Number of entries of a group whose virtual start time is before `time`. */
+  #startsBefore({ name, entries }: GroupQueue<T>, time: number): number {
     if (this.#meanCost <= 0) return entries.length;
     const step = this.#shares.stepOf(name, this.#meanCost);
     const started = Math.ceil((time - this.#shares.tagOf(name)) / step);
     return Math.max(0, Math.min(entries.length, started));
   }
 
-  #laneFor(group: string): Lane<T> {
-    const existing = this.#lanes.get(group);
+  #groupQueueFor(group: string): GroupQueue<T> {
+    const existing = this.#groups.get(group);
     if (existing) return existing;
-    const lane: Lane<T> = { name: group, entries: [] };
-    this.#lanes.set(group, lane);
+    const queue: GroupQueue<T> = { name: group, entries: [] };
+    this.#groups.set(group, queue);
     this.#shares.enter(group);
-    return lane;
+    return queue;
   }
 
-  #next(): Lane<T> | undefined {
-    let best: Lane<T> | undefined;
-    let least = Infinity;
-    for (const lane of this.#lanes.values()) {
-      const tag = this.#shares.tagOf(lane.name);
-      if (!best || tag < least) {
-        best = lane;
-        least = tag;
+  #next(): GroupQueue<T> | undefined {
+    let best: GroupQueue<T> | undefined;
+    let leastTag = Infinity;
+    for (const queue of this.#groups.values()) {
+      const tag = this.#shares.tagOf(queue.name);
+      if (!best || tag < leastTag) {
+        best = queue;
+        leastTag = tag;
       }
     }
     return best;
   }
 
-  #dropEmpty(lane: Lane<T>): void {
-    if (lane.entries.length > 0) return;
-    this.#lanes.delete(lane.name);
-    this.#shares.leave(lane.name);
+  #removeIfEmpty(queue: GroupQueue<T>): void {
+    if (queue.entries.length > 0) return;
+    this.#groups.delete(queue.name);
+    this.#shares.leave(queue.name);
   }
 }
--- a/src/core/cell/start.ts
+++ b/src/core/cell/start.ts
@@ -1,4 +1,4 @@
-/** When a prefill may start, given that its result needs a decode slot soon after. */
+/** Rules for when a prefill may start, given that its result needs a decode slot soon afterwards. */
 
 import { chanceOfAtLeast, expectReleases } from './forecast';
 import type { CellView } from './view';
@@ -6,19 +6,19 @@
 /** A rule for starting prefills. */
 export interface StartRule {
   /**
-   * @param readyInMs time until the prefill would be done
-   * @returns whether to start it now
+   * @param readyInMs time until the prefill would be finished, in milliseconds
+   * @returns whether to start the prefill now
    */
   mayStart(now: number, view: CellView, readyInMs: number): boolean;
 }
 
-/** Part of the time a result is kept that may be counted on; the rest covers messages and report lag. */
-const KEEP_MARGIN = 0.75;
+/** Fraction of the retention time of a result that the rule relies on; the rest covers message and report delays. */
+const USABLE_KEEP_FRACTION = 0.75;
 
 /**
- * Starts a prefill when a slot will probably be free before its result is
- * evicted. The threshold is the critical fractile of the two costs: prefill
- * thrown away against a slot left idle.
+ * Starts a prefill when a decode slot will probably be free before its result is
+ * evicted. The probability threshold is the critical fractile of the two costs:
+ * discarded prefill work against an idle slot.
  */
 export class DecodeFirst implements StartRule {
   mayStart(now: number, view: CellView, readyInMs: number): boolean {
@@ -26,12 +26,12 @@
     if (missing <= 0) return true;
     const { goodputWeight, wasteWeight, keepMs } = view.policy;
     const threshold = wasteWeight / (wasteWeight + goodputWeight);
-    const releases = expectReleases(now, view, readyInMs + keepMs * KEEP_MARGIN);
+    const releases = expectReleases(now, view, readyInMs + keepMs * USABLE_KEEP_FRACTION);
     return chanceOfAtLeast(releases, missing) >= threshold;
   }
 }
 
-/** Baseline: starts at once and waits for a slot afterwards. */
+/** Baseline: starts every prefill immediately and waits for a decode slot afterwards. */
 export class AtOnce implements StartRule {
   mayStart(): boolean {
     return true;
--- a/src/core/cell/transfer.ts
+++ b/src/core/cell/transfer.ts
@@ -1,4 +1,4 @@
-/** Controller of transfers: gives finished prefills a decode slot and their turn on the link. */
+/** Transfer controller: assigns a decode slot and a link to each finished prefill. */
 
 import type { CellBoard } from './board';
 import type { Entry } from './entry';
@@ -6,69 +6,69 @@
 import { avoiding, freeOf } from './places';
 import type { Placement } from './placement';
 
-/** Writes decode slots and links. */
+/** Assigns decode slots and links. */
 export class TransferController {
-  readonly #board: CellBoard;
+  readonly #state: CellBoard;
 
   readonly #placement: Placement;
 
-  constructor(board: CellBoard, placement: Placement) {
-    this.#board = board;
+  constructor(state: CellBoard, placement: Placement) {
+    this.#state = state;
     this.#placement = placement;
   }
 
-  /** Sends what can be sent, the result that is evicted first before the others. */
+  /** Starts all transfers that are possible, the results with the earliest eviction first. */
   sendAll(now: number): void {
-    const { prefilled } = this.#board;
+    const { prefilled } = this.#state;
     if (prefilled.size === 0) return;
-    const urgent = [...prefilled].sort((a, b) => a.keptUntil - b.keptUntil);
-    for (const entry of urgent) this.#send(now, entry);
+    const byEviction = [...prefilled].sort((a, b) => a.keptUntil - b.keptUntil);
+    for (const entry of byEviction) this.#start(now, entry);
   }
 
-  /** The first token is out: the link is free again. */
+  /** Handles the first token of a request: its transfer is complete, so the link is released. */
   started(now: number, id: string): void {
-    const board = this.#board;
-    const entry = board.requests.get(id);
+    const state = this.#state;
+    const entry = state.requests.get(id);
     if (entry?.stage !== 'transferring') return;
-    board.endTransfer(entry);
-    if (entry.decodeRunner !== undefined) board.health.succeeded(entry.decodeRunner);
+    state.endTransfer(entry);
+    if (entry.decodeRunner !== undefined) state.health.succeeded(entry.decodeRunner);
     if (entry.resumedAt === 0) {
-      board.margins.observe(entry.arrival.team, entry.forecastMs, now - entry.arrivedAt);
+      state.margins.observe(entry.arrival.team, entry.forecastMs, now - entry.arrivedAt);
     }
     entry.stage = 'decoding';
     entry.since = now;
-    board.decoding.add(entry);
+    state.decoding.add(entry);
   }
 
-  #send(now: number, entry: Entry): void {
-    const board = this.#board;
-    const source = board.sourceOf(entry);
-    if (!source || board.places.linkBusy(source.runner.link)) return;
-    const target = this.#choose(now, entry);
+  #start(now: number, entry: Entry): void {
+    const state = this.#state;
+    const source = state.sourceOf(entry);
+    if (!source || state.places.linkBusy(source.runner.link)) return;
+    const target = this.#selectRunner(now, entry);
     if (!target) return;
     const { id, promptTokens } = entry.arrival;
     const runner = target.runner.id;
-    board.prefilled.delete(entry);
-    board.promised -= 1;
+    state.prefilled.delete(entry);
+    state.promised -= 1;
     entry.stage = 'transferring';
     entry.since = now;
     entry.decodeRunner = runner;
     entry.batch = target.held + target.foreign + 1;
-    board.places.holdSlot(runner, now, promptTokens);
-    board.places.holdLink(source.runner.link);
-    board.health.given(now, runner);
-    board.emit({ kind: 'decode', id, runner, source: source.runner.id });
+    state.places.holdSlot(runner, now, promptTokens);
+    state.places.holdLink(source.runner.link);
+    state.health.given(now, runner);
+    state.emit({ kind: 'decode', id, runner, source: source.runner.id });
   }
 
-  #choose(now: number, entry: Entry): DecodePlace | undefined {
-    const board = this.#board;
-    const needed = entry.arrival.promptTokens + board.outputs.mean;
-    const able = board.places.decodeRunners.filter(
-      (place) =>
-        freeOf(place) > 0 &&
-        place.heldTokens + needed <= place.runner.memoryTokens &&
-        board.health.allows(now, place.runner.id),
+  #selectRunner(now: number, entry: Entry): DecodePlace | undefined {
+    const state = this.#state;
+    const needed = entry.arrival.promptTokens + state.outputs.mean;
+    const candidates = state.places.decodeRunners.filter(
+      (load) =>
+        freeOf(load) > 0 &&
+        load.heldTokens + needed <= load.runner.memoryTokens &&
+        state.health.allows(now, load.runner.id),
     );
-    return this.#placement.decode(now, board, entry.arrival, avoiding(able, entry.avoid));
+    return this.#placement.decode(now, state, entry.arrival, avoiding(candidates, entry.avoid));
   }
 }
--- a/src/core/cell/types.ts
+++ b/src/core/cell/types.ts
@@ -1,52 +1,52 @@
-/** Types of a cell: the bounded set of runners of one service that one scheduler plans. */
+/** Types of a cell: the bounded set of runners of one service that one scheduler assigns work to. */
 
 import type { CodeName } from '../codes';
 
-/** What a runner does: `prefill` and `decode` of a model, or `plain` calls. */
+/** Work that a runner does: `prefill` or `decode` for a model, or `plain` calls. */
 export type RunnerRole = 'prefill' | 'decode' | 'plain';
 
-/** A runner as the operators' settings describe it. */
+/** A runner, as described in the operators' settings. */
 export interface Runner {
   readonly id: string;
   readonly role: RunnerRole;
   readonly domain: string;
-  /** Requests it runs at once. */
+  /** Maximum number of requests it runs concurrently. */
   readonly slots: number;
-  /** KV cache it holds, in tokens. */
+  /** KV cache capacity, in tokens. */
   readonly memoryTokens: number;
-  /** Name of the link its KV cache leaves by. */
+  /** Name of the network link over which its KV cache is transferred to other runners. */
   readonly link: string;
 }
 
-/** How urgent a request is; `interactive` goes before `batch`. */
+/** Urgency of a request; `interactive` goes before `batch`. */
 export type Tier = 'interactive' | 'batch';
 
-/** A request for a place. Times are milliseconds on the clock of the owner. */
+/** A request to be scheduled. Times are milliseconds on the owner's clock. */
 export interface Arrival {
   readonly id: string;
   readonly team: string;
   readonly tier: Tier;
   readonly promptTokens: number;
-  /** Most output tokens the caller accepts. */
+  /** Maximum number of output tokens the caller accepts. */
   readonly maxTokens: number;
-  /** When the first token is due. */
+  /** Time by which the first token is due. */
   readonly deadline: number;
   /** Prefix block hashes, first block first. */
   readonly blocks: readonly number[];
-  /** The same for all attempts of one request. Default: its gateway tells none. */
+  /** Identical for all attempts of one request; undefined if the gateway sends none. */
   readonly fingerprint?: string | undefined;
 }
 
-/** What a runner last said of itself; always late. */
+/** Load reported by a runner. It is always delayed. */
 export interface LoadReport {
   readonly runner: string;
-  /** When the runner looked. */
+  /** Time of the measurement at the runner. */
   readonly asOf: number;
   readonly running: number;
   readonly leaving: boolean;
 }
 
-/** What happened, as told to the cell. */
+/** An event that the cell processes. */
 export type CellEvent =
   | { readonly kind: 'arrived'; readonly arrival: Arrival }
   | {
@@ -62,7 +62,7 @@
       readonly id: string;
       readonly runner: string;
       readonly reason: FailureReason;
-      /** Output tokens the caller has already. */
+      /** Output tokens that the caller has already received. */
       readonly tokens: number;
     }
   | { readonly kind: 'cancelled'; readonly id: string }
@@ -76,17 +76,18 @@
     }
   | { readonly kind: 'runners'; readonly runners: readonly Runner[] }
   | { readonly kind: 'policy'; readonly policy: CellPolicy }
-  /** Runners whose VM leaves by the platform's list, or that operators drain. */
+  /** Runners whose VM the platform lists as leaving, or that operators drain. */
   | { readonly kind: 'departing'; readonly runners: readonly string[] }
   | { readonly kind: 'woke' };
 
 /**
- * Why a runner did not finish a step. `full` and `evicted` are its own word that it ran
- * nothing; no connection to an `unreachable` one came about; of a `lost` one nothing is known.
+ * Why a runner did not finish a step. With `full` and `evicted` the runner itself reports that
+ * it ran nothing, with `leaving` it refuses work because it is leaving, with `unreachable` no
+ * connection was established, and with `lost` the outcome is unknown.
  */
 export type FailureReason = 'full' | 'evicted' | 'leaving' | 'unreachable' | 'lost';
 
-/** A request that ran under an earlier owner and is told to the new one. */
+/** A request that ran under a previous owner, as reported to the new one. */
 export interface Adoption {
   readonly arrival: Arrival;
   readonly stage: 'prefilling' | 'prefilled' | 'decoding';
@@ -94,7 +95,7 @@
   readonly decodeRunner: string | undefined;
 }
 
-/** What the cell wants done. */
+/** An action that the cell's host carries out. */
 export type CellAction =
   | { readonly kind: 'prefill'; readonly id: string; readonly runner: string }
   | {
@@ -115,24 +116,24 @@
 export interface CellPolicy {
   /** Weight of a request completed within its targets. */
   readonly goodputWeight: number;
-  /** Weight of prefill work thrown away. */
+  /** Weight of prefill work that is discarded. */
   readonly wasteWeight: number;
-  /** Target between tokens, in milliseconds. */
+  /** Target time between tokens, in milliseconds. */
   readonly tokenTargetMs: number;
-  /** Requests that may wait. */
+  /** Maximum number of queued requests. */
   readonly queueLimit: number;
   /** How long an engine keeps a finished prefill, in milliseconds. */
   readonly keepMs: number;
-  /** First guess at prefill cost, corrected by outcomes: milliseconds. */
+  /** Initial estimate of the prefill cost (fixed and per token), in milliseconds; corrected by observed outcomes. */
   readonly prefillBaseMs: number;
   readonly prefillTokenMs: number;
   /** Link rate in tokens of KV cache per millisecond. */
   readonly linkTokensPerMs: number;
-  /** First guess at time between tokens: base plus this much for each request in the batch. */
+  /** Initial estimate of the time between tokens, in milliseconds: a base plus an amount for each request in the batch. */
   readonly decodeBaseMs: number;
   readonly decodeSlotMs: number;
-  /** First guess at output tokens. */
+  /** Initial estimate of the output tokens of a request. */
   readonly outputTokens: number;
-  /** Weights of teams; a team that is not named has weight 1. */
+  /** Weights of teams; a team that is not listed has weight 1. */
   readonly shares: Readonly<Record<string, number>>;
 }
--- a/src/core/cell/view.ts
+++ b/src/core/cell/view.ts
@@ -1,4 +1,4 @@
-/** The cell's blackboard: sections that one controller writes each and all may read. */
+/** Read-only view of a cell's state, for its policies. */
 
 import type { Costs } from './costs';
 import type { Health } from './health';
@@ -9,38 +9,38 @@
 import type { Waiting } from './shares';
 import type { Arrival, CellPolicy } from './types';
 
-/** How far a request has come. */
+/** Processing stage of a request. */
 export type Stage = 'queued' | 'prefilling' | 'prefilled' | 'transferring' | 'decoding';
 
 /** A request inside the cell. */
 export interface CellRequest {
   readonly arrival: Arrival;
   readonly stage: Stage;
-  /** When the stage began. */
+  /** Start time of the stage. */
   readonly since: number;
   readonly prefillRunner: string | undefined;
   readonly decodeRunner: string | undefined;
-  /** Prompt blocks found in the cache, as predicted when the prefill was given. */
+  /** Prompt blocks predicted to be cached when the prefill was assigned. */
   readonly hitBlocks: number;
-  /** What admission forecast for the first token, in milliseconds from the arrival. */
+  /** Time of the first token that was forecast at admission, in milliseconds after the arrival. */
   readonly forecastMs: number;
-  /** When the request came in. */
+  /** Arrival time of the request. */
   readonly arrivedAt: number;
-  /** Whether any runner was sent this request: after that, a refusal is not "not run". */
+  /** Whether the request was ever sent to a runner. A later refusal cannot say "not run". */
   readonly sent: boolean;
-  /** When the runner evicts the finished prefill. */
+  /** Time at which the runner evicts the finished prefill. */
   readonly keptUntil: number;
-  /** Runner that failed this request last; it is tried last. */
+  /** Runner that last failed this request; it is only chosen if there is no other. */
   readonly avoid: string | undefined;
-  /** Output tokens the caller has from earlier runners. */
+  /** Number of output tokens that the caller has received from previous runners. */
   readonly resumedAt: number;
-  /** Output length up to which the request has been counted in the learnt distribution. */
+  /** Output length up to which the request is recorded in the learnt distribution, in tokens. */
   readonly countedTokens: number;
-  /** Batch that the request joined, for learning time between tokens. */
+  /** Size of the batch that the request joined, for learning the time between tokens. */
   readonly batch: number;
 }
 
-/** Everything a policy may look at. */
+/** State that a policy may read. */
 export interface CellView {
   readonly policy: CellPolicy;
   readonly places: Places;
@@ -49,11 +49,11 @@
   readonly waiting: Waiting;
   readonly prefixes: Prefixes;
   readonly health: Health;
-  /** Requests that hold a decode slot and stream. */
+  /** Requests that are decoding. */
   readonly decoding: Iterable<CellRequest>;
-  /** Prefills given or finished whose request holds no decode slot yet. */
+  /** Number of requests whose prefill is assigned or finished and that have no decode slot yet. */
   readonly promised: number;
   readonly margins: ForecastMargins;
-  /** Fading mean of prefill cost after cache hits, in milliseconds. */
+  /** Exponential moving average of the prefill cost after cache hits, in milliseconds. */
   readonly meanPrefillMs: number;
 }
--- a/src/core/ledger/shard.ts
+++ b/src/core/ledger/shard.ts
@@ -1,16 +1,16 @@
 /**
- * One shard of the run ledger: claims and outcomes of non-idempotent calls, as a
- * single value in the key-value service.
+ * One shard of the run ledger: claims and outcomes of non-idempotent calls, stored as
+ * a single value in the key-value service.
  *
- * Safety rests on compare-and-swap alone. Two schedulers that both believe to
- * own a shard cost conflicts, never a second run.
+ * Safety depends on compare-and-swap alone. Two schedulers that both act as owner of a
+ * shard cause write conflicts, never a second run.
  */
 
 import { createHash } from 'node:crypto';
 
 import { z } from 'zod';
 
-/** An answer kept for replay. */
+/** The answer to a call, kept for replay. */
 export interface Outcome {
   readonly status: number;
   readonly contentType: string;
@@ -20,13 +20,13 @@
 /** A claim to run a call. */
 export interface Claim {
   readonly key: string;
-  /** Names this attempt; tells our own claim from another's when an answer was lost. */
+  /** Identifies this attempt, so that a scheduler recognizes its own claim after the answer to the write was lost. */
   readonly nonce: string;
-  /** Fingerprint of the request, so that a key cannot stand for two. */
+  /** Fingerprint of the request, so that a key cannot be used for two different requests. */
   readonly fingerprint: string;
 }
 
-/** What a claim met. */
+/** Result of a claim. */
 export type ClaimResult =
   | { readonly kind: 'claimed' }
   | { readonly kind: 'running' }
@@ -37,14 +37,14 @@
 /** A change to a shard. */
 export type ShardChange =
   | { readonly kind: 'claim'; readonly claim: Claim; readonly at: number }
-  /** The outcome of the claim with this nonce. */
+  /** Stores the outcome of the claim with this nonce. */
   | {
       readonly kind: 'settle';
       readonly key: string;
       readonly nonce: string;
       readonly outcome: Outcome;
     }
-  /** Takes a claim back of which it is proven that nothing ran. */
+  /** Removes the claim with this nonce, after it is certain that the call did not run. */
   | { readonly kind: 'withdraw'; readonly key: string; readonly nonce: string };
 
 const entrySchema = z.object({
@@ -57,23 +57,23 @@
 
 type Entry = z.infer<typeof entrySchema>;
 
-/** How long entries are kept, in milliseconds; a key may be used again after that. */
+/** Retention time of entries, in milliseconds; afterwards a key may be reused. */
 export const RETENTION_MS = 24 * 3600 * 1000;
-/** Time after its claim in which a call may be dispatched, in milliseconds; far below the retention. */
+/** Time after its claim within which a call may be dispatched, in milliseconds; far shorter than the retention time. */
 export const DISPATCH_LIMIT_MS = 30_000;
-/** Largest value, in bytes; the service takes a megabyte. */
+/** Maximum size of a stored value, in bytes; the key-value service accepts one megabyte. */
 export const SHARD_LIMIT_BYTES = 900_000;
-/** Largest answer kept for replay, in bytes. */
+/** Maximum size of an answer kept for replay, in bytes. */
 export const OUTCOME_LIMIT_BYTES = 8192;
-/** Estimated bytes of an entry without its outcome. */
+/** Estimated size of an entry without its key and outcome, in bytes. */
 const ENTRY_BYTES = 120;
 
-/** Short name of a team's key; it tells the store's readers nothing. */
+/** Hash of a team's key, which is short and does not reveal the key to readers of the store. */
 export function ledgerKey(team: string, key: string): string {
   return createHash('sha256').update(`${team}\0${key}`).digest('base64url').slice(0, 22);
 }
 
-/** Values over which the ledger is spread. Fixed, since two VMs that disagreed would each claim the same call. */
+/** Number of shards of the ledger. It is fixed, since two VMs with different numbers could both claim the same call. */
 export const LEDGER_SHARDS = 16;
 
 /** Shard number of a ledger key. */
@@ -85,7 +85,7 @@
   return ENTRY_BYTES + key.length + (entry.o ? entry.o.b.length + entry.o.c.length : 0);
 }
 
-/** The content of one shard. */
+/** Content of one shard. */
 export class LedgerShard {
   readonly #entries: Map<string, Entry>;
 
@@ -98,29 +98,31 @@
     for (const [key, entry] of entries) this.#bytes += sizeOf(key, entry);
   }
 
-  /** Reads a stored value; undefined is an empty shard. */
+  /** Parses a stored value; undefined is an empty shard. Throws if the value is malformed. */
   static parse(value: string | undefined): LedgerShard {
     if (value === undefined || value === '') return new LedgerShard(new Map());
     const { entries } = shardSchema.parse(JSON.parse(value));
     return new LedgerShard(new Map(Object.entries(entries)));
   }
 
-  /** Whether the content differs from what was read. */
+  /** Whether the content differs from the parsed value. */
   get changed(): boolean {
     return this.#changed;
   }
 
+  /** Serializes the content for the store. */
   toString(): string {
     return JSON.stringify({ entries: Object.fromEntries(this.#entries) });
   }
 
-  /** Drops what is past its retention. */
+  /** Removes entries past their retention time. `now` is in milliseconds. */
   prune(now: number): void {
     for (const [key, entry] of this.#entries) {
       if (entry.t + RETENTION_MS < now) this.#delete(key, entry);
     }
   }
 
+  /** Applies a change. Only claims have a meaningful result; a change with an unknown key or another nonce has no effect. */
   apply(change: ShardChange): ClaimResult {
     if (change.kind === 'claim') return this.#claim(change.claim, change.at);
     const entry = this.#entries.get(change.key);
@@ -143,7 +145,7 @@
 
   #add(key: string, entry: Entry): ClaimResult {
     const size = sizeOf(key, entry);
-    // Room for the outcome is taken with the claim: an outcome that did not fit could never be replayed.
+    // The claim requires space for its outcome too: an outcome that did not fit could never be replayed.
     if (this.#bytes + size + OUTCOME_LIMIT_BYTES > SHARD_LIMIT_BYTES) return { kind: 'full' };
     this.#entries.set(key, entry);
     this.#bytes += size;
--- a/src/core/registry/keys.ts
+++ b/src/core/registry/keys.ts
@@ -1,8 +1,8 @@
 /**
- * Registry of request keys, in memory at the key's owner. It brings a second
- * attempt of an idempotent request to the first one's answer, so that one
- * request is worked on once. Its loss costs a second run of an idempotent
- * request; what may not run twice goes through the run ledger.
+ * In-memory registry of request keys at the owner of the keys. It connects repeated
+ * attempts of an idempotent request to the first attempt's answer, so that the request
+ * runs only once. If the registry is lost, an idempotent request may run a second time;
+ * requests that must not run twice use the run ledger.
  */
 
 /** A finished answer, kept for replay. */
@@ -11,22 +11,22 @@
   readonly tokens: number;
 }
 
-/** Where a request that was under way streams on its runner, so that another gateway can go on with it. */
+/** Location of a running request's stream at its runner, so that another gateway can continue it. */
 export interface StreamPlace {
   readonly runner: string;
-  /** Id under which the runner knows the request. */
+  /** Id of the run at the runner. */
   readonly runId: string;
   /**
-   * Tokens of the answer that came from earlier runs. The runner's stream begins
-   * behind them, so a gateway that does not have them cannot go on from it.
+   * Number of tokens of the answer that previous runs produced. The runner's stream starts
+   * after them, so a gateway without these tokens cannot continue the answer from it.
    */
   readonly base: number;
 }
 
-/** What a new attempt is told. */
+/** Result of registering an attempt. */
 export type Attempt =
   | { readonly kind: 'fresh' }
-  /** Another gateway works on it; its stream can be read there. */
+  /** Another gateway processes the request; its stream can be read there. `place` is undefined expiresAt the run's location is known. */
   | {
       readonly kind: 'running';
       readonly gateway: string;
@@ -42,15 +42,15 @@
   id: string;
   place: StreamPlace | undefined;
   answer: FinishedAnswer | undefined;
-  until: number;
+  expiresAt: number;
 }
 
-/** How long a finished answer is kept, in milliseconds. */
+/** Retention time of a finished answer, in milliseconds. */
 export const REPLAY_MS = 60_000;
-/** How long an unfinished attempt is remembered, in milliseconds. */
-const RUNNING_MS = 600_000;
-/** Bytes of answers kept at most. */
-const ANSWER_BYTES_LIMIT = 32 * 1024 * 1024;
+/** Retention time of an unfinished attempt, in milliseconds. */
+const RUNNING_RETENTION_MS = 600_000;
+/** Maximum total size of the kept answers, in bytes. */
+const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
 
 /** The registry of one scheduler. */
 export class KeyRegistry {
@@ -60,17 +60,19 @@
 
   #bytes = 0;
 
+  /** @param limit number of entries above which finished answers are evicted */
   constructor(limit: number) {
     this.#limit = limit;
   }
 
+  /** Number of entries. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Registers an attempt, or tells where the request already is. */
+  /** Registers an attempt, or returns where the request is already running or its answer. */
   attempt(now: number, key: string, fingerprint: string, gateway: string, id: string): Attempt {
-    const entry = this.#live(now, key);
+    const entry = this.#findLive(now, key);
     if (!entry) {
       this.#entries.set(key, {
         fingerprint,
@@ -78,7 +80,7 @@
         id,
         place: undefined,
         answer: undefined,
-        until: now + RUNNING_MS,
+        expiresAt: now + RUNNING_RETENTION_MS,
       });
       this.#evict();
       return { kind: 'fresh' };
@@ -88,13 +90,13 @@
     return { kind: 'running', gateway: entry.gateway, id: entry.id, place: entry.place };
   }
 
-  /** Notes where the running attempt streams. */
+  /** Records the stream location of the running attempt. */
   locate(key: string, id: string, place: StreamPlace): void {
     const entry = this.#entries.get(key);
     if (entry?.id === id) entry.place = place;
   }
 
-  /** Gives a running request to a new attempt, if it still belongs to the old one. */
+  /** Reassigns a running request from attempt `from` to a new one; false if it no longer belongs to `from`. */
   transfer(key: string, from: string, gateway: string, id: string): boolean {
     const entry = this.#entries.get(key);
     if (!entry || entry.answer || entry.id !== from) return false;
@@ -103,39 +105,40 @@
     return true;
   }
 
+  /** Stores the finished answer of the attempt that runs the request. */
   conclude(now: number, key: string, id: string, answer: FinishedAnswer): void {
     const entry = this.#entries.get(key);
     if (entry?.id !== id || entry.answer) return;
     entry.answer = answer;
-    entry.until = now + REPLAY_MS;
+    entry.expiresAt = now + REPLAY_MS;
     this.#bytes += answer.text.length;
     this.#entries.delete(key);
     this.#entries.set(key, entry);
     this.#evict();
   }
 
-  /** Forgets an attempt that ended without an answer, so that the next one is fresh. */
+  /** Removes an attempt that ended without an answer, so that the next one runs the request. */
   abandon(key: string, id: string): void {
     const entry = this.#entries.get(key);
     if (entry && !entry.answer && entry.id === id) this.#delete(key, entry);
   }
 
-  /** Forgets what is past its time. */
+  /** Removes expired entries. */
   expire(now: number): void {
-    for (const [key, entry] of this.#entries) if (entry.until <= now) this.#delete(key, entry);
+    for (const [key, entry] of this.#entries) if (entry.expiresAt <= now) this.#delete(key, entry);
   }
 
-  #live(now: number, key: string): Entry | undefined {
+  #findLive(now: number, key: string): Entry | undefined {
     const entry = this.#entries.get(key);
-    if (!entry || entry.until > now) return entry;
+    if (!entry || entry.expiresAt > now) return entry;
     this.#delete(key, entry);
     return undefined;
   }
 
-  /** Finished answers go before running attempts, oldest first. */
+  /** Evicts finished answers, oldest first, expiresAt the limits are met. Running attempts are never evicted. */
   #evict(): void {
     for (const [key, entry] of this.#entries) {
-      if (this.#entries.size <= this.#limit && this.#bytes <= ANSWER_BYTES_LIMIT) return;
+      if (this.#entries.size <= this.#limit && this.#bytes <= MAX_ANSWER_BYTES) return;
       if (entry.answer) this.#delete(key, entry);
     }
   }
--- a/src/core/settings/book.ts
+++ b/src/core/settings/book.ts
@@ -1,6 +1,6 @@
 /**
- * The settings in force on this process: every document by its highest revision.
- * A lower revision never replaces a higher one, wherever it comes from.
+ * Settings documents in force in this process, each at its highest known revision. A
+ * lower revision never replaces a higher one, regardless of its source.
  */
 
 import { createHash } from 'node:crypto';
@@ -10,52 +10,56 @@
 import { CONSORTIUM, TEAM_PREFIX, parseDocument } from './parse';
 import type { Consortium, Pool, Service, TeamDocument } from './schema';
 
-/** A document as it is stored and passed on. */
+/** A document as it is stored and sent between processes. */
 export interface StoredDocument {
   readonly path: string;
-  /** Grows by one with each write. */
+  /** Incremented by each write. */
   readonly revision: number;
-  /** JSON with comments, or null once deleted. */
+  /** JSON with comments; null if the document was deleted. */
   readonly text: string | null;
 }
 
-/** What became of a document that was offered. */
+/** Result of applying a document. */
 export type Applied =
   | { readonly kind: 'applied' }
   | { readonly kind: 'known' }
-  /** It is older than what is in force: a store that lost writes, or a late message. */
+  /** It is older than the revision in force: the store lost writes, or the message was delayed. */
   | { readonly kind: 'older'; readonly inForce: number }
-  /** It does not fit the schema: the last good one stays in force. */
+  /** It does not match the schema; the last valid revision stays in force. */
   | { readonly kind: 'malformed'; readonly detail: string };
 
-/** Read-only view of the settings. */
+/** Read-only view of the settings in force. Documents, teams, services and pools that are not configured are undefined. */
 export interface Settings {
   readonly consortium: Consortium | undefined;
-  /** Equal digests mean equal documents in force. */
+  /** Hash of the paths and revisions in force; equal digests mean equal documents. */
   readonly digest: string;
+  /** Revision of a document in force; 0 if there is none. */
   revisionOf(path: string): number;
   document(path: string): StoredDocument | undefined;
   team(name: string): TeamDocument | undefined;
+  /** A team's service; undefined also if the team may not use its pool. */
   service(team: string, name: string): Service | undefined;
   pool(name: string): Pool | undefined;
-  /** Team to which a token belongs. */
+  /** Team to which a token belongs; undefined if the token is unknown. */
   teamOf(token: string): string | undefined;
+  /** Whether a token may write the consortium's document. */
   isOperator(token: string): boolean;
-  /** Documents of which `known` has an older revision or none. */
+  /** Documents that are missing in `known` or have an older revision there. */
   newerThan(known: Readonly<Record<string, number>>): readonly StoredDocument[];
+  /** Revisions in force by path. */
   readonly revisions: Readonly<Record<string, number>>;
 }
 
-/** SHA-256 of a token, as it stands in settings. */
+/** SHA-256 of a token in hexadecimal, as configured in the settings. */
 export function hashToken(token: string): string {
   return createHash('sha256').update(token).digest('hex');
 }
 
-/** The settings themselves; only their controller writes to them. */
+/** Holds the settings in force. Only the settings controller modifies it. */
 export class SettingsBook implements Settings {
   readonly #stored = new Map<string, StoredDocument>();
 
-  /** Highest revision seen, malformed ones included, so that they are not parsed again. */
+  /** Highest revision seen of each document, including malformed ones, so that these are not parsed again. */
   readonly #seen = new Map<string, number>();
 
   readonly #teams = new Map<string, TeamDocument>();
@@ -96,7 +100,7 @@
   service(team: string, name: string): Service | undefined {
     const services = this.#teams.get(team)?.services;
     const service = services && Object.hasOwn(services, name) ? services[name] : undefined;
-    // A team may write any pool's name into its settings; the consortium says who may use it.
+    // A team can name any pool in its settings; the consortium's document determines which teams may use a pool.
     const allowed = service && this.pool(service.pool)?.teams.includes(team);
     return allowed ? service : undefined;
   }
@@ -118,7 +122,7 @@
     return [...this.#stored.values()].filter(({ path, revision }) => revision > (known[path] ?? 0));
   }
 
-  /** Puts a document in force if it is newer and well-formed. */
+  /** Puts a document in force if it is newer than the known revision and valid. */
   apply(offered: StoredDocument): Applied {
     const inForce = this.revisionOf(offered.path);
     if (offered.revision < inForce) return { kind: 'older', inForce };
@@ -127,7 +131,7 @@
     }
     this.#seen.set(offered.path, offered.revision);
     try {
-      this.#install(offered);
+      this.#activate(offered);
     } catch (error) {
       return { kind: 'malformed', detail: toFailure(error).line };
     }
@@ -136,7 +140,7 @@
     return { kind: 'applied' };
   }
 
-  #install({ path, text }: StoredDocument): void {
+  #activate({ path, text }: StoredDocument): void {
     if (text === null) {
       this.#remove(path);
       return;
--- a/src/core/settings/envelope.ts
+++ b/src/core/settings/envelope.ts
@@ -1,4 +1,4 @@
-/** How a settings document is stored under its key, and how an edit of it is made. */
+/** Storage format and editing of settings documents. */
 
 import { applyEdits, modify } from 'jsonc-parser';
 import { z } from 'zod';
@@ -7,12 +7,12 @@
 import type { StoredDocument } from './book';
 import { CONSORTIUM, TEAM_PREFIX, parseText } from './parse';
 
-/** Keys of settings documents start with this. */
+/** Prefix of the keys of settings documents in the store. */
 export const SETTINGS_PREFIX = 'settings/';
 
 const envelopeSchema = z.object({
   revision: z.int().positive(),
-  /** Names the write, so that its writer can tell whether it took effect when the answer was lost. */
+  /** Identifies the write, so that its writer can determine whether it took effect when the answer was lost. */
   nonce: z.string(),
   text: z.string().nullable(),
 });
@@ -20,7 +20,7 @@
 /** A document as it is stored. */
 export type Envelope = Readonly<z.infer<typeof envelopeSchema>>;
 
-/** Reads a stored value; undefined if somebody wrote something else under the key. */
+/** Parses a stored value; undefined if it is not an envelope. */
 export function parseEnvelope(value: string): Envelope | undefined {
   try {
     return envelopeSchema.parse(JSON.parse(value));
@@ -29,7 +29,7 @@
   }
 }
 
-/** The document in a stored value. */
+/** Converts the envelope stored under a key to its document. */
 export function toDocument(key: string, envelope: Envelope): StoredDocument {
   return {
     path: key.slice(SETTINGS_PREFIX.length),
@@ -38,19 +38,20 @@
   };
 }
 
-/** A path split into its document and the place inside it. */
+/** An operator's path, split into the path of a document and the keys inside the document. */
 export interface Target {
   readonly path: string;
   readonly inside: readonly string[];
 }
 
-/** Splits an operator's path: `teams/dosel/services/tiles` is `services.tiles` in `teams/dosel`. */
+/** Splits an operator's path: `teams/dosel/services/tiles` is `services.tiles` in `teams/dosel`. Throws `settingsNotFound` if it does not start with a document's path. */
 export function splitPath(path: string): Target {
   const parts = path.split('/').filter((part) => part !== '');
   const length = parts[0] === CONSORTIUM ? 1 : 2;
   const document = parts.slice(0, length).join('/');
-  const known = document === CONSORTIUM || (document.startsWith(TEAM_PREFIX) && parts.length >= 2);
-  if (!known) {
+  const isDocument =
+    document === CONSORTIUM || (document.startsWith(TEAM_PREFIX) && parts.length >= 2);
+  if (!isDocument) {
     throw new Failure(
       'settingsNotFound',
       `found '${path}', expected ${CONSORTIUM}/… or ${TEAM_PREFIX}NAME/…`,
@@ -59,7 +60,7 @@
   return { path: document, inside: parts.slice(length) };
 }
 
-/** Puts a value at a place inside a document and keeps the comments around it. */
+/** Sets the value at the keys `inside` in a document's text and keeps its comments. An undefined value removes the key. */
 export function editText(text: string, inside: readonly string[], value: unknown): string {
   const edits = modify(text === '' ? '{}' : text, [...inside], value, {
     formattingOptions: { tabSize: 2, insertSpaces: true },
@@ -67,7 +68,7 @@
   return applyEdits(text === '' ? '{}' : text, edits);
 }
 
-/** The value at a place inside a document. */
+/** Returns the value at the keys `inside` in a document's text. Throws `settingsNotFound` if there is none, `fileMalformed` if the text cannot be parsed. */
 export function valueAt(text: string, inside: readonly string[], source: string): unknown {
   return inside.reduce(
     (value: unknown, part) => {
--- a/src/core/settings/parse.ts
+++ b/src/core/settings/parse.ts
@@ -1,4 +1,4 @@
-/** Reads settings texts: JSON with comments, checked against a schema, with errors that name the place. */
+/** Parses settings texts (JSON with comments) and validates them against a schema, with errors that name the position. */
 
 import type { ParseError } from 'jsonc-parser';
 import { parse, printParseErrorCode } from 'jsonc-parser';
@@ -10,7 +10,7 @@
 
 /** Path of the consortium's document. */
 export const CONSORTIUM = 'consortium';
-/** Paths of teams' documents start with this. */
+/** Prefix of the paths of teams' documents. */
 export const TEAM_PREFIX = 'teams/';
 
 function position(text: string, offset: number): string {
@@ -18,22 +18,22 @@
   return `line ${lines.length}, column ${(lines.at(-1) ?? '').length + 1}`;
 }
 
-/** Parses JSON with comments. */
+/** Parses JSON with comments and trailing commas. Throws `fileMalformed`, with the line and column after the name `source`. */
 export function parseText(text: string, source: string): unknown {
   const errors: ParseError[] = [];
   const value: unknown = parse(text, errors, { allowTrailingComma: true });
   const [first] = errors;
   if (first) {
-    const what = printParseErrorCode(first.error);
+    const found = printParseErrorCode(first.error);
     throw new Failure(
       'fileMalformed',
-      `${source}: found ${what} at ${position(text, first.offset)}, expected JSON with comments`,
+      `${source}: found ${found} at ${position(text, first.offset)}, expected JSON with comments`,
     );
   }
   return value;
 }
 
-/** Checks a parsed value against a schema and fills in defaults. */
+/** Validates a parsed value against a schema and fills in defaults. Throws `settingsInvalid` for the first problem. */
 export function check<T>(schema: z.ZodType<T>, value: unknown, source: string): T {
   const result = schema.safeParse(value);
   if (result.success) return result.data;
@@ -45,12 +45,12 @@
   );
 }
 
-/** A checked document of either kind. */
+/** A valid document of either kind. */
 export type Document =
   | { readonly kind: 'consortium'; readonly value: Consortium }
   | { readonly kind: 'team'; readonly team: string; readonly value: TeamDocument };
 
-/** Checks the text of the document at a path. */
+/** Parses and validates the text of the document at a path. Throws `settingsNotFound` if the path is not a document's. */
 export function parseDocument(path: string, text: string): Document {
   const value = parseText(text, path);
   if (path === CONSORTIUM) {
--- a/src/core/settings/schema.ts
+++ b/src/core/settings/schema.ts
@@ -1,8 +1,8 @@
 /**
  * Schema of the operators' settings. `docs/SETTINGS.md` is generated from it.
  *
- * There is one document for the consortium and one for each team. A team's
- * token reads and writes only its own document.
+ * There is one document for the consortium and one for each team. A team's token can
+ * only read and write the team's own document.
  */
 
 import { z } from 'zod';
@@ -135,17 +135,17 @@
     .describe('Services by name.'),
 });
 
-/** The consortium's settings, complete. */
+/** The consortium's settings with defaults filled in. */
 export type Consortium = z.infer<typeof consortiumSchema>;
-/** A pool of runners. */
+/** Settings of a pool of runners. */
 export type Pool = z.infer<typeof poolSchema>;
-/** A runner as it stands in settings. */
+/** Settings of a runner. */
 export type RunnerSettings = z.infer<typeof runnerSchema>;
-/** A team's settings, complete. */
+/** A team's settings with defaults filled in. */
 export type TeamDocument = z.infer<typeof teamDocumentSchema>;
-/** A service that is a model. */
+/** Settings of a service that serves a model. */
 export type ModelService = z.infer<typeof modelServiceSchema>;
-/** A service of plain calls. */
+/** Settings of a service for plain calls. */
 export type PlainService = z.infer<typeof plainServiceSchema>;
-/** Any service. */
+/** Settings of a service of either kind. */
 export type Service = ModelService | PlainService;
--- a/test/core/cell.test.ts
+++ b/test/core/cell.test.ts
@@ -36,7 +36,7 @@
   return cell;
 }
 
-/** Brings a request to the point where it streams. */
+/** Processes a request until it is decoding. */
 function serve(cell: Cell, now: number, id: string): readonly CellAction[] {
   const first = cell.handle(now, { kind: 'arrived', arrival: arrival(id) });
   const second = cell.handle(now + 50, {
@@ -50,7 +50,7 @@
 }
 
 describe('a cell', () => {
-  test('gives a request its prefill, then its slot', () => {
+  test('assigns a prefill and then a decode slot to a request', () => {
     expect(serve(newCell(1, 1), 0, 'a')).toMatchInlineSnapshot(`
      [
        {
@@ -68,7 +68,7 @@
     `);
   });
 
-  test('refuses at once, as not run, what cannot have its first token in time', () => {
+  test('refuses a request at arrival, as not run, if its first token cannot meet the deadline', () => {
     const cell = newCell(1, 1);
     const actions = cell.handle(0, { kind: 'arrived', arrival: arrival('late', { deadline: 60 }) });
     expect(actions).toMatchInlineSnapshot(`
@@ -84,7 +84,7 @@
     `);
   });
 
-  test('refuses a queued request at the moment it is lost and not later', () => {
+  test('refuses a queued request as soon as it becomes unservable', () => {
     const cell = new Cell({ policy: policyOf(bagmatiWork), grantsFrom: 1e9 });
     cell.handle(0, { kind: 'runners', runners: runnersOf(bagmatiWork) });
     cell.handle(0, { kind: 'arrived', arrival: arrival('waits') });
@@ -94,7 +94,7 @@
       now = cell.nextWake(now);
       actions = cell.handle(now, { kind: 'woke' });
     }
-    // 2000 less the prefill (70), the transfer (20) and one token (13): nothing could save it from here on.
+    // The deadline 2000 minus the prefill (70), the transfer (20) and one token (13): from then on the deadline cannot be met.
     expect({ now, actions }).toMatchInlineSnapshot(`
      {
        "actions": [
@@ -112,10 +112,10 @@
   });
 
   /*
-   * A decode runner says that it is full: it ran nothing. The finished prefill is
-   * still kept, so the next place uses it; a second prefill would be wasted work.
+   * A decode runner reports that it is full, so it ran nothing. The finished prefill is
+   * still kept and is used with the next slot; a second prefill would be wasted work.
    */
-  test('uses a kept prefill again when its decode place was lost', () => {
+  test('reuses a kept prefill after a decode runner refuses the request as full', () => {
     const cell = newCell(1, 2);
     cell.handle(0, { kind: 'arrived', arrival: arrival('a') });
     const [given] = cell.handle(50, {
@@ -131,9 +131,9 @@
   });
 
   /*
-   * A runner dies under its requests. Each failure may be retried, but only as
-   * often as the budget allows: without it a lost failure domain would send all
-   * its load once more to the domains that are left.
+   * A runner crashes while processing requests. Failures are retried only within the
+   * budget: otherwise the failure of a failure domain would repeat all of its load on the
+   * remaining domains.
    */
   test('bounds retries by the budget of the team', () => {
     const cell = new Cell({ policy: policyOf(bagmatiWork), admission: new OpenAdmission() });
@@ -157,11 +157,11 @@
   });
 
   /*
-   * One request ends each engine that begins it, before its first token. Queued again it
-   * took engine after engine until the budget of its team was spent, and the next attempt
-   * of its caller went on with it.
+   * A request crashes every engine that processes it, before the first token. Without
+   * quarantine, its retries crash one engine after the other until the retry budget of its
+   * team is spent, and the caller's next attempt continues with it.
    */
-  test('keeps a request from engines once three ended under it', () => {
+  test('quarantines a request after three engines crashed while processing it', () => {
     const cell = newCell(1, 8);
     const decodes: string[] = [];
     let now = 0;
@@ -189,8 +189,8 @@
     ]);
   });
 
-  /* An engine that ends takes all of its requests with it. Those that had brought tokens for seconds are not held for the cause. */
-  test('goes on with a request that streamed when its engines ended', () => {
+  /* An engine that crashes loses all of its requests. Requests that had been streaming for seconds are not counted as the cause. */
+  test('retries a request that was streaming when its engines crashed', () => {
     const cell = newCell(1, 8);
     cell.handle(0, { kind: 'arrived', arrival: arrival('a', { fingerprint: 'f' }) });
     let actions: readonly CellAction[] = [];
@@ -212,7 +212,7 @@
     expect(cell.requests.has('a')).toBe(true);
   });
 
-  /* Four signs of leaving: the report, a refusal, the platform's list, the settings. Each alone stops new work at once. */
+  /* A runner counts as leaving by its report, a refusal, the platform's list or the settings. Each alone stops new work immediately. */
   test.each([
     [
       'its report',
@@ -228,7 +228,7 @@
         ),
       },
     ],
-  ] as const)('gives nothing to a runner that leaves by %s', (_sign, event) => {
+  ] as const)('assigns nothing to a runner that is leaving according to %s', (_source, event) => {
     const cell = newCell(1, 2);
     cell.handle(1000, event);
     const runners = Array.from({ length: 10 }, (_, i) => serve(cell, 1000 + i, `r${i}`)).flat();
@@ -238,14 +238,14 @@
     expect(runners.some((action) => action.kind === 'decode' && action.runner === 'r2')).toBe(true);
   });
 
-  test('lets a new owner grant nothing before it knows what runs', () => {
+  test('assigns nothing before the warm-up of a new owner ends', () => {
     const cell = new Cell({ policy: policyOf(bagmatiWork), grantsFrom: 500 });
     cell.handle(0, { kind: 'runners', runners: runnersOf(bagmatiWork) });
     expect(cell.handle(100, { kind: 'arrived', arrival: arrival('a') })).toEqual([]);
     expect(cell.handle(500, { kind: 'woke' }).map(({ kind }) => kind)).toEqual(['prefill']);
   });
 
-  test('counts no slot twice and loses none, whatever comes in whatever order', () => {
+  test('neither loses slots nor counts them twice for random events in random order', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 1e6 }), (seed) => {
         const { broken, left } = new Storm(seeded(seed)).run(2000);
@@ -255,7 +255,7 @@
     );
   });
 
-  test('gives equal actions for equal events', () => {
+  test('returns equal actions for equal events', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 1e6 }), (seed) => {
         const runs = [1, 2].map(() => new Storm(seeded(seed)).run(1000));
@@ -283,7 +283,7 @@
     }).run();
   };
 
-  test('ends each request once, wastes little prefill and says "not run" only when it is true', () => {
+  test('ends each request once, wastes little prefill and reports "not run" only if nothing ran', () => {
     const result = run(1.5);
     expect(result.endsMissing).toBe(0);
     expect(result.falseNotRun).toBe(0);
@@ -291,7 +291,7 @@
     expect(result.refusalLagMs).toBeLessThan(10);
   });
 
-  test('completes no less when twice as much comes', () => {
+  test('does not complete fewer requests when the load doubles', () => {
     expect(run(2).goodInTime).toBeGreaterThan(run(1).goodInTime * 0.9);
   });
 });
--- a/test/core/learning.test.ts
+++ b/test/core/learning.test.ts
@@ -6,13 +6,13 @@
 import { RunningQuantile } from '../../src/core/cell/quantile';
 import { seeded } from '../fakes/virtual/workload';
 
-describe('what the cell learns', () => {
+describe('learnt estimates', () => {
   /*
-   * Many answers start together. The first to finish are the short ones. Learnt
-   * from them alone, every answer would look short and slots would be expected
-   * too early; counting the running ones keeps the mean near the truth.
+   * Many answers start together, and the short ones finish first. An estimate from
+   * finished answers alone would be too short, and slots would be expected too early.
+   * Including running requests keeps the mean close to the true value.
    */
-  test('of output lengths is not fooled by the short answers that finish first', () => {
+  test('of output lengths are not biased by short answers that finish first', () => {
     const random = seeded(3);
     const lengths = Array.from({ length: 400 }, () => -Math.log(1 - random()) * 300);
     const histogram = new OutputHistogram(300);
@@ -26,14 +26,14 @@
     expect(histogram.endsWithin(0, 100)).toBeCloseTo(1 - Math.exp(-100 / 300), 1);
   });
 
-  test('of costs holds at the size where it was learnt', () => {
+  test('of costs are accurate at the observed size', () => {
     const line = new ScaledLine(12, 1);
     for (let i = 0; i < 400; i += 1) line.observe(20, 64);
     expect(line.at(20)).toBeCloseTo(64, 0);
     expect(Math.floor(line.sizeWithin(64.5))).toBe(20);
   });
 
-  test('of a quantile ends where that part of the values lies below', () => {
+  test('of a quantile converge to it', () => {
     const random = seeded(5);
     const quantile = new RunningQuantile(0.9, 0.02, 0);
     for (let i = 0; i < 20_000; i += 1) quantile.observe(random());
@@ -43,7 +43,7 @@
 });
 
 describe('a retry budget', () => {
-  test('is earned by first attempts and spent by retries', () => {
+  test('grows with first attempts and is spent by retries', () => {
     const budget = new RetryBudget();
     const spent = (): number =>
       Array.from({ length: 50 }, () => budget.spend('a')).filter(Boolean).length;
@@ -55,7 +55,7 @@
 });
 
 describe('runner health', () => {
-  test('ejects after failures in a row, probes once, and takes back after a success', () => {
+  test('ejects a runner after consecutive failures, probes it once and readmits it after a success', () => {
     const health = new RunnerHealth();
     health.setPoolSize(4);
     for (let i = 0; i < 3; i += 1) health.failed(0, 'a');
@@ -67,7 +67,7 @@
     expect(seen).toEqual([false, true, false, true]);
   });
 
-  /* A whole failure domain fails. Ejecting all of a pool would turn its partial loss into a total one. */
+  /* A whole failure domain fails. Ejecting the whole pool would turn a partial failure into a total one. */
   test('never ejects more than half of a pool', () => {
     const health = new RunnerHealth();
     health.setPoolSize(4);
@@ -77,7 +77,7 @@
   });
 });
 
-describe('the account of places', () => {
+describe('tracked capacity', () => {
   const runner = {
     id: 'd',
     role: 'decode',
@@ -87,8 +87,8 @@
     link: 'd',
   } as const;
 
-  /* A report looks 300 ms back. What was granted since is not in it and must not be overridden by it. */
-  test('is not overridden by a report from before the grant', () => {
+  /* The report was measured 300 ms ago. It does not include slots reserved since then and must not override them. */
+  test('is not overridden by a report that precedes a reservation', () => {
     const book = new PlaceBook();
     book.setRunners([runner]);
     for (let i = 0; i < 5; i += 1) book.holdSlot('d', 1000, 10);
@@ -96,7 +96,7 @@
     expect(freeOf(book.decodePlace('d') as never)).toBe(15);
   });
 
-  test('counts slots that others hold', () => {
+  test('includes slots that were reserved by others', () => {
     const book = new PlaceBook();
     book.setRunners([runner]);
     book.holdSlot('d', 1000, 10);
--- a/test/core/ledger.test.ts
+++ b/test/core/ledger.test.ts
@@ -16,7 +16,7 @@
 });
 const outcome = { status: 200, contentType: 'text/plain', body: 'receipt' };
 
-/** A store of one value with compare-and-swap, whose answers may be lost. */
+/** A store of one value with compare-and-swap. */
 class Store {
   value: string | undefined;
 
@@ -36,11 +36,11 @@
 
 describe('a shard of the run ledger', () => {
   /*
-   * Two schedulers both believe that they own the shard. Each reads, applies and
-   * writes at any moment, and may lose the answer to a write. However they
-   * interleave, one key is claimed by one nonce only.
+   * Two schedulers both act as owner of the shard. Each reads, applies and writes at any
+   * time, and may lose the answer to a write. In every interleaving, a key is claimed by
+   * one nonce only.
    */
-  test('lets each key be claimed once by any interleaving of two owners', () => {
+  test('grants each key once in any interleaving of two owners', () => {
     const step = fc.record({
       writer: fc.integer({ min: 0, max: 1 }),
       what: fc.constantFrom('read', 'write', 'lostWrite'),
@@ -74,7 +74,7 @@
     );
   });
 
-  test('knows its own claim again, and tells others that it runs or what came of it', () => {
+  test('recognizes its own claim and returns the state or outcome to others', () => {
     const shard = LedgerShard.parse(undefined);
     const seen = [
       shard.apply(claim('k', 'mine')),
@@ -100,7 +100,7 @@
     `);
   });
 
-  test('gives a withdrawn key free again, and only to its own withdrawal', () => {
+  test('releases a key only when the claim is withdrawn with its own nonce', () => {
     const shard = LedgerShard.parse(undefined);
     shard.apply(claim('k', 'mine'));
     shard.apply({ kind: 'withdraw', key: 'k', nonce: 'other' });
@@ -109,7 +109,7 @@
     expect(shard.apply(claim('k', 'other')).kind).toBe('claimed');
   });
 
-  test('refuses what does not fit, and never forgets what is within its retention', () => {
+  test('refuses claims that do not fit and keeps entries until their retention time ends', () => {
     const shard = LedgerShard.parse(undefined);
     let claimed = 0;
     while (shard.apply(claim(`key-${claimed}`, 'n', claimed)).kind === 'claimed') claimed += 1;
@@ -121,7 +121,7 @@
     expect(shard.apply(claim('key-0', 'other')).kind).toBe('claimed');
   });
 
-  test('keeps equal keys of two teams apart', () => {
+  test('separates equal keys of different teams', () => {
     expect(ledgerKey('a', 'k')).not.toBe(ledgerKey('b', 'k'));
     expect(shardOf(ledgerKey('a', 'k'))).toBe(shardOf(ledgerKey('a', 'k')));
   });
--- a/test/core/settings.test.ts
+++ b/test/core/settings.test.ts
@@ -9,7 +9,7 @@
   `{ "services": { "deeds": { "kind": "model", "pool": "p", "maxTokens": ${maxTokens} } } }`;
 
 describe('settings in force', () => {
-  test('never go back to a lower revision, in whatever order documents come', () => {
+  test('never return to a lower revision, in any order of documents', () => {
     const document = fc.record({
       path: fc.constantFrom('teams/a', 'teams/b'),
       revision: fc.integer({ min: 1, max: 20 }),
@@ -35,7 +35,7 @@
     );
   });
 
-  test('are equal on two processes that saw the same documents in another order', () => {
+  test('are equal in two processes that applied the same documents in different order', () => {
     const documents = Array.from({ length: 8 }, (_, i) => ({
       path: `teams/t${i % 3}`,
       revision: i + 1,
@@ -52,7 +52,7 @@
     );
   });
 
-  test('keep the last good document when a newer one is malformed', () => {
+  test('keep the last valid document when a newer one is malformed', () => {
     const book = new SettingsBook();
     book.apply({ path: 'teams/a', revision: 1, text: team(7) });
     const applied = book.apply({ path: 'teams/a', revision: 2, text: '{' });
@@ -67,7 +67,7 @@
 });
 
 describe('settings texts', () => {
-  test('that are wrong are told by code, place and expectation', () => {
+  test('that are invalid fail with code, position and expectation', () => {
     const texts = {
       truncated: ['teams/a', '{ "services": {'],
       unknownKey: ['teams/a', '{ "services": {}, "colour": 1 }'],
@@ -94,7 +94,7 @@
     `);
   });
 
-  test('keep their comments when one value is edited', () => {
+  test('keep their comments when a value is edited', () => {
     const text =
       '{\n  // Clerks wait at the counter.\n  "services": { "deeds": { "maxTokens": 5 } }\n}';
     expect(editText(text, splitPath('teams/a/services/deeds/maxTokens').inside, 9))
--- a/test/core/shares.test.ts
+++ b/test/core/shares.test.ts
@@ -3,21 +3,21 @@
 import { FairQueue } from '../../src/core/cell/shares';
 
 describe('the fair queue', () => {
-  test('serves teams by their weights while all wait', () => {
+  test('serves teams in proportion to their weights while all have entries', () => {
     const queue = new FairQueue<string>((team) => (team === 'clerks' ? 2 : 1), 0);
     for (let i = 0; i < 30; i += 1) ['clerks', 'lawyers'].forEach((team) => queue.push(team, team));
     const served = Array.from({ length: 15 }, () => queue.take(1));
     expect(served.filter((team) => team === 'clerks')).toHaveLength(10);
   });
 
-  test('leaves no capacity idle for teams that are not there', () => {
+  test('leaves no capacity idle for teams without entries', () => {
     const queue = new FairQueue<string>(() => 1, 0);
     for (let i = 0; i < 5; i += 1) queue.push('clerks', `c${i}`);
     expect(Array.from({ length: 5 }, () => queue.take(1))).toEqual(['c0', 'c1', 'c2', 'c3', 'c4']);
   });
 
-  /* The flood has a thousand entries queued; a team that comes now waits for the bounded credit, not for the flood. */
-  test('bounds what a flood costs a team within its share', () => {
+  /* One team has a thousand entries queued. A team that arrives now waits for the bounded credit, not for all of these entries. */
+  test('bounds the delay that a flooding team causes to a team within its share', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 500 }),
@@ -36,7 +36,7 @@
     );
   });
 
-  test('foretells how many go before a new entry', () => {
+  test('predicts how many entries are served before a new one', () => {
     fc.assert(
       fc.property(
         fc.array(fc.constantFrom('a', 'b', 'c'), { minLength: 1, maxLength: 60 }),
@@ -58,7 +58,7 @@
     );
   });
 
-  test('keeps its count over any sequence', () => {
+  test('keeps a correct size over any sequence of operations', () => {
     const step = fc.tuple(
       fc.constantFrom('push', 'unshift', 'take', 'remove'),
       fc.constantFrom('a', 'b'),
