--- a/src/core/burn/windows.ts
+++ b/src/core/burn/windows.ts
@@ -1,16 +1,16 @@
 /** Counts of good and bad requests over sliding windows, in bounded memory, for burn rates of service level objectives. */
 
 /** Number of good and bad requests in one window. */
-export interface Tally {
+export interface RequestCounts {
   readonly good: number;
   readonly bad: number;
 }
 
 /** Length of each window in minutes, by its name in reports. */
-export const windows = { '5m': 5, '1h': 60, '6h': 360, '3d': 4320 } as const;
+export const windowMinutes = { '5m': 5, '1h': 60, '6h': 360, '3d': 4320 } as const;
 
 /** Name of a window. */
-export type WindowName = keyof typeof windows;
+export type WindowName = keyof typeof windowMinutes;
 
 const MINUTE_MS = 60_000;
 /** Minutes per slot: fine slots for short windows, coarse slots for long ones. */
@@ -50,7 +50,7 @@
     counts[slot] = (counts[slot] ?? 0) + 1;
   }
 
-  sum(now: number, minutes: number): Tally {
+  sum(now: number, minutes: number): RequestCounts {
     const newest = Math.floor(now / (this.#slotMinutes * MINUTE_MS));
     const oldest = newest - Math.ceil(minutes / this.#slotMinutes) + 1;
     let good = 0;
@@ -77,8 +77,8 @@
   }
 
   /** Counts in the window that ends now. */
-  sum(now: number, name: WindowName): Tally {
-    const minutes = windows[name];
+  sum(now: number, name: WindowName): RequestCounts {
+    const minutes = windowMinutes[name];
     return minutes < FINE_SLOTS ? this.#fine.sum(now, minutes) : this.#coarse.sum(now, minutes);
   }
 }
@@ -87,7 +87,7 @@
  * Burn rate of the error budget: 1 uses up the budget in exactly the objective's window, 10
  * in a tenth of it. Without requests it is 0.
  */
-export function burnRate({ good, bad }: Tally, target: number): number {
+export function burnRate({ good, bad }: RequestCounts, target: number): number {
   const total = good + bad;
   return total === 0 ? 0 : bad / total / (1 - target);
 }
--- a/src/core/cell/places.ts
+++ b/src/core/cell/capacity.ts
@@ -7,19 +7,19 @@
 import type { LoadReport, Runner } from './types';
 
 /** Read-only view of the capacity of a cell's runners. */
-export interface Places {
-  readonly prefillRunners: readonly PrefillPlace[];
-  readonly decodeRunners: readonly DecodePlace[];
+export interface CellCapacity {
+  readonly prefillRunners: readonly PrefillLoad[];
+  readonly decodeRunners: readonly DecodeLoad[];
   /** Total slots of the decode runners that are not leaving, free or not. */
   readonly decodeSlots: number;
   /** Total free decode slots within the batch caps. */
   readonly freeSlots: number;
   /** Whether a link already carries as many transfers as allowed. */
-  linkBusy(link: string): boolean;
+  isLinkBusy(link: string): boolean;
 }
 
 /** A prefill runner and the work assigned to it. */
-export interface PrefillPlace {
+export interface PrefillLoad {
   readonly runner: Runner;
   readonly leaving: boolean;
   /** Prefills assigned and not yet reported as finished. */
@@ -27,23 +27,23 @@
   /** Estimated time at which its assigned work ends, in milliseconds. */
   readonly busyUntil: number;
   /** Running requests according to its latest (delayed) report, for baselines that rely on reports. */
-  readonly reported: number;
+  readonly reportedRunning: number;
 }
 
 /** A decode runner and the slots reserved on it. */
-export interface DecodePlace {
+export interface DecodeLoad {
   readonly runner: Runner;
   readonly leaving: boolean;
   /** Slots reserved by this cell. */
   readonly held: number;
   /** Slots in use that this cell did not reserve, left over from previous owners. */
-  readonly foreign: number;
+  readonly untracked: number;
   /** Maximum number of slots in use, from the batch cap. */
   readonly cap: number;
   /** KV cache in use by the reserved slots, in tokens. */
   readonly heldTokens: number;
   /** Running requests according to its latest (delayed) report. */
-  readonly reported: number;
+  readonly reportedRunning: number;
 }
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
@@ -53,12 +53,17 @@
  * suffices: a report that precedes an operator's command must not undo the command.
  */
 interface LeavingReasons {
+  /** It is not in the settings. */
   unlisted: boolean;
+  /** It reported that it is leaving. */
   reported: boolean;
+  /** The platform lists its VM as leaving, or operators drain it. */
   departing: boolean;
+  /** Earliest measurement time of a report that undoes a refusal as leaving; 0 if there was no refusal. */
   refusedUntil: number;
 }
 
+/** A slot reserved (1) or released (-1). */
 interface SlotChange {
   readonly at: number;
   readonly change: number;
@@ -69,28 +74,29 @@
 /** A refusal as leaving is only undone by a report measured at least this long after it, in milliseconds. */
 const REFUSAL_HOLD_MS = 500;
 
-interface DecodeRecord extends Mutable<DecodePlace> {
+/** A decode runner's load with its recent changes, oldest first. */
+interface DecodeRecord extends Mutable<DecodeLoad> {
   readonly changes: SlotChange[];
 }
 
 /** Number of slots of a decode runner that can be reserved now. */
-export function freeOf(load: DecodePlace): number {
+export function freeSlotsOf(load: DecodeLoad): number {
   if (load.leaving) return 0;
-  return Math.max(0, load.cap - load.held - load.foreign);
+  return Math.max(0, load.cap - load.held - load.untracked);
 }
 
 /** Excludes the runner that failed last, unless it is the only one. */
-export function avoiding<T extends { readonly runner: Runner }>(
-  places: readonly T[],
+export function preferOtherRunners<T extends { readonly runner: Runner }>(
+  candidates: readonly T[],
   avoid: string | undefined,
 ): readonly T[] {
-  const others = places.filter(({ runner }) => runner.id !== avoid);
-  return others.length > 0 ? others : places;
+  const others = candidates.filter(({ runner }) => runner.id !== avoid);
+  return others.length > 0 ? others : candidates;
 }
 
 /** Tracks the capacity of a cell's runners. Only the cell modifies it. */
-export class PlaceBook implements Places {
-  readonly #prefill = new Map<string, Mutable<PrefillPlace>>();
+export class CapacityTracker implements CellCapacity {
+  readonly #prefill = new Map<string, Mutable<PrefillLoad>>();
 
   readonly #decode = new Map<string, DecodeRecord>();
 
@@ -105,11 +111,11 @@
     this.#transfersPerLink = transfersPerLink;
   }
 
-  get prefillRunners(): readonly PrefillPlace[] {
+  get prefillRunners(): readonly PrefillLoad[] {
     return [...this.#prefill.values()];
   }
 
-  get decodeRunners(): readonly DecodePlace[] {
+  get decodeRunners(): readonly DecodeLoad[] {
     return [...this.#decode.values()];
   }
 
@@ -121,21 +127,21 @@
 
   get freeSlots(): number {
     let total = 0;
-    for (const load of this.#decode.values()) total += freeOf(load);
+    for (const load of this.#decode.values()) total += freeSlotsOf(load);
     return total;
   }
 
   /** Load of a prefill runner; undefined if the runner is unknown. */
-  prefillPlace(id: string): PrefillPlace | undefined {
+  prefillLoad(id: string): PrefillLoad | undefined {
     return this.#prefill.get(id);
   }
 
   /** Load of a decode runner; undefined if the runner is unknown. */
-  decodePlace(id: string): DecodePlace | undefined {
+  decodeLoad(id: string): DecodeLoad | undefined {
     return this.#decode.get(id);
   }
 
-  linkBusy(link: string): boolean {
+  isLinkBusy(link: string): boolean {
     return (this.#links.get(link) ?? 0) >= this.#transfersPerLink;
   }
 
@@ -161,19 +167,19 @@
   }
 
   /** Records that a runner refused work because it is leaving. It gets no work until a later report says otherwise. */
-  refusedAsLeaving(runner: string, now: number): void {
+  recordLeavingRefusal(runner: string, now: number): void {
     this.#reasonsOf(runner).refusedUntil = now + REFUSAL_HOLD_MS;
     this.#updateLeaving(runner);
   }
 
   /** Sets the batch cap of a decode runner. */
-  setCap(runner: string, cap: number): void {
+  setBatchCap(runner: string, cap: number): void {
     const load = this.#decode.get(runner);
     if (load) load.cap = cap;
   }
 
   /** Adds a prefill of the estimated duration in milliseconds to a runner's backlog. */
-  givePrefill(runner: string, now: number, ms: number): void {
+  addPrefill(runner: string, now: number, ms: number): void {
     const load = this.#prefill.get(runner);
     if (!load) return;
     load.pending += 1;
@@ -181,7 +187,7 @@
   }
 
   /** Removes a prefill from a runner's backlog. */
-  endPrefill(runner: string, now: number): void {
+  removePrefill(runner: string, now: number): void {
     const load = this.#prefill.get(runner);
     if (!load) return;
     load.pending = Math.max(0, load.pending - 1);
@@ -189,7 +195,7 @@
   }
 
   /** Reserves a decode slot and the KV cache of this many tokens. */
-  holdSlot(runner: string, now: number, tokens: number): void {
+  reserveSlot(runner: string, now: number, tokens: number): void {
     this.#changeSlot(runner, now, 1, tokens);
   }
 
@@ -199,7 +205,7 @@
   }
 
   /** Counts a transfer that starts on a link. */
-  holdLink(link: string): void {
+  reserveLink(link: string): void {
     this.#links.set(link, (this.#links.get(link) ?? 0) + 1);
   }
 
@@ -211,23 +217,23 @@
   }
 
   /** Applies a load report. It does not override what was assigned after its measurement. */
-  report(now: number, report: LoadReport): void {
+  applyReport(now: number, report: LoadReport): void {
     const reasons = this.#reasonsOf(report.runner);
     reasons.reported = report.leaving;
     if (report.asOf >= reasons.refusedUntil) reasons.refusedUntil = 0;
     this.#updateLeaving(report.runner);
     const prefill = this.#prefill.get(report.runner);
-    if (prefill) prefill.reported = report.running;
+    if (prefill) prefill.reportedRunning = report.running;
     const decode = this.#decode.get(report.runner);
     if (!decode) return;
-    decode.reported = report.running;
+    decode.reportedRunning = report.running;
     while (decode.changes[0] && decode.changes[0].at < now - MAX_REPORT_LAG_MS) {
       decode.changes.shift();
     }
     const later = decode.changes.filter(({ at }) => at >= report.asOf);
     const heldAtReport = later.reduce((held, { change }) => held - change, decode.held);
     // Requests sent just before the measurement may not have reached the runner yet, so only a surplus counts.
-    decode.foreign = Math.max(0, report.running - heldAtReport);
+    decode.untracked = Math.max(0, report.running - heldAtReport);
   }
 
   #runnerIds(): readonly string[] {
@@ -268,7 +274,7 @@
         leaving: false,
         pending: 0,
         busyUntil: 0,
-        reported: 0,
+        reportedRunning: 0,
       });
     }
   }
@@ -279,7 +285,14 @@
       known.runner = runner;
       return;
     }
-    const empty = { leaving: false, held: 0, foreign: 0, heldTokens: 0, reported: 0, changes: [] };
+    const empty = {
+      leaving: false,
+      held: 0,
+      untracked: 0,
+      heldTokens: 0,
+      reportedRunning: 0,
+      changes: [],
+    };
     this.#decode.set(runner.id, { ...empty, runner, cap: runner.slots });
   }
 }
--- a/src/core/cell/cell.ts
+++ b/src/core/cell/cell.ts
@@ -8,15 +8,15 @@
 
 import type { Admission } from './admission';
 import { DeadlineAdmission } from './admission';
-import { QueueController } from './admit';
-import type { CellCounters } from './board';
-import { CellBoard } from './board';
+import { QueueController } from './queue';
+import type { CellCounters } from './state';
+import { CellState } from './state';
 import { LifecycleController } from './lifecycle';
 import type { Placement } from './placement';
 import { CostPlacement } from './placement';
 import { PrefillController } from './prefill';
 import type { StartRule } from './start';
-import { DecodeFirst } from './start';
+import { SlotForecastStart } from './start';
 import { TransferController } from './transfer';
 import type { CellAction, CellEvent, CellPolicy, LoadReport, Runner } from './types';
 import type { CellRequest, CellView } from './view';
@@ -35,7 +35,7 @@
    * owner is incomplete until the gateways have reported what its predecessor assigned.
    * Default: 0.
    */
-  readonly grantsFrom?: number;
+  readonly warmUpUntil?: number;
 }
 
 /** Maximum interval between scheduling passes while requests are queued, in milliseconds. */
@@ -43,7 +43,7 @@
 
 /** Schedules the requests of one cell. */
 export class Cell {
-  readonly #state: CellBoard;
+  readonly #state: CellState;
 
   readonly #queue: QueueController;
 
@@ -55,19 +55,19 @@
 
   readonly #warmUpUntil: number;
 
-  constructor({ policy, admission, startRule, placement, grantsFrom }: CellOptions) {
+  constructor({ policy, admission, startRule, placement, warmUpUntil }: CellOptions) {
     const chosenPlacement = placement ?? new CostPlacement();
-    this.#state = new CellBoard(policy);
+    this.#state = new CellState(policy);
     this.#queue = new QueueController(this.#state, admission ?? new DeadlineAdmission());
     this.#prefills = new PrefillController(
       this.#state,
       this.#queue,
-      startRule ?? new DecodeFirst(),
+      startRule ?? new SlotForecastStart(),
       chosenPlacement,
     );
     this.#transfers = new TransferController(this.#state, chosenPlacement);
     this.#lifecycle = new LifecycleController(this.#state, this.#queue);
-    this.#warmUpUntil = grantsFrom ?? 0;
+    this.#warmUpUntil = warmUpUntil ?? 0;
   }
 
   /** Read-only state, for policies and metrics. */
@@ -97,7 +97,7 @@
       .with({ kind: 'prefilled' }, ({ id, cachedTokens, keptUntil }) =>
         this.#prefills.finish(now, id, cachedTokens, keptUntil),
       )
-      .with({ kind: 'started' }, ({ id }) => this.#transfers.started(now, id))
+      .with({ kind: 'started' }, ({ id }) => this.#transfers.finish(now, id))
       .with({ kind: 'finished' }, ({ id, tokens }) => this.#lifecycle.finish(now, id, tokens))
       .with({ kind: 'failed' }, (failed) => this.#lifecycle.fail(now, failed))
       .with({ kind: 'cancelled' }, ({ id }) => this.#lifecycle.cancel(now, id))
@@ -109,7 +109,7 @@
       })
       .with({ kind: 'runners' }, ({ runners }) => this.#setRunners(runners))
       .with({ kind: 'policy' }, ({ policy }) => this.#setPolicy(policy))
-      .with({ kind: 'departing' }, ({ runners }) => this.#state.places.setDeparting(runners))
+      .with({ kind: 'departing' }, ({ runners }) => this.#state.capacity.setDeparting(runners))
       .with({ kind: 'woke' }, () => {})
       .exhaustive();
     this.#schedule(now);
@@ -118,26 +118,26 @@
 
   /** Time of the next `woke` event that the cell needs if no other event occurs; Infinity if none. */
   nextWake(now: number): number {
-    const next = Math.min(this.#queue.nextLoss, this.#prefills.nextExpiry);
+    const next = Math.min(this.#queue.nextUnservableAt, this.#prefills.nextExpiry);
     if (this.#state.waiting.size === 0) return next;
     return Math.min(next, Math.max(now + SCHEDULING_INTERVAL_MS, this.#warmUpUntil));
   }
 
   #schedule(now: number): void {
-    this.#lifecycle.countRunning(now);
+    this.#lifecycle.observeRunning(now);
     this.#prefills.expire(now);
-    this.#transfers.sendAll(now);
-    this.#queue.refuseLost(now);
+    this.#transfers.startAll(now);
+    this.#queue.refuseUnservable(now);
     if (now >= this.#warmUpUntil) this.#prefills.startAll(now);
   }
 
   #applyReport(now: number, report: LoadReport): void {
-    this.#state.places.report(now, report);
+    this.#state.capacity.applyReport(now, report);
     this.#applyCaps();
   }
 
   #setRunners(runners: readonly Runner[]): void {
-    this.#state.places.setRunners(runners);
+    this.#state.capacity.setRunners(runners);
     this.#state.health.setPoolSize(runners.length);
     this.#applyCaps();
   }
@@ -149,9 +149,9 @@
 
   /** Limits the batch sizes so that the time between tokens stays within the target. */
   #applyCaps(): void {
-    const { places, costs, policy } = this.#state;
-    for (const { runner } of places.decodeRunners) {
-      places.setCap(runner.id, costs.batchWithin(policy.tokenTargetMs, runner.slots));
+    const { capacity, costs, policy } = this.#state;
+    for (const { runner } of capacity.decodeRunners) {
+      capacity.setBatchCap(runner.id, costs.maxBatchWithin(policy.tokenTargetMs, runner.slots));
     }
   }
 }
--- a/src/core/cell/health.ts
+++ b/src/core/cell/health.ts
@@ -47,24 +47,24 @@
   }
 
   /** Records that work was sent to a runner. After an ejection this is its single probe. */
-  given(now: number, runner: string): void {
+  recordDispatch(now: number, runner: string): void {
     const record = this.#records.get(runner);
     if (record && record.ejectedUntil > 0 && now >= record.ejectedUntil) record.probing = true;
   }
 
   /** Records a request whose end says nothing about the runner, so that another probe may be sent. */
-  inconclusive(runner: string): void {
+  recordInconclusive(runner: string): void {
     const record = this.#records.get(runner);
     if (record) record.probing = false;
   }
 
   /** Records a success, which ends the ejection of the runner. */
-  succeeded(runner: string): void {
+  recordSuccess(runner: string): void {
     this.#records.delete(runner);
   }
 
   /** Records a failure, and ejects the runner after several consecutive ones. */
-  failed(now: number, runner: string): void {
+  recordFailure(now: number, runner: string): void {
     const record = this.#records.get(runner) ?? {
       failures: 0,
       ejectedUntil: 0,
--- a/src/core/cell/lifecycle.ts
+++ b/src/core/cell/lifecycle.ts
@@ -1,10 +1,10 @@
 /** Lifecycle controller: handles finished, cancelled, failed and adopted requests. */
 
-import type { QueueController } from './admit';
-import type { CellBoard } from './board';
+import type { QueueController } from './queue';
+import type { CellState } from './state';
 import type { Entry } from './entry';
 import { newEntry } from './entry';
-import { ageOf } from './forecast';
+import { estimateOutputTokens } from './forecast';
 import { isTelling } from '../quarantine/quarantine';
 import type { Adoption, CellEvent } from './types';
 
@@ -15,13 +15,13 @@
 
 /** Ends requests, returns them to an earlier stage, or takes them over from a previous owner. */
 export class LifecycleController {
-  readonly #state: CellBoard;
+  readonly #state: CellState;
 
   readonly #queue: QueueController;
 
   #observedAt = 0;
 
-  constructor(state: CellBoard, queue: QueueController) {
+  constructor(state: CellState, queue: QueueController) {
     this.#state = state;
     this.#queue = queue;
   }
@@ -32,26 +32,26 @@
     const entry = state.requests.get(id);
     if (!entry) return;
     if (entry.stage === 'decoding') {
-      const newTokens = Math.max(1, tokens - entry.resumedAt);
-      state.outputs.expose(Math.min(entry.countedTokens, tokens), tokens);
-      state.outputs.end(tokens);
+      const newTokens = Math.max(1, tokens - entry.resumedTokens);
+      state.outputs.addExposure(Math.min(entry.countedTokens, tokens), tokens);
+      state.outputs.addCompletion(tokens);
       state.costs.observeTokens(this.#meanBatch(entry), (now - entry.since) / newTokens);
     }
     state.counters.finished += 1;
     const { fingerprint } = entry.arrival;
     if (fingerprint !== undefined) state.quarantine.completed(now, fingerprint);
-    state.drop(now, entry);
+    state.remove(now, entry);
   }
 
   /** Adds the estimated tokens of running requests to the distribution of output lengths, at a fixed interval. */
-  countRunning(now: number): void {
+  observeRunning(now: number): void {
     if (now - this.#observedAt < OBSERVATION_INTERVAL_MS) return;
     this.#observedAt = now;
     const state = this.#state;
     for (const entry of state.decoding) {
-      const tokens = Math.min(entry.arrival.maxTokens, ageOf(now, state, entry));
+      const tokens = Math.min(entry.arrival.maxTokens, estimateOutputTokens(now, state, entry));
       if (tokens > entry.countedTokens) {
-        state.outputs.expose(entry.countedTokens, tokens);
+        state.outputs.addExposure(entry.countedTokens, tokens);
         entry.countedTokens = tokens;
       }
     }
@@ -63,11 +63,11 @@
     const entry = state.requests.get(id);
     if (!entry) return;
     state.counters.cancelled += 1;
-    if (entry.stage === 'prefilling' || entry.stage === 'prefilled') state.waste(entry);
+    if (entry.stage === 'prefilling' || entry.stage === 'prefilled') state.countWaste(entry);
     for (const runner of [entry.prefillRunner, entry.decodeRunner]) {
-      if (runner !== undefined) state.health.inconclusive(runner);
+      if (runner !== undefined) state.health.recordInconclusive(runner);
     }
-    state.drop(now, entry);
+    state.remove(now, entry);
   }
 
   /** Queues a failed request again within the retry budget, whether it provably did not run or its outcome is unknown. */
@@ -84,9 +84,9 @@
       this.#returnToPrefilled(now, entry);
       return;
     }
-    if (entry.stage === 'prefilled' || entry.stage === 'transferring') state.waste(entry);
-    state.leaveStage(now, entry);
-    entry.avoid = runner;
+    if (entry.stage === 'prefilled' || entry.stage === 'transferring') state.countWaste(entry);
+    state.releaseResources(now, entry);
+    entry.lastFailedRunner = runner;
     extendPrompt(entry, tokens);
     this.#queue.retry(now, entry);
   }
@@ -100,10 +100,10 @@
     const { arrival, prefillRunner } = adoption;
     const known = state.requests.get(arrival.id);
     if (known && isConsistent(known, adoption)) {
-      this.#queue.repeat(known);
+      this.#queue.resendAction(known);
       return;
     }
-    if (known) state.drop(now, known);
+    if (known) state.remove(now, known);
     const entry = newEntry(arrival, now);
     entry.sent = true;
     entry.prefillRunner = prefillRunner;
@@ -118,16 +118,16 @@
     state.decoding.add(entry);
     if (decodeRunner === undefined) return;
     entry.decodeRunner = decodeRunner;
-    state.places.holdSlot(decodeRunner, now, arrival.promptTokens);
+    state.capacity.reserveSlot(decodeRunner, now, arrival.promptTokens);
   }
 
   #adoptPrefill(now: number, entry: Entry, { stage, prefillRunner, arrival }: Adoption): void {
     const state = this.#state;
-    state.promised += 1;
+    state.awaitingSlot += 1;
     if (stage === 'prefilling') {
       entry.stage = 'prefilling';
       const workMs = state.costs.prefillMs(arrival.promptTokens);
-      if (prefillRunner !== undefined) state.places.givePrefill(prefillRunner, now, workMs);
+      if (prefillRunner !== undefined) state.capacity.addPrefill(prefillRunner, now, workMs);
       return;
     }
     entry.stage = 'prefilled';
@@ -137,14 +137,14 @@
   }
 
   #recordHealth(now: number, { runner, reason }: Failed): void {
-    const { health, prefixes, places } = this.#state;
+    const { health, prefixes, capacity } = this.#state;
     if (reason === 'lost' || reason === 'unreachable') {
-      health.failed(now, runner);
-      prefixes.forget(runner);
+      health.recordFailure(now, runner);
+      prefixes.clear(runner);
     } else {
-      health.inconclusive(runner);
+      health.recordInconclusive(runner);
     }
-    if (reason === 'leaving') places.refusedAsLeaving(runner, now);
+    if (reason === 'leaving') capacity.recordLeavingRefusal(runner, now);
   }
 
   /** Records that the engine may have crashed while processing this request. Engines keep their ids when they restart, so each crash gets its own key. */
@@ -158,26 +158,26 @@
   /** Returns a request to the stage `prefilled` after it lost its decode slot, so that the prefill result is reused while it is kept. */
   #returnToPrefilled(now: number, entry: Entry): void {
     const state = this.#state;
-    state.leaveStage(now, entry);
+    state.releaseResources(now, entry);
     entry.stage = 'prefilled';
     entry.since = now;
-    state.promised += 1;
+    state.awaitingSlot += 1;
     state.prefilled.add(entry);
   }
 
   /** Mean of the batch sizes when the request joined and when it left. */
   #meanBatch({ decodeRunner, batch }: Entry): number {
     const load =
-      decodeRunner === undefined ? undefined : this.#state.places.decodePlace(decodeRunner);
+      decodeRunner === undefined ? undefined : this.#state.capacity.decodeLoad(decodeRunner);
     return (batch + (load?.held ?? batch)) / 2;
   }
 }
 
 /** Extends the prompt of the next run by the output tokens that the caller has already received. */
 function extendPrompt(entry: Entry, tokens: number): void {
-  const newTokens = tokens - entry.resumedAt;
+  const newTokens = tokens - entry.resumedTokens;
   if (newTokens <= 0) return;
-  entry.resumedAt = tokens;
+  entry.resumedTokens = tokens;
   entry.countedTokens = tokens;
   entry.arrival = { ...entry.arrival, promptTokens: entry.arrival.promptTokens + newTokens };
 }
--- a/src/core/cell/line.ts
+++ b/src/core/cell/linear.ts
@@ -13,7 +13,7 @@
  * the slope of a line through them is arbitrary, and the resulting batch caps swing
  * between one slot and all slots.
  */
-export class ScaledLine {
+export class LinearCost {
   readonly #base: number;
 
   readonly #slope: number;
@@ -37,12 +37,12 @@
   }
 
   /** Estimated cost of a given size, in milliseconds. */
-  at(size: number): number {
+  estimate(size: number): number {
     return this.#scale * (this.#base + this.#slope * size);
   }
 
   /** Largest size whose estimated cost is at most `cost`. */
-  sizeWithin(cost: number): number {
+  maxSizeWithin(cost: number): number {
     return (cost / this.#scale - this.#base) / this.#slope;
   }
 }
--- a/src/core/cell/margins.ts
+++ b/src/core/cell/margins.ts
@@ -24,7 +24,7 @@
 const MAX_TEAMS = 4096;
 
 /** Lateness of first tokens per team, as a fraction of the forecast. */
-export class Margins implements ForecastMargins {
+export class LatenessMargins implements ForecastMargins {
   readonly #teams = new Map<string, RunningQuantile>();
 
   marginMs(team: string, forecastMs: number): number {
--- a/src/core/cell/outputs.ts
+++ b/src/core/cell/outputs.ts
@@ -12,7 +12,7 @@
   /** Mean output length in tokens. */
   readonly mean: number;
   /** Probability that a request that has produced `age` tokens ends within the next `more` tokens. */
-  endsWithin(age: number, more: number): number;
+  probabilityOfEndWithin(age: number, more: number): number;
 }
 
 /** Number of buckets per doubling of the length. */
@@ -69,7 +69,7 @@
   }
 
   /** Records that a request progressed from one length to another. */
-  expose(from: number, to: number): void {
+  addExposure(from: number, to: number): void {
     for (let bucket = bucketOf(from); bucket <= bucketOf(to); bucket += 1) {
       const low = Math.max(from, lowerBound(bucket));
       const high = bucket === BUCKET_COUNT - 1 ? to : Math.min(to, lowerBound(bucket + 1));
@@ -80,7 +80,7 @@
   }
 
   /** Records that a request ended at a length. Its tokens are recorded with `addExposure`. */
-  end(tokens: number): void {
+  addCompletion(tokens: number): void {
     this.#weight *= 2 ** (1 / HALF_LIFE_REQUESTS);
     const bucket = bucketOf(tokens);
     this.#completions[bucket] = (this.#completions[bucket] ?? 0) + this.#weight;
@@ -88,7 +88,7 @@
     if (this.#weight > MAX_OBSERVATION_WEIGHT) this.#rescale();
   }
 
-  endsWithin(age: number, more: number): number {
+  probabilityOfEndWithin(age: number, more: number): number {
     if (this.#isStale) this.#integrate();
     return 1 - Math.exp(this.#cumulativeHazardAt(age) - this.#cumulativeHazardAt(age + more));
   }
--- a/src/core/cell/placement.ts
+++ b/src/core/cell/placement.ts
@@ -1,8 +1,8 @@
 /** Placement policies: which runner a prefill or a decode is assigned to. */
 
 import { BLOCK_TOKENS } from '../prefix';
-import type { DecodePlace, PrefillPlace } from './places';
-import { freeOf } from './places';
+import type { DecodeLoad, PrefillLoad } from './capacity';
+import { freeSlotsOf } from './capacity';
 import type { Arrival } from './types';
 import type { CellView } from './view';
 
@@ -12,16 +12,17 @@
     now: number,
     view: CellView,
     arrival: Arrival,
-    candidates: readonly PrefillPlace[],
-  ): PrefillPlace | undefined;
+    candidates: readonly PrefillLoad[],
+  ): PrefillLoad | undefined;
   decode(
     now: number,
     view: CellView,
     arrival: Arrival,
-    candidates: readonly DecodePlace[],
-  ): DecodePlace | undefined;
+    candidates: readonly DecodeLoad[],
+  ): DecodeLoad | undefined;
 }
 
+/** The item with the least cost, the first one if there are several; undefined if no cost is below Infinity. */
 function minBy<T>(items: readonly T[], cost: (item: T) => number): T | undefined {
   let best: T | undefined;
   let bestCost = Infinity;
@@ -35,19 +36,19 @@
   return best;
 }
 
-/** Least cost in milliseconds: queueing, prefill of the tokens that are not predicted to be cached, and waiting for a busy link. */
+/** Selects the runner with the least cost in milliseconds: queueing, prefill of the tokens that are not predicted to be cached, and waiting for a busy link. */
 export class CostPlacement implements Placement {
   prefill(
     now: number,
     view: CellView,
     arrival: Arrival,
-    candidates: readonly PrefillPlace[],
-  ): PrefillPlace | undefined {
+    candidates: readonly PrefillLoad[],
+  ): PrefillLoad | undefined {
     const transferMs = view.costs.transferMs(arrival.promptTokens);
     return minBy(candidates, ({ runner, busyUntil }) => {
-      const hitTokens = view.prefixes.hits(runner.id, arrival.blocks) * BLOCK_TOKENS;
+      const hitTokens = view.prefixes.cachedBlocks(runner.id, arrival.blocks) * BLOCK_TOKENS;
       const workMs = view.costs.prefillMs(Math.max(0, arrival.promptTokens - hitTokens));
-      const linkMs = view.places.linkBusy(runner.link) ? transferMs : 0;
+      const linkMs = view.capacity.isLinkBusy(runner.link) ? transferMs : 0;
       return Math.max(0, busyUntil - now) + workMs + linkMs;
     });
   }
@@ -57,9 +58,9 @@
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    candidates: readonly DecodePlace[],
-  ): DecodePlace | undefined {
-    return minBy(candidates, (load) => (load.cap - freeOf(load)) / load.cap);
+    candidates: readonly DecodeLoad[],
+  ): DecodeLoad | undefined {
+    return minBy(candidates, (load) => (load.cap - freeSlotsOf(load)) / load.cap);
   }
 }
 
@@ -73,8 +74,8 @@
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    candidates: readonly PrefillPlace[],
-  ): PrefillPlace | undefined {
+    candidates: readonly PrefillLoad[],
+  ): PrefillLoad | undefined {
     this.#prefills += 1;
     return candidates[this.#prefills % candidates.length];
   }
@@ -83,30 +84,30 @@
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    candidates: readonly DecodePlace[],
-  ): DecodePlace | undefined {
+    candidates: readonly DecodeLoad[],
+  ): DecodeLoad | undefined {
     this.#decodes += 1;
     return candidates[this.#decodes % candidates.length];
   }
 }
 
 /** Baseline: least load according to the runners' own delayed reports. */
-export class LeastReported implements Placement {
+export class LeastReportedLoad implements Placement {
   prefill(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    candidates: readonly PrefillPlace[],
-  ): PrefillPlace | undefined {
-    return minBy(candidates, ({ reported }) => reported);
+    candidates: readonly PrefillLoad[],
+  ): PrefillLoad | undefined {
+    return minBy(candidates, ({ reportedRunning }) => reportedRunning);
   }
 
   decode(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    candidates: readonly DecodePlace[],
-  ): DecodePlace | undefined {
-    return minBy(candidates, ({ reported }) => reported);
+    candidates: readonly DecodeLoad[],
+  ): DecodeLoad | undefined {
+    return minBy(candidates, ({ reportedRunning }) => reportedRunning);
   }
 }
--- a/src/core/cell/prefill.ts
+++ b/src/core/cell/prefill.ts
@@ -1,12 +1,12 @@
 /** Prefill controller: starts prefills whose results will be used in time and discards results that were not used. */
 
 import { uncachedTokens } from '../prefix';
-import type { QueueController } from './admit';
-import type { CellBoard } from './board';
+import type { QueueController } from './queue';
+import type { CellState } from './state';
 import type { Entry } from './entry';
 import { residenceMs } from './forecast';
-import type { PrefillPlace } from './places';
-import { avoiding } from './places';
+import type { PrefillLoad } from './capacity';
+import { preferOtherRunners } from './capacity';
 import type { Placement } from './placement';
 import type { StartRule } from './start';
 
@@ -21,7 +21,7 @@
 
 /** Assigns queued requests to prefill runners. */
 export class PrefillController {
-  readonly #state: CellBoard;
+  readonly #state: CellState;
 
   readonly #queue: QueueController;
 
@@ -29,7 +29,7 @@
 
   readonly #placement: Placement;
 
-  constructor(state: CellBoard, queue: QueueController, rule: StartRule, placement: Placement) {
+  constructor(state: CellState, queue: QueueController, rule: StartRule, placement: Placement) {
     this.#state = state;
     this.#queue = queue;
     this.#rule = rule;
@@ -48,10 +48,10 @@
     if (entry?.stage !== 'prefilling' || entry.prefillRunner === undefined) return;
     const workTokens = Math.max(0, entry.arrival.promptTokens - cachedTokens);
     // The duration of a prefill measures its cost only if it had the runner to itself.
-    const ranAlone = state.sourceOf(entry)?.pending === 1;
+    const ranAlone = state.prefillLoadOf(entry)?.pending === 1;
     if (ranAlone) state.costs.observePrefill(workTokens, now - entry.since);
-    state.places.endPrefill(entry.prefillRunner, now);
-    state.health.succeeded(entry.prefillRunner);
+    state.capacity.removePrefill(entry.prefillRunner, now);
+    state.health.recordSuccess(entry.prefillRunner);
     state.counters.prefillTokens += workTokens;
     entry.stage = 'prefilled';
     entry.since = now;
@@ -64,8 +64,8 @@
     const state = this.#state;
     for (const entry of state.prefilled) {
       if (now >= entry.keptUntil - EVICTION_MARGIN_MS) {
-        state.waste(entry);
-        state.leaveStage(now, entry);
+        state.countWaste(entry);
+        state.releaseResources(now, entry);
         this.#queue.retry(now, entry);
       }
     }
@@ -86,7 +86,7 @@
     const load = entry ? this.#selectRunner(now, entry) : undefined;
     if (!entry || !load) return false;
     const { arrival } = entry;
-    const hitBlocks = state.prefixes.hits(load.runner.id, arrival.blocks);
+    const hitBlocks = state.prefixes.cachedBlocks(load.runner.id, arrival.blocks);
     const workMs = state.costs.prefillMs(uncachedTokens(arrival.promptTokens, hitBlocks));
     const readyInMs = Math.max(0, load.busyUntil - now) + workMs;
     if (!this.#rule.mayStart(now, state, readyInMs)) return false;
@@ -97,25 +97,30 @@
 
   /** Share of the cell's processing time that a request takes, in milliseconds: at prefill or at decode, whichever is scarcer. */
   #costMs(workMs: number): number {
-    const { places } = this.#state;
-    const prefillMs = workMs / Math.max(1, places.prefillRunners.length);
-    const decodeMs = residenceMs(this.#state) / Math.max(1, places.decodeSlots);
+    const { capacity } = this.#state;
+    const prefillMs = workMs / Math.max(1, capacity.prefillRunners.length);
+    const decodeMs = residenceMs(this.#state) / Math.max(1, capacity.decodeSlots);
     return Math.max(prefillMs, decodeMs);
   }
 
-  #selectRunner(now: number, entry: Entry): PrefillPlace | undefined {
+  #selectRunner(now: number, entry: Entry): PrefillLoad | undefined {
     const state = this.#state;
-    const candidates = state.places.prefillRunners.filter(
+    const candidates = state.capacity.prefillRunners.filter(
       (load) =>
         !load.leaving &&
         load.busyUntil - now <= LOOKAHEAD_MS &&
         load.pending < MAX_PENDING &&
         state.health.allows(now, load.runner.id),
     );
-    return this.#placement.prefill(now, state, entry.arrival, avoiding(candidates, entry.avoid));
+    return this.#placement.prefill(
+      now,
+      state,
+      entry.arrival,
+      preferOtherRunners(candidates, entry.lastFailedRunner),
+    );
   }
 
-  #start(now: number, entry: Entry, load: PrefillPlace, hitBlocks: number, workMs: number): void {
+  #start(now: number, entry: Entry, load: PrefillLoad, hitBlocks: number, workMs: number): void {
     const state = this.#state;
     const runner = load.runner.id;
     entry.stage = 'prefilling';
@@ -123,11 +128,11 @@
     entry.prefillRunner = runner;
     entry.hitBlocks = hitBlocks;
     entry.sent = true;
-    state.promised += 1;
+    state.awaitingSlot += 1;
     state.meanPrefillMs += NEWEST_WEIGHT * (workMs - state.meanPrefillMs);
-    state.places.givePrefill(runner, now, workMs);
+    state.capacity.addPrefill(runner, now, workMs);
     state.prefixes.add(runner, entry.arrival.blocks);
-    state.health.given(now, runner);
+    state.health.recordDispatch(now, runner);
     state.emit({ kind: 'prefill', id: entry.arrival.id, runner });
   }
 }
--- a/src/core/cell/prefixes.ts
+++ b/src/core/cell/prefixes.ts
@@ -1,24 +1,24 @@
 /**
  * Prediction of the contents of each prefill runner's prefix cache.
  *
- * It is based on the cell's own assignments. The runners' cache events are delayed and
+ * It is primarily based on the cell's own assignments. The runners' cache events are delayed and
  * incomplete, so they only add and remove single blocks, and nothing waits for them.
  */
 
 /** Read-only view of the prediction. */
-export interface Prefixes {
+export interface PrefixPrediction {
   /** Number of leading blocks of a prompt that are predicted to be cached at the runner. */
-  hits(runner: string, blocks: readonly number[]): number;
+  cachedBlocks(runner: string, blocks: readonly number[]): number;
 }
 
 /** Maximum number of blocks kept per runner; the least recently used are removed first. */
 const MAX_BLOCKS_PER_RUNNER = 4096;
 
 /** Predicted cache contents, updated by assignments and cache events. */
-export class PrefixMap implements Prefixes {
+export class PrefixMap implements PrefixPrediction {
   readonly #runners = new Map<string, Set<number>>();
 
-  hits(runner: string, blocks: readonly number[]): number {
+  cachedBlocks(runner: string, blocks: readonly number[]): number {
     const known = this.#runners.get(runner);
     if (!known) return 0;
     const miss = blocks.findIndex((block) => !known.has(block));
@@ -46,7 +46,7 @@
   }
 
   /** Clears the prediction for a runner that was lost, since it restarts with an empty cache. */
-  forget(runner: string): void {
+  clear(runner: string): void {
     this.#runners.delete(runner);
   }
 }
--- a/src/core/cell/admit.ts
+++ b/src/core/cell/queue.ts
@@ -2,10 +2,10 @@
 
 import type { CodeName } from '../codes';
 import { uncachedTokens } from '../prefix';
-import type { Admission, Verdict } from './admission';
+import type { Admission, AdmissionDecision } from './admission';
 import { bestHitBlocks, jitter } from './admission';
-import type { CellBoard } from './board';
-import { RESUME_LANE } from './board';
+import type { CellState } from './state';
+import { RESUME_QUEUE } from './state';
 import type { Entry } from './entry';
 import { newEntry } from './entry';
 import type { Arrival } from './types';
@@ -15,20 +15,20 @@
 
 /** Adds requests to the queue and removes those that become unservable. */
 export class QueueController {
-  readonly #state: CellBoard;
+  readonly #state: CellState;
 
   readonly #admission: Admission;
 
   /** Earliest time at which a queued request becomes unservable. */
   #nextUnservableAt = Infinity;
 
-  constructor(state: CellBoard, admission: Admission) {
+  constructor(state: CellState, admission: Admission) {
     this.#state = state;
     this.#admission = admission;
   }
 
   /** Earliest time at which a queued request becomes unservable; Infinity if none is queued. */
-  get nextLoss(): number {
+  get nextUnservableAt(): number {
     return this.#nextUnservableAt;
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** A quarantined request (one that crashed its engines) is refused regardless of free capacity. */
-  #decide(now: number, arrival: Arrival): Verdict {
+  #decide(now: number, arrival: Arrival): AdmissionDecision {
     const retryAfterMs = this.#quarantineMs(now, arrival);
     if (retryAfterMs !== undefined) return { admitted: false, code: 'quarantined', retryAfterMs };
     return this.#admission.decide(now, this.#state, arrival);
@@ -73,19 +73,19 @@
   retry(now: number, entry: Entry): void {
     const state = this.#state;
     if (this.#quarantineMs(now, entry.arrival) !== undefined) {
-      this.giveUp(now, entry, 'quarantined');
+      this.refuse(now, entry, 'quarantined');
       return;
     }
     if (!state.budget.spend(entry.arrival.team)) {
-      this.giveUp(now, entry, 'retriesSpent');
+      this.refuse(now, entry, 'retriesSpent');
       return;
     }
     state.counters.retries += 1;
     entry.stage = 'queued';
     entry.since = now;
-    if (entry.resumedAt > 0) {
+    if (entry.resumedTokens > 0) {
       entry.arrival = { ...entry.arrival, deadline: now + RESUME_WAIT_MS };
-      state.waiting.unshift(RESUME_LANE, entry);
+      state.waiting.unshift(RESUME_QUEUE, entry);
     } else {
       state.waiting.unshift(entry.arrival.team, entry);
     }
@@ -93,17 +93,17 @@
   }
 
   /** Refuses and removes a request. The refusal says "not run" only if the request was never sent to a runner. */
-  giveUp(now: number, entry: Entry, code: CodeName): void {
+  refuse(now: number, entry: Entry, code: CodeName): void {
     const state = this.#state;
     state.counters.refused += 1;
     const { id } = entry.arrival;
     const retryAfterMs = jitter(id, state.meanPrefillMs);
     state.emit({ kind: 'refuse', id, code, notRun: !entry.sent, retryAfterMs });
-    state.drop(now, entry);
+    state.remove(now, entry);
   }
 
   /** Refuses queued requests that can no longer get their first token by the deadline. */
-  refuseLost(now: number): void {
+  refuseUnservable(now: number): void {
     if (now < this.#nextUnservableAt) return;
     const state = this.#state;
     const unservable = state.waiting.removeWhere((entry) => now >= this.#unservableFrom(entry));
@@ -116,7 +116,7 @@
           entry.arrival.deadline - entry.arrivedAt,
         );
       }
-      this.giveUp(now, entry, entry.sent ? 'timedOut' : 'deadlineUnreachable');
+      this.refuse(now, entry, entry.sent ? 'timedOut' : 'deadlineUnreachable');
     }
     this.#nextUnservableAt = Infinity;
     for (const entry of state.requests.values()) {
@@ -125,7 +125,7 @@
   }
 
   /** Repeats the last action of a request, whose message was lost with a connection. */
-  repeat({ arrival: { id }, stage, prefillRunner, decodeRunner }: Entry): void {
+  resendAction({ arrival: { id }, stage, prefillRunner, decodeRunner }: Entry): void {
     if (prefillRunner === undefined) return;
     if (stage === 'prefilling') this.#state.emit({ kind: 'prefill', id, runner: prefillRunner });
     if (stage === 'transferring' && decodeRunner !== undefined) {
@@ -141,11 +141,11 @@
   #handleRepeatedArrival(now: number, entry: Entry): void {
     if (entry.stage === 'queued') return;
     if (entry.stage === 'prefilling') {
-      this.repeat(entry);
+      this.resendAction(entry);
       return;
     }
-    this.#state.waste(entry);
-    this.#state.leaveStage(now, entry);
+    this.#state.countWaste(entry);
+    this.#state.releaseResources(now, entry);
     this.retry(now, entry);
   }
 
--- a/src/core/cell/shares.ts
+++ b/src/core/cell/shares.ts
@@ -3,13 +3,13 @@
 import { FairShares } from '../fair';
 
 /** Read-only view of the queue. */
-export interface Waiting {
+export interface QueueView {
   /** Number of entries in all groups. */
   readonly size: number;
   /** Number of entries in one group. */
-  waitingOf(group: string): number;
+  sizeOf(group: string): number;
   /** Number of entries that would be served before a new entry of this group, assuming the mean cost per entry. */
-  ahead(group: string): number;
+  countAhead(group: string): number;
 }
 
 /** Weight of the newest entry in the moving average of the cost. */
@@ -21,7 +21,7 @@
 }
 
 /** Weighted fair queue: `peek` returns the next entry, `take` removes it and charges its cost. */
-export class FairQueue<T> implements Waiting {
+export class FairQueue<T> implements QueueView {
   readonly #groups = new Map<string, GroupQueue<T>>();
 
   readonly #shares: FairShares;
@@ -42,12 +42,12 @@
     return this.#size;
   }
 
-  waitingOf(group: string): number {
+  sizeOf(group: string): number {
     return this.#groups.get(group)?.entries.length ?? 0;
   }
 
-  ahead(group: string): number {
-    const own = this.waitingOf(group);
+  countAhead(group: string): number {
+    const own = this.sizeOf(group);
     const tag = this.#shares.tagOf(group) + this.#shares.stepOf(group, own * this.#meanCost);
     let count = own;
     for (const queue of this.#groups.values()) {
--- a/src/core/cell/board.ts
+++ b/src/core/cell/state.ts
@@ -3,14 +3,14 @@
 import { RetryBudget } from './budget';
 import { LearntCosts } from './costs';
 import type { Entry } from './entry';
-import { isPromised } from './entry';
+import { needsDecodeSlot } from './entry';
 import { RunnerHealth } from './health';
 import { OutputHistogram } from './outputs';
-import type { PrefillPlace } from './places';
-import { PlaceBook } from './places';
+import type { PrefillLoad } from './capacity';
+import { CapacityTracker } from './capacity';
 import { PrefixMap } from './prefixes';
 import { Quarantine } from '../quarantine/quarantine';
-import { Margins } from './margins';
+import { LatenessMargins } from './margins';
 import { FairQueue } from './shares';
 import type { CellAction, CellPolicy } from './types';
 import type { CellRequest, CellView } from './view';
@@ -30,7 +30,7 @@
 }
 
 /** Queue of requests whose caller already has tokens; it is served before the queues of all teams. */
-export const RESUME_LANE = '\u0000resume';
+export const RESUME_QUEUE = '\u0000resume';
 /** Weight of that queue relative to a team of weight 1. */
 const RESUME_QUEUE_WEIGHT = 1e6;
 
@@ -38,12 +38,12 @@
 const BURST_CREDIT_MS = 3000;
 
 /** The shared state. */
-export class CellBoard implements CellView {
+export class CellState implements CellView {
   /** Written by the cell when the settings change. */
   policy: CellPolicy;
 
   /** Written by the lifecycle, prefill and transfer controllers, through `releaseResources` and their own assignments. */
-  readonly places = new PlaceBook();
+  readonly capacity = new CapacityTracker();
 
   /** Written by the lifecycle controller. */
   readonly outputs: OutputHistogram;
@@ -69,6 +69,7 @@
   /** Requests whose finished prefill is kept by its runner and that wait for a decode slot and a link. */
   readonly prefilled = new Set<Entry>();
 
+  /** Written by the queue controller. */
   readonly budget = new RetryBudget();
 
   /** Requests that crash their engines. Written by the lifecycle controller. */
@@ -85,10 +86,12 @@
   };
 
   /** Written by the queue and transfer controllers. */
-  readonly margins = new Margins();
+  readonly margins = new LatenessMargins();
 
-  promised = 0;
+  /** Written by the controllers that start or end a prefill or assign a decode slot. */
+  awaitingSlot = 0;
 
+  /** Written by the prefill controller. */
   meanPrefillMs: number;
 
   /** Pending actions, in order; taken after each event. */
@@ -100,7 +103,7 @@
     this.costs = new LearntCosts(policy);
     this.meanPrefillMs = policy.prefillBaseMs;
     this.waiting = new FairQueue<Entry>(
-      (team) => (team === RESUME_LANE ? RESUME_QUEUE_WEIGHT : (this.policy.shares[team] ?? 1)),
+      (team) => (team === RESUME_QUEUE ? RESUME_QUEUE_WEIGHT : (this.policy.shares[team] ?? 1)),
       BURST_CREDIT_MS,
     );
   }
@@ -116,20 +119,20 @@
   }
 
   /** Load of the prefill runner assigned to a request; undefined if it has none or the runner is unknown. */
-  sourceOf({ prefillRunner }: CellRequest): PrefillPlace | undefined {
-    return prefillRunner === undefined ? undefined : this.places.prefillPlace(prefillRunner);
+  prefillLoadOf({ prefillRunner }: CellRequest): PrefillLoad | undefined {
+    return prefillRunner === undefined ? undefined : this.capacity.prefillLoad(prefillRunner);
   }
 
   /** Releases everything that the request holds at its stage. Its stage becomes `queued`, but it is in no queue. */
-  leaveStage(now: number, entry: Entry): void {
+  releaseResources(now: number, entry: Entry): void {
     const { stage, prefillRunner, decodeRunner, arrival } = entry;
     if (stage === 'queued') this.#removeFromQueue(entry);
     if (stage === 'prefilling' && prefillRunner !== undefined) {
-      this.places.endPrefill(prefillRunner, now);
+      this.capacity.removePrefill(prefillRunner, now);
     }
-    if (isPromised(stage)) this.promised -= 1;
+    if (needsDecodeSlot(stage)) this.awaitingSlot -= 1;
     if (stage === 'transferring') this.endTransfer(entry);
-    if (decodeRunner !== undefined) this.places.freeSlot(decodeRunner, now, arrival.promptTokens);
+    if (decodeRunner !== undefined) this.capacity.freeSlot(decodeRunner, now, arrival.promptTokens);
     this.prefilled.delete(entry);
     this.decoding.delete(entry);
     entry.decodeRunner = undefined;
@@ -138,30 +141,30 @@
 
   /** Releases the link of a request's transfer. */
   endTransfer(entry: Entry): void {
-    const source = this.sourceOf(entry);
-    if (source) this.places.freeLink(source.runner.link);
+    const source = this.prefillLoadOf(entry);
+    if (source) this.capacity.freeLink(source.runner.link);
   }
 
   /** Releases everything that a request holds and removes the request. */
-  drop(now: number, entry: Entry): void {
-    this.leaveStage(now, entry);
+  remove(now: number, entry: Entry): void {
+    this.releaseResources(now, entry);
     this.requests.delete(entry.arrival.id);
   }
 
   /** Counts the prefill of a request as discarded. */
-  waste({ arrival, hitBlocks }: CellRequest): void {
+  countWaste({ arrival, hitBlocks }: CellRequest): void {
     this.counters.wastedTokens += uncachedTokens(arrival.promptTokens, hitBlocks);
   }
 
   /** Compares the tracked capacity with the requests; each line means that a slot was lost or counted twice. */
   violations(): readonly string[] {
     const all = [...this.requests.values()];
-    const found = this.places.decodeRunners.flatMap(({ runner, held }) => {
+    const found = this.capacity.decodeRunners.flatMap(({ runner, held }) => {
       const holders = all.filter(({ decodeRunner }) => decodeRunner === runner.id).length;
       return holders === held ? [] : [`${runner.id}: ${held} slots held by ${holders} requests`];
     });
-    const promised = all.filter(({ stage }) => isPromised(stage)).length;
-    if (promised !== this.promised) found.push(`${this.promised} promised, ${promised} counted`);
+    const count = all.filter(({ stage }) => needsDecodeSlot(stage)).length;
+    if (count !== this.awaitingSlot) found.push(`${this.awaitingSlot} awaiting, ${count} counted`);
     const queued = all.filter(({ stage }) => stage === 'queued').length;
     if (queued !== this.waiting.size) found.push(`${this.waiting.size} waiting, ${queued} counted`);
     return found;
@@ -169,6 +172,6 @@
 
   #removeFromQueue(entry: Entry): void {
     const removed = this.waiting.remove(entry.arrival.team, entry);
-    if (!removed) this.waiting.remove(RESUME_LANE, entry);
+    if (!removed) this.waiting.remove(RESUME_QUEUE, entry);
   }
 }
--- a/src/core/cell/transfer.ts
+++ b/src/core/cell/transfer.ts
@@ -1,24 +1,24 @@
 /** Transfer controller: assigns a decode slot and a link to each finished prefill. */
 
-import type { CellBoard } from './board';
+import type { CellState } from './state';
 import type { Entry } from './entry';
-import type { DecodePlace } from './places';
-import { avoiding, freeOf } from './places';
+import type { DecodeLoad } from './capacity';
+import { preferOtherRunners, freeSlotsOf } from './capacity';
 import type { Placement } from './placement';
 
 /** Assigns decode slots and links. */
 export class TransferController {
-  readonly #state: CellBoard;
+  readonly #state: CellState;
 
   readonly #placement: Placement;
 
-  constructor(state: CellBoard, placement: Placement) {
+  constructor(state: CellState, placement: Placement) {
     this.#state = state;
     this.#placement = placement;
   }
 
   /** Starts all transfers that are possible, the results with the earliest eviction first. */
-  sendAll(now: number): void {
+  startAll(now: number): void {
     const { prefilled } = this.#state;
     if (prefilled.size === 0) return;
     const byEviction = [...prefilled].sort((a, b) => a.keptUntil - b.keptUntil);
@@ -26,13 +26,13 @@
   }
 
   /** Handles the first token of a request: its transfer is complete, so the link is released. */
-  started(now: number, id: string): void {
+  finish(now: number, id: string): void {
     const state = this.#state;
     const entry = state.requests.get(id);
     if (entry?.stage !== 'transferring') return;
     state.endTransfer(entry);
-    if (entry.decodeRunner !== undefined) state.health.succeeded(entry.decodeRunner);
-    if (entry.resumedAt === 0) {
+    if (entry.decodeRunner !== undefined) state.health.recordSuccess(entry.decodeRunner);
+    if (entry.resumedTokens === 0) {
       state.margins.observe(entry.arrival.team, entry.forecastMs, now - entry.arrivedAt);
     }
     entry.stage = 'decoding';
@@ -42,33 +42,38 @@
 
   #start(now: number, entry: Entry): void {
     const state = this.#state;
-    const source = state.sourceOf(entry);
-    if (!source || state.places.linkBusy(source.runner.link)) return;
+    const source = state.prefillLoadOf(entry);
+    if (!source || state.capacity.isLinkBusy(source.runner.link)) return;
     const target = this.#selectRunner(now, entry);
     if (!target) return;
     const { id, promptTokens } = entry.arrival;
     const runner = target.runner.id;
     state.prefilled.delete(entry);
-    state.promised -= 1;
+    state.awaitingSlot -= 1;
     entry.stage = 'transferring';
     entry.since = now;
     entry.decodeRunner = runner;
-    entry.batch = target.held + target.foreign + 1;
-    state.places.holdSlot(runner, now, promptTokens);
-    state.places.holdLink(source.runner.link);
-    state.health.given(now, runner);
+    entry.batch = target.held + target.untracked + 1;
+    state.capacity.reserveSlot(runner, now, promptTokens);
+    state.capacity.reserveLink(source.runner.link);
+    state.health.recordDispatch(now, runner);
     state.emit({ kind: 'decode', id, runner, source: source.runner.id });
   }
 
-  #selectRunner(now: number, entry: Entry): DecodePlace | undefined {
+  #selectRunner(now: number, entry: Entry): DecodeLoad | undefined {
     const state = this.#state;
     const needed = entry.arrival.promptTokens + state.outputs.mean;
-    const candidates = state.places.decodeRunners.filter(
+    const candidates = state.capacity.decodeRunners.filter(
       (load) =>
-        freeOf(load) > 0 &&
+        freeSlotsOf(load) > 0 &&
         load.heldTokens + needed <= load.runner.memoryTokens &&
         state.health.allows(now, load.runner.id),
     );
-    return this.#placement.decode(now, state, entry.arrival, avoiding(candidates, entry.avoid));
+    return this.#placement.decode(
+      now,
+      state,
+      entry.arrival,
+      preferOtherRunners(candidates, entry.lastFailedRunner),
+    );
   }
 }
--- a/src/core/cell/view.ts
+++ b/src/core/cell/view.ts
@@ -4,9 +4,9 @@
 import type { Health } from './health';
 import type { ForecastMargins } from './margins';
 import type { OutputLengths } from './outputs';
-import type { Places } from './places';
-import type { Prefixes } from './prefixes';
-import type { Waiting } from './shares';
+import type { CellCapacity } from './capacity';
+import type { PrefixPrediction } from './prefixes';
+import type { QueueView } from './shares';
 import type { Arrival, CellPolicy } from './types';
 
 /** Processing stage of a request. */
@@ -31,9 +31,9 @@
   /** Time at which the runner evicts the finished prefill. */
   readonly keptUntil: number;
   /** Runner that last failed this request; it is only chosen if there is no other. */
-  readonly avoid: string | undefined;
+  readonly lastFailedRunner: string | undefined;
   /** Number of output tokens that the caller has received from previous runners. */
-  readonly resumedAt: number;
+  readonly resumedTokens: number;
   /** Output length up to which the request is recorded in the learnt distribution, in tokens. */
   readonly countedTokens: number;
   /** Size of the batch that the request joined, for learning the time between tokens. */
@@ -43,16 +43,16 @@
 /** State that a policy may read. */
 export interface CellView {
   readonly policy: CellPolicy;
-  readonly places: Places;
+  readonly capacity: CellCapacity;
   readonly outputs: OutputLengths;
   readonly costs: Costs;
-  readonly waiting: Waiting;
-  readonly prefixes: Prefixes;
+  readonly waiting: QueueView;
+  readonly prefixes: PrefixPrediction;
   readonly health: Health;
   /** Requests that are decoding. */
   readonly decoding: Iterable<CellRequest>;
   /** Number of requests whose prefill is assigned or finished and that have no decode slot yet. */
-  readonly promised: number;
+  readonly awaitingSlot: number;
   readonly margins: ForecastMargins;
   /** Exponential moving average of the prefill cost after cache hits, in milliseconds. */
   readonly meanPrefillMs: number;
--- a/src/core/registry/keys.ts
+++ b/src/core/registry/keys.ts
@@ -12,7 +12,7 @@
 }
 
 /** Location of a running request's stream at its runner, so that another gateway can continue it. */
-export interface StreamPlace {
+export interface StreamLocation {
   readonly runner: string;
   /** Id of the run at the runner. */
   readonly runId: string;
@@ -24,14 +24,14 @@
 }
 
 /** Result of registering an attempt. */
-export type Attempt =
+export type AttemptResult =
   | { readonly kind: 'fresh' }
-  /** Another gateway processes the request; its stream can be read there. `place` is undefined expiresAt the run's location is known. */
+  /** Another gateway processes the request; its stream can be read there. `place` is undefined until the run's location is known. */
   | {
       readonly kind: 'running';
       readonly gateway: string;
       readonly id: string;
-      readonly place: StreamPlace | undefined;
+      readonly place: StreamLocation | undefined;
     }
   | { readonly kind: 'done'; readonly answer: FinishedAnswer }
   | { readonly kind: 'mismatch' };
@@ -40,7 +40,7 @@
   readonly fingerprint: string;
   gateway: string;
   id: string;
-  place: StreamPlace | undefined;
+  place: StreamLocation | undefined;
   answer: FinishedAnswer | undefined;
   expiresAt: number;
 }
@@ -71,7 +71,13 @@
   }
 
   /** Registers an attempt, or returns where the request is already running or its answer. */
-  attempt(now: number, key: string, fingerprint: string, gateway: string, id: string): Attempt {
+  attempt(
+    now: number,
+    key: string,
+    fingerprint: string,
+    gateway: string,
+    id: string,
+  ): AttemptResult {
     const entry = this.#findLive(now, key);
     if (!entry) {
       this.#entries.set(key, {
@@ -91,13 +97,13 @@
   }
 
   /** Records the stream location of the running attempt. */
-  locate(key: string, id: string, place: StreamPlace): void {
+  setLocation(key: string, id: string, place: StreamLocation): void {
     const entry = this.#entries.get(key);
     if (entry?.id === id) entry.place = place;
   }
 
   /** Reassigns a running request from attempt `from` to a new one; false if it no longer belongs to `from`. */
-  transfer(key: string, from: string, gateway: string, id: string): boolean {
+  reassign(key: string, from: string, gateway: string, id: string): boolean {
     const entry = this.#entries.get(key);
     if (!entry || entry.answer || entry.id !== from) return false;
     entry.gateway = gateway;
@@ -106,7 +112,7 @@
   }
 
   /** Stores the finished answer of the attempt that runs the request. */
-  conclude(now: number, key: string, id: string, answer: FinishedAnswer): void {
+  complete(now: number, key: string, id: string, answer: FinishedAnswer): void {
     const entry = this.#entries.get(key);
     if (entry?.id !== id || entry.answer) return;
     entry.answer = answer;
--- a/src/core/settings/book.ts
+++ b/src/core/settings/documents.ts
@@ -6,7 +6,7 @@
 import { createHash } from 'node:crypto';
 
 import { toFailure } from '../failure';
-import type { Document } from './parse';
+import type { SettingsDocument } from './parse';
 import { CONSORTIUM, TEAM_PREFIX, parseDocument } from './parse';
 import type { Consortium, Pool, Service, TeamDocument } from './schema';
 
@@ -20,7 +20,7 @@
 }
 
 /** Result of applying a document. */
-export type Applied =
+export type ApplyResult =
   | { readonly kind: 'applied' }
   | { readonly kind: 'known' }
   /** It is older than the revision in force: the store lost writes, or the message was delayed. */
@@ -56,7 +56,7 @@
 }
 
 /** Holds the settings in force. Only the settings controller modifies it. */
-export class SettingsBook implements Settings {
+export class SettingsDocuments implements Settings {
   readonly #stored = new Map<string, StoredDocument>();
 
   /** Highest revision seen of each document, including malformed ones, so that these are not parsed again. */
@@ -123,7 +123,7 @@
   }
 
   /** Puts a document in force if it is newer than the known revision and valid. */
-  apply(offered: StoredDocument): Applied {
+  apply(offered: StoredDocument): ApplyResult {
     const inForce = this.revisionOf(offered.path);
     if (offered.revision < inForce) return { kind: 'older', inForce };
     if (offered.revision <= Math.max(inForce, this.#seen.get(offered.path) ?? 0)) {
@@ -145,7 +145,7 @@
       this.#remove(path);
       return;
     }
-    const document: Document = parseDocument(path, text);
+    const document: SettingsDocument = parseDocument(path, text);
     if (document.kind === 'team') {
       this.#teams.set(document.team, document.value);
       return;
--- a/test/core/settings.test.ts
+++ b/test/core/settings.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 
 import { toFailure } from '../../src/core/failure';
-import { SettingsBook } from '../../src/core/settings/book';
+import { SettingsDocuments } from '../../src/core/settings/documents';
 import { editText, splitPath } from '../../src/core/settings/envelope';
 import { parseDocument } from '../../src/core/settings/parse';
 
@@ -18,17 +18,17 @@
     });
     fc.assert(
       fc.property(fc.array(document, { maxLength: 60 }), (documents) => {
-        const book = new SettingsBook();
+        const settings = new SettingsDocuments();
         const highest: Record<string, number> = {};
         for (const { path, revision, bad, gone } of documents) {
           const text = bad ? '{ "services": 1 }' : team(revision);
-          const before = book.revisionOf(path);
-          book.apply({ path, revision, text: gone ? null : text });
-          expect(book.revisionOf(path)).toBeGreaterThanOrEqual(before);
-          if (!bad || gone) highest[path] = Math.max(highest[path] ?? 0, book.revisionOf(path));
+          const before = settings.revisionOf(path);
+          settings.apply({ path, revision, text: gone ? null : text });
+          expect(settings.revisionOf(path)).toBeGreaterThanOrEqual(before);
+          if (!bad || gone) highest[path] = Math.max(highest[path] ?? 0, settings.revisionOf(path));
         }
         for (const [path, revision] of Object.entries(highest)) {
-          expect(book.revisionOf(path)).toBe(revision);
+          expect(settings.revisionOf(path)).toBe(revision);
         }
       }),
       { seed: 20261202 },
@@ -43,7 +43,7 @@
     }));
     fc.assert(
       fc.property(fc.shuffledSubarray(documents, { minLength: 8 }), (order) => {
-        const [one, two] = [new SettingsBook(), new SettingsBook()];
+        const [one, two] = [new SettingsDocuments(), new SettingsDocuments()];
         documents.forEach((document) => one.apply(document));
         order.forEach((document) => two.apply(document));
         expect(two.digest).toBe(one.digest);
@@ -53,16 +53,16 @@
   });
 
   test('keep the last valid document when a newer one is malformed', () => {
-    const book = new SettingsBook();
-    book.apply({ path: 'teams/a', revision: 1, text: team(7) });
-    const applied = book.apply({ path: 'teams/a', revision: 2, text: '{' });
+    const settings = new SettingsDocuments();
+    settings.apply({ path: 'teams/a', revision: 1, text: team(7) });
+    const applied = settings.apply({ path: 'teams/a', revision: 2, text: '{' });
     expect(applied).toMatchInlineSnapshot(`
      {
        "detail": "[103] teams/a: found CloseBraceExpected at line 1, column 2, expected JSON with comments",
        "kind": "malformed",
      }
     `);
-    expect(book.team('a')?.services.deeds).toMatchObject({ maxTokens: 7 });
+    expect(settings.team('a')?.services.deeds).toMatchObject({ maxTokens: 7 });
   });
 });
 
