--- a/src/core/cell/costs.ts
+++ b/src/core/cell/costs.ts
@@ -1,39 +1,39 @@
-/** Learnt costs of a service's runners: prefill, transfer and time between tokens. */
+/** Cost model of a service's runners, learnt from outcomes: prefill, transfer and time between tokens. */
 
-import { ScaledLine } from './line';
+import { LinearCost } from './linear';
 import type { CellPolicy } from './types';
 
-/** Read-only view of the costs. */
+/** Read-only view of the cost model. */
 export interface Costs {
   /** Milliseconds to prefill this many tokens that are not cached. */
   prefillMs(tokens: number): number;
-  /** Milliseconds to move the KV cache of this many tokens over an idle link. */
+  /** Milliseconds to transfer the KV cache of this many tokens over an idle link. */
   transferMs(tokens: number): number;
   /** Milliseconds between tokens in a batch of this size. */
   tokenMs(batch: number): number;
-  /** Largest batch whose time between tokens stays within the target. */
-  batchWithin(targetMs: number, slots: number): number;
+  /** Largest batch whose time between tokens stays within the target; at least 1 and at most `slots`. */
+  maxBatchWithin(targetMs: number, slots: number): number;
 }
 
-/** Keeps a batch that just meets the target from losing a place to rounding. */
-const ROUNDING = 1e-6;
+/** Keeps a batch that exactly meets the target from losing a slot to rounding. */
+const ROUNDING_TOLERANCE = 1e-6;
 
-/** Costs corrected by every outcome. */
+/** Costs that are corrected by each observed outcome. */
 export class LearntCosts implements Costs {
-  readonly #prefill: ScaledLine;
+  readonly #prefill: LinearCost;
 
-  readonly #token: ScaledLine;
+  readonly #token: LinearCost;
 
   readonly #linkTokensPerMs: number;
 
   constructor(policy: CellPolicy) {
-    this.#prefill = new ScaledLine(policy.prefillBaseMs, policy.prefillTokenMs);
-    this.#token = new ScaledLine(policy.decodeBaseMs, policy.decodeSlotMs);
+    this.#prefill = new LinearCost(policy.prefillBaseMs, policy.prefillTokenMs);
+    this.#token = new LinearCost(policy.decodeBaseMs, policy.decodeSlotMs);
     this.#linkTokensPerMs = policy.linkTokensPerMs;
   }
 
   prefillMs(tokens: number): number {
-    return this.#prefill.at(tokens);
+    return this.#prefill.estimate(tokens);
   }
 
   transferMs(tokens: number): number {
@@ -41,18 +41,20 @@
   }
 
   tokenMs(batch: number): number {
-    return this.#token.at(batch);
+    return this.#token.estimate(batch);
   }
 
-  batchWithin(targetMs: number, slots: number): number {
-    const batch = Math.floor(this.#token.sizeWithin(targetMs) + ROUNDING);
+  maxBatchWithin(targetMs: number, slots: number): number {
+    const batch = Math.floor(this.#token.maxSizeWithin(targetMs) + ROUNDING_TOLERANCE);
     return Math.max(1, Math.min(slots, batch));
   }
 
+  /** Records the duration of a prefill of this many uncached tokens. */
   observePrefill(tokens: number, ms: number): void {
     this.#prefill.observe(tokens, ms);
   }
 
+  /** Records the time between tokens in a batch of this size. */
   observeTokens(batch: number, msPerToken: number): void {
     this.#token.observe(batch, msPerToken);
   }
--- a/src/core/cell/transfer.ts
+++ b/src/core/cell/transfer.ts
@@ -1,74 +1,79 @@
-/** Controller of transfers: gives finished prefills a decode slot and their turn on the link. */
+/** Transfer controller: assigns a decode slot and a link to each finished prefill. */
 
-import type { CellBoard } from './board';
+import type { CellState } from './state';
 import type { Entry } from './entry';
-import type { DecodePlace } from './places';
-import { avoiding, freeOf } from './places';
+import type { DecodeLoad } from './capacity';
+import { preferOtherRunners, freeSlotsOf } from './capacity';
 import type { Placement } from './placement';
 
-/** Writes decode slots and links. */
+/** Assigns decode slots and links. */
 export class TransferController {
-  readonly #board: CellBoard;
+  readonly #state: CellState;
 
   readonly #placement: Placement;
 
-  constructor(board: CellBoard, placement: Placement) {
-    this.#board = board;
+  constructor(state: CellState, placement: Placement) {
+    this.#state = state;
     this.#placement = placement;
   }
 
-  /** Sends what can be sent, the result that is evicted first before the others. */
-  sendAll(now: number): void {
-    const { prefilled } = this.#board;
+  /** Starts all transfers that are possible, the results with the earliest eviction first. */
+  startAll(now: number): void {
+    const { prefilled } = this.#state;
     if (prefilled.size === 0) return;
-    const urgent = [...prefilled].sort((a, b) => a.keptUntil - b.keptUntil);
-    for (const entry of urgent) this.#send(now, entry);
+    const byEviction = [...prefilled].sort((a, b) => a.keptUntil - b.keptUntil);
+    for (const entry of byEviction) this.#start(now, entry);
   }
 
-  /** The first token is out: the link is free again. */
-  started(now: number, id: string): void {
-    const board = this.#board;
-    const entry = board.requests.get(id);
+  /** Handles the first token of a request: its transfer is complete, so the link is released. */
+  finish(now: number, id: string): void {
+    const state = this.#state;
+    const entry = state.requests.get(id);
     if (entry?.stage !== 'transferring') return;
-    board.endTransfer(entry);
-    if (entry.decodeRunner !== undefined) board.health.succeeded(entry.decodeRunner);
-    if (entry.resumedAt === 0) {
-      board.margins.observe(entry.arrival.team, entry.forecastMs, now - entry.arrivedAt);
+    state.endTransfer(entry);
+    if (entry.decodeRunner !== undefined) state.health.recordSuccess(entry.decodeRunner);
+    if (entry.resumedTokens === 0) {
+      state.margins.observe(entry.arrival.team, entry.forecastMs, now - entry.arrivedAt);
     }
     entry.stage = 'decoding';
     entry.since = now;
-    board.decoding.add(entry);
+    state.decoding.add(entry);
   }
 
-  #send(now: number, entry: Entry): void {
-    const board = this.#board;
-    const source = board.sourceOf(entry);
-    if (!source || board.places.linkBusy(source.runner.link)) return;
-    const target = this.#choose(now, entry);
+  #start(now: number, entry: Entry): void {
+    const state = this.#state;
+    const source = state.prefillLoadOf(entry);
+    if (!source || state.capacity.isLinkBusy(source.runner.link)) return;
+    const target = this.#selectRunner(now, entry);
     if (!target) return;
     const { id, promptTokens } = entry.arrival;
     const runner = target.runner.id;
-    board.prefilled.delete(entry);
-    board.promised -= 1;
+    state.prefilled.delete(entry);
+    state.awaitingSlot -= 1;
     entry.stage = 'transferring';
     entry.since = now;
     entry.decodeRunner = runner;
-    entry.batch = target.held + target.foreign + 1;
-    board.places.holdSlot(runner, now, promptTokens);
-    board.places.holdLink(source.runner.link);
-    board.health.given(now, runner);
-    board.emit({ kind: 'decode', id, runner, source: source.runner.id });
+    entry.batch = target.held + target.untracked + 1;
+    state.capacity.reserveSlot(runner, now, promptTokens);
+    state.capacity.reserveLink(source.runner.link);
+    state.health.recordDispatch(now, runner);
+    state.emit({ kind: 'decode', id, runner, source: source.runner.id });
   }
 
-  #choose(now: number, entry: Entry): DecodePlace | undefined {
-    const board = this.#board;
-    const needed = entry.arrival.promptTokens + board.outputs.mean;
-    const able = board.places.decodeRunners.filter(
-      (place) =>
-        freeOf(place) > 0 &&
-        place.heldTokens + needed <= place.runner.memoryTokens &&
-        board.health.allows(now, place.runner.id),
+  #selectRunner(now: number, entry: Entry): DecodeLoad | undefined {
+    const state = this.#state;
+    const needed = entry.arrival.promptTokens + state.outputs.mean;
+    const candidates = state.capacity.decodeRunners.filter(
+      (load) =>
+        freeSlotsOf(load) > 0 &&
+        load.heldTokens + needed <= load.runner.memoryTokens &&
+        state.health.allows(now, load.runner.id),
+    );
+    return this.#placement.decode(
+      now,
+      state,
+      entry.arrival,
+      preferOtherRunners(candidates, entry.lastFailedRunner),
     );
-    return this.#placement.decode(now, board, entry.arrival, avoiding(able, entry.avoid));
   }
 }
