--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -1,13 +1,14 @@
-/** News waiting to be piggybacked on packets, each for a bounded number of times. */
+/** Queue of updates that are piggybacked on packets, each a bounded number of times. */
 
 interface Item<T> {
   readonly value: T;
-  left: number;
+  remaining: number;
 }
 
 /**
- * Newest news for each key. What was never sent goes first, the rest by turns, so
- * that a packet costs no more where the whole of a fleet is news.
+ * Holds the latest update for each key. Updates that were never sent go first and the
+ * rest in round-robin order, so that the size of a packet stays bounded even if the
+ * whole fleet changes at once.
  */
 export class Gossip<T> {
   readonly #fresh = new Map<string, Item<T>>();
@@ -18,38 +19,38 @@
     return this.#fresh.size + this.#sent.size;
   }
 
-  /** Queues a piece of news to be sent `times` times; it replaces older news of the same key. */
+  /** Queues an update to be sent `times` times; it replaces an older update of the same key. */
   add(key: string, value: T, times: number): void {
     this.#sent.delete(key);
-    this.#fresh.set(key, { value, left: times });
+    this.#fresh.set(key, { value, remaining: times });
   }
 
   /**
-   * Takes up to `limit` pieces for one packet.
-   * @param room size that the pieces may have together; the first always fits
-   * @param sizeOf size of one piece
+   * Takes up to `limit` updates for one packet.
+   * @param maxSize total size of the updates; the first one is always included
+   * @param sizeOf size of one update
    */
-  take(limit: number, room = Infinity, sizeOf: (value: T) => number = () => 0): readonly T[] {
+  take(limit: number, maxSize = Infinity, sizeOf: (value: T) => number = () => 0): readonly T[] {
     const taken: [string, Item<T>][] = [];
     let size = 0;
-    for (const entry of this.#inTurn()) {
+    for (const entry of this.#entries()) {
       size += sizeOf(entry[1].value);
-      if (taken.length === limit || (size > room && taken.length > 0)) break;
+      if (taken.length === limit || (size > maxSize && taken.length > 0)) break;
       taken.push(entry);
     }
     for (const [key, item] of taken) this.#requeue(key, item);
     return taken.map(([, { value }]) => value);
   }
 
-  *#inTurn(): Generator<[string, Item<T>]> {
+  *#entries(): Generator<[string, Item<T>]> {
     yield* this.#fresh;
     yield* this.#sent;
   }
 
-  /** Puts a piece that was sent behind all others, or drops it after its last time. */
-  #requeue(key: string, { value, left }: Item<T>): void {
+  /** Moves an update that was sent to the end of the queue, or drops it after its last send. */
+  #requeue(key: string, { value, remaining }: Item<T>): void {
     this.#fresh.delete(key);
     this.#sent.delete(key);
-    if (left > 1) this.#sent.set(key, { value, left: left - 1 });
+    if (remaining > 1) this.#sent.set(key, { value, remaining: remaining - 1 });
   }
 }
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,8 +1,8 @@
 /**
- * Membership by probing, after the SWIM protocol (Das, Gupta, Motivala 2002):
- * each period one member is pinged, at first directly and then through others;
- * who does not answer is suspected, and dead unless it refutes that in time.
- * The cost for each member does not grow with their number.
+ * Membership by the SWIM protocol (Das, Gupta, Motivala 2002): each period one member is
+ * pinged, first directly and then through other members. A member that does not answer
+ * is suspected, and declared dead unless it refutes the suspicion in time. The load on
+ * each member does not grow with the number of members.
  */
 
 import { match } from 'ts-pattern';
@@ -22,23 +22,23 @@
 } from './types';
 import { isPresent, overrides } from './types';
 
-/** Part of the period that a direct ping has before others are asked to help. */
-const DIRECT_PART = 0.4;
-/** Members asked to ping on our behalf. */
-const HELPERS = 3;
-/** Members that get a rumour at once. */
+/** Fraction of the probe period after which other members are asked to ping the target. */
+const DIRECT_FRACTION = 0.4;
+/** Members asked for an indirect ping. */
+const INDIRECT_PROBES = 3;
+/** Members that receive a gossip update immediately. */
 const FANOUT = 3;
-/** Member news and rumours in one packet, so that it fits one datagram. */
-const NEWS_PER_PACKET = 5;
-const RUMOURS_PER_PACKET = 8;
-/** Characters of the texts of rumours in one packet beside the first, for the same reason. */
-const RUMOUR_CHARACTERS = 700;
-/** Each piece of news is sent this many times the logarithm of the fleet. */
+/** Member updates and gossip updates in one packet, bounded so that it fits one datagram. */
+const MEMBERS_PER_PACKET = 5;
+const UPDATES_PER_PACKET = 8;
+/** Maximum total length of the gossip texts after the first one in a packet, for the same reason. */
+const MAX_TEXT_LENGTH = 700;
+/** Each update is sent this many times the logarithm of the fleet size. */
 const SENDS_PER_LOG = 3;
-/** How long dead members are remembered, in milliseconds: news of them may still go round. */
-const FORGET_MS = 120_000;
-/** Chance in each period to ping a member that is held for dead, so that healed partitions are found. */
-const REVIVE_CHANCE = 0.25;
+/** How long dead members are remembered, in milliseconds: stale updates about them may still circulate. */
+const RETENTION_MS = 120_000;
+/** Probability in each period of pinging a member declared dead, so that healed partitions are detected. */
+const DEAD_PROBE_PROBABILITY = 0.25;
 
 interface Known {
   member: Member;
@@ -48,10 +48,10 @@
 interface Probe {
   readonly seq: number;
   readonly vm: string;
-  readonly helpAt: number;
+  readonly indirectAt: number;
   readonly endAt: number;
-  helped: boolean;
-  acked: boolean;
+  isIndirect: boolean;
+  isAcked: boolean;
 }
 
 interface Relay {
@@ -60,24 +60,24 @@
   readonly until: number;
 }
 
-function charactersOf({ text = '' }: Rumour): number {
+function textLengthOf({ text = '' }: Rumour): number {
   return text.length;
 }
 
-/** When a probe wants attention next. */
-function dueOf({ helped, helpAt, endAt }: Probe): number {
-  return helped ? endAt : helpAt;
+/** When a probe has to be checked next. */
+function nextCheckAt({ isIndirect, indirectAt, endAt }: Probe): number {
+  return isIndirect ? endAt : indirectAt;
 }
 
-/** The membership of one scheduler. */
+/** The membership state of one scheduler. */
 export class Membership implements Members {
   readonly #options: MembershipOptions;
 
   readonly #known = new Map<string, Known>();
 
-  readonly #news = new Gossip<Member>();
+  readonly #memberUpdates = new Gossip<Member>();
 
-  readonly #rumours = new Gossip<Rumour>();
+  readonly #updates = new Gossip<Rumour>();
 
   readonly #relays = new Map<number, Relay>();
 
@@ -95,7 +95,7 @@
 
   #digest = '';
 
-  #heardAt: number | undefined;
+  #lastPacketAt: number | undefined;
 
   #actions: MembershipAction[] = [];
 
@@ -117,7 +117,7 @@
   }
 
   get heardAt(): number | undefined {
-    return this.#heardAt;
+    return this.#lastPacketAt;
   }
 
   get self(): Member {
@@ -137,6 +137,7 @@
     this.#digest = digest;
   }
 
+  /** Processes an event and returns the resulting actions. */
   handle(now: number, event: MembershipEvent): readonly MembershipAction[] {
     this.#actions = [];
     match(event)
@@ -145,24 +146,25 @@
       .with({ kind: 'listed' }, ({ vms }) => this.#list(now, vms))
       .with({ kind: 'synced' }, ({ members }) => this.#sync(now, members))
       .with({ kind: 'described' }, ({ description }) => this.#describe(description))
-      .with({ kind: 'rumours' }, ({ rumours }) => this.#spread(rumours))
+      .with({ kind: 'rumours' }, ({ rumours }) => this.#gossip(rumours))
       .with({ kind: 'leaving' }, () => this.#leave())
       .with({ kind: 'woke' }, () => this.#wake(now))
       .exhaustive();
     return this.#actions;
   }
 
+  /** When the next `woke` event is due. */
   nextWake(): number {
-    this.#expectedWake = this.#probe ? dueOf(this.#probe) : this.#nextProbeAt;
+    this.#expectedWake = this.#probe ? nextCheckAt(this.#probe) : this.#nextProbeAt;
     return this.#expectedWake;
   }
 
   #wake(now: number): void {
     const { probeMs } = this.#options;
     /*
-     * A process that was frozen finds its probe long overdue on waking, though
-     * the answer may lie unread in its socket. Blaming the member would have one
-     * frozen process call the others dead; so the probe is dropped instead.
+     * A process that was paused finds its probe overdue when it resumes, although the
+     * answer may still be unread in its socket. One paused process would then suspect
+     * members that are alive, so the probe is dropped instead.
      */
     if (now - this.#expectedWake > probeMs / 2) this.#probe = undefined;
     this.#expire(now);
@@ -173,7 +175,7 @@
   #startProbe(now: number): void {
     const { probeMs, random } = this.#options;
     this.#nextProbeAt = now + probeMs;
-    this.#revive(random());
+    this.#probeDead(random());
     const vm = this.#order.next([...this.#known.keys()], (id) => this.#isProbed(id));
     const target = vm === undefined ? undefined : this.#known.get(vm)?.member;
     if (!target) return;
@@ -181,10 +183,10 @@
     this.#probe = {
       seq: this.#seq,
       vm: target.vm,
-      helpAt: now + probeMs * DIRECT_PART,
+      indirectAt: now + probeMs * DIRECT_FRACTION,
       endAt: now + probeMs,
-      helped: false,
-      acked: false,
+      isIndirect: false,
+      isAcked: false,
     };
     this.#send(target.address, 'ping', this.#seq);
   }
@@ -192,28 +194,28 @@
   #checkProbe(now: number): void {
     const probe = this.#probe;
     if (!probe) return;
-    if (probe.acked) {
+    if (probe.isAcked) {
       this.#probe = undefined;
     } else if (now >= probe.endAt) {
       this.#probe = undefined;
       const member = this.#known.get(probe.vm)?.member;
-      if (member?.state === 'alive') this.#learn(now, { ...member, state: 'suspect' });
-    } else if (!probe.helped && now >= probe.helpAt) {
-      probe.helped = true;
-      this.#askHelpers(probe);
+      if (member?.state === 'alive') this.#applyUpdate(now, { ...member, state: 'suspect' });
+    } else if (!probe.isIndirect && now >= probe.indirectAt) {
+      probe.isIndirect = true;
+      this.#sendIndirectProbes(probe);
     }
   }
 
-  #askHelpers({ seq, vm }: Probe): void {
+  #sendIndirectProbes({ seq, vm }: Probe): void {
     const target = this.#known.get(vm)?.member;
     if (!target) return;
-    for (const helper of this.#pick(HELPERS, vm)) {
-      this.#send(helper.address, 'probe', seq, target.address);
+    for (const proxy of this.#sampleAlive(INDIRECT_PROBES, vm)) {
+      this.#send(proxy.address, 'probe', seq, target.address);
     }
   }
 
-  /** Alive members at random, without one of them. */
-  #pick(count: number, except: string): readonly Member[] {
+  /** Random alive members other than `except`. */
+  #sampleAlive(count: number, except: string): readonly Member[] {
     const pool = [...this.#known.values()]
       .map(({ member }) => member)
       .filter((m) => m.state === 'alive' && m.vm !== except);
@@ -225,10 +227,10 @@
     return member !== undefined && isPresent(member);
   }
 
-  #revive(chance: number): void {
-    if (chance >= REVIVE_CHANCE) return;
+  #probeDead(random: number): void {
+    if (random >= DEAD_PROBE_PROBABILITY) return;
     const dead = [...this.#known.values()].filter(({ member }) => member.state === 'dead');
-    const one = dead[Math.floor((chance / REVIVE_CHANCE) * dead.length)];
+    const one = dead[Math.floor((random / DEAD_PROBE_PROBABILITY) * dead.length)];
     if (!one) return;
     this.#seq += 1;
     this.#send(one.member.address, 'ping', this.#seq, undefined, [one.member]);
@@ -237,8 +239,11 @@
   #expire(now: number): void {
     for (const [vm, { member, since }] of this.#known) {
       if (member.state === 'suspect' && now - since >= this.#options.suspectMs) {
-        this.#learn(now, { ...member, state: 'dead' });
-      } else if ((member.state === 'dead' || member.state === 'left') && now - since >= FORGET_MS) {
+        this.#applyUpdate(now, { ...member, state: 'dead' });
+      } else if (
+        (member.state === 'dead' || member.state === 'left') &&
+        now - since >= RETENTION_MS
+      ) {
         this.#known.delete(vm);
       }
     }
@@ -246,8 +251,8 @@
   }
 
   #receive(now: number, packet: Packet): void {
-    this.#heardAt = now;
-    for (const member of packet.members) this.#learn(now, member);
+    this.#lastPacketAt = now;
+    for (const member of packet.members) this.#applyUpdate(now, member);
     for (const rumour of packet.rumours) {
       this.#actions.push({ kind: 'heard', rumour, address: packet.address });
     }
@@ -268,7 +273,7 @@
       this.#relays.delete(seq);
       this.#send(relay.to, 'ack', relay.seq);
     }
-    if (this.#probe?.seq === seq) this.#probe.acked = true;
+    if (this.#probe?.seq === seq) this.#probe.isAcked = true;
   }
 
   #relay(now: number, { seq, address, target }: Packet): void {
@@ -278,44 +283,44 @@
     this.#send(target, 'ping', this.#seq);
   }
 
-  #learn(now: number, news: Member): void {
-    if (news.vm === this.#self.vm) {
-      this.#refute(news);
+  #applyUpdate(now: number, update: Member): void {
+    if (update.vm === this.#self.vm) {
+      this.#refute(update);
       return;
     }
-    if (this.#takeOver(now, news)) this.#news.add(news.vm, news, this.#times());
+    if (this.#store(now, update)) this.#memberUpdates.add(update.vm, update, this.#sendCount());
   }
 
-  /** Tells whether that was news. */
-  #takeOver(now: number, news: Member): boolean {
-    const known = this.#known.get(news.vm);
-    if (known && !overrides(news, known.member)) return false;
-    this.#known.set(news.vm, { member: news, since: now });
-    this.#actions.push({ kind: 'changed', member: news });
+  /** Stores an update if it takes precedence; returns whether it did. */
+  #store(now: number, update: Member): boolean {
+    const known = this.#known.get(update.vm);
+    if (known && !overrides(update, known.member)) return false;
+    this.#known.set(update.vm, { member: update, since: now });
+    this.#actions.push({ kind: 'changed', member: update });
     return true;
   }
 
-  /** What others say of this member is answered with a higher incarnation. */
-  #refute(news: Member): void {
+  /** Refutes a false report about this member with a higher incarnation. */
+  #refute(update: Member): void {
     if (this.#self.state === 'left') return;
-    const wrong = news.state !== 'alive' || news.address !== this.#self.address;
+    const isFalse = update.state !== 'alive' || update.address !== this.#self.address;
     if (
-      news.incarnation < this.#self.incarnation ||
-      (news.incarnation === this.#self.incarnation && !wrong)
+      update.incarnation < this.#self.incarnation ||
+      (update.incarnation === this.#self.incarnation && !isFalse)
     ) {
       return;
     }
-    this.#describe({ incarnation: Math.max(news.incarnation, this.#self.incarnation) });
+    this.#describe({ incarnation: Math.max(update.incarnation, this.#self.incarnation) });
   }
 
   #describe(change: Partial<Description & Member>): void {
     const incarnation = (change.incarnation ?? this.#self.incarnation) + 1;
     this.#self = { ...this.#self, ...change, incarnation };
-    this.#news.add(this.#self.vm, this.#self, this.#times());
+    this.#memberUpdates.add(this.#self.vm, this.#self, this.#sendCount());
     this.#actions.push({ kind: 'changed', member: this.#self });
   }
 
-  /** Their answers bring them in as members under their own names. */
+  /** Pings the addresses; their answers add them as members under their own names. */
   #contact(addresses: readonly string[]): void {
     for (const address of addresses) {
       this.#seq += 1;
@@ -323,7 +328,7 @@
     }
   }
 
-  /** The list only adds members: it lags, so it never overrides what probes say. */
+  /** Adds members from the list. The list lags behind, so it never overrides the results of probes. */
   #list(now: number, vms: readonly ListedMember[]): void {
     for (const { vm, address, leaving } of vms) {
       if (vm !== this.#self.vm && !leaving && !this.#known.has(vm)) {
@@ -348,16 +353,16 @@
   #sync(now: number, members: readonly Member[]): void {
     for (const member of members) {
       if (member.vm === this.#self.vm) this.#refute(member);
-      else this.#takeOver(now, member);
+      else this.#store(now, member);
     }
   }
 
-  /** Tells a few members at once and more with the probes; as many packets as the texts need. */
-  #spread(rumours: readonly Rumour[]): void {
-    for (const rumour of rumours) this.#rumours.add(rumour.path, rumour, this.#times());
+  /** Sends updates to a few members immediately, in as many packets as the texts need; later probes carry them on. */
+  #gossip(rumours: readonly Rumour[]): void {
+    for (const rumour of rumours) this.#updates.add(rumour.path, rumour, this.#sendCount());
     const characters = rumours.reduce((sum, { text = '' }) => sum + text.length, 0);
-    const packets = 1 + Math.floor(characters / RUMOUR_CHARACTERS);
-    const targets = this.#pick(FANOUT, '');
+    const packets = 1 + Math.floor(characters / MAX_TEXT_LENGTH);
+    const targets = this.#sampleAlive(FANOUT, '');
     for (let sent = 0; sent < packets; sent += 1) {
       for (const { address } of targets) this.#send(address, 'news', 0);
     }
@@ -365,10 +370,10 @@
 
   #leave(): void {
     this.#describe({ state: 'left', draining: true });
-    for (const { address } of this.#pick(FANOUT, '')) this.#send(address, 'news', 0);
+    for (const { address } of this.#sampleAlive(FANOUT, '')) this.#send(address, 'news', 0);
   }
 
-  #times(): number {
+  #sendCount(): number {
     return Math.ceil(SENDS_PER_LOG * Math.log2(this.#known.size + 2));
   }
 
@@ -385,8 +390,8 @@
       from: this.#self.vm,
       address: this.#self.address,
       digest: this.#digest,
-      members: [...extra, this.#self, ...this.#news.take(NEWS_PER_PACKET)],
-      rumours: this.#rumours.take(RUMOURS_PER_PACKET, RUMOUR_CHARACTERS, charactersOf),
+      members: [...extra, this.#self, ...this.#memberUpdates.take(MEMBERS_PER_PACKET)],
+      rumours: this.#updates.take(UPDATES_PER_PACKET, MAX_TEXT_LENGTH, textLengthOf),
       ...(target === undefined ? {} : { target }),
     };
     this.#actions.push({ kind: 'send', to, packet });
--- a/src/core/membership/order.ts
+++ b/src/core/membership/order.ts
@@ -1,6 +1,6 @@
-/** Random choices of members: whom to probe next, and whom to tell. */
+/** Random selection of members: the next probe target, and receivers of gossip. */
 
-/** Each member once a round, in an order that is shuffled anew. */
+/** Probes each member once per round, in an order that is reshuffled for each round. */
 export class ProbeOrder {
   readonly #random: () => number;
 
@@ -11,9 +11,9 @@
   }
 
   /**
-   * The next one; undefined if there is none.
-   * @param all members that are known now
-   * @param isProbed whether one of them is to be probed
+   * The next member to probe; undefined if there is none.
+   * @param all currently known members
+   * @param isProbed whether a member has to be probed
    */
   next(all: readonly string[], isProbed: (vm: string) => boolean): string | undefined {
     while (this.#round.length > 0) {
@@ -26,13 +26,13 @@
   }
 }
 
-/** Some of a list, in random order. */
+/** Up to `count` distinct elements of a list, in random order. */
 export function pickSome<T>(from: readonly T[], count: number, random: () => number): readonly T[] {
   const pool = [...from];
-  const most = Math.min(count, pool.length);
-  for (let i = 0; i < most; i += 1) {
+  const size = Math.min(count, pool.length);
+  for (let i = 0; i < size; i += 1) {
     const j = i + Math.floor(random() * (pool.length - i));
     [pool[i], pool[j]] = [pool[j] as T, pool[i] as T];
   }
-  return pool.slice(0, most);
+  return pool.slice(0, size);
 }
--- a/src/core/membership/readers.ts
+++ b/src/core/membership/readers.ts
@@ -1,52 +1,54 @@
 /**
- * Which VMs read the platform's store for all others.
+ * Selects the VMs that read the platform's store on behalf of all others.
  *
- * The store counts each call, a waiting watch as one. Where every VM watched it,
- * the calls grew with VMs times runners: 195 VMs made 156 a second on a calm day,
- * and ten readers make some 14. A few in each failure domain read, and all others
- * hear of it from VM to VM. A VM that hears no other one reads for itself.
+  * Every call to the store is counted, and a pending watch counts as one call. If every
+ * VM watched it, the calls would grow with VMs times runners: 195 VMs made 156 calls a
+ * second while nothing changed, and ten readers make some 14. So a few VMs in each
+ * failure domain read the store, and the others receive the state by gossip. A VM that
+ * receives nothing from others reads the store itself.
  */
 
 import { rankByCores } from '../ownership';
 import type { Member, Members } from './types';
 import { isPresent } from './types';
 
-/** Readers in each failure domain: one that freezes counts as alive for a second and a half. */
+/** Readers in each failure domain. More than one, since a frozen reader still counts as alive for 1.5 s. */
 const READERS = 2;
-/** Time after its start in which a VM that knows no other waits for an answer of a seed, in milliseconds: a round trip and a busy start, and little of a pause. */
+/** Time after its start in which a VM without known members waits for a seed to answer, in milliseconds. It covers a round trip, a busy startup and a short pause. */
 const JOIN_MS = 600;
 
 /**
- * Silence of all others after which a VM reads for itself, in milliseconds. It is
- * probed and answered some six times a second. By probes alone, one in 0.3 s, a VM
- * that is cut off from 195 others would take up to a minute to find the readers dead,
- * and go on with an old configuration although it reaches the store.
+ * Time without a packet from any other VM after which a VM reads the store itself, in
+ * milliseconds. A connected VM receives some six packets a second. Probes alone, one
+ * every 0.3 s, would take up to a minute to declare the readers dead for a VM that is
+ * cut off from 195 others; it would use an old configuration although it reaches the
+ * store.
  */
 const ISOLATED_MS = 1000;
 
-/** Who reads in one failure domain. */
+/** The readers of one failure domain. */
 export interface ReaderPlan {
-  /** Readers as long as the store answers them. */
+  /** Regular readers. */
   readonly chosen: readonly Member[];
-  /** Read as well while the store does not answer all of the chosen. */
+  /** Standby readers, which also read while the store does not answer all primary readers. */
   readonly deputies: readonly Member[];
 }
 
-/** The readers of a failure domain, decided alike by all who know the same members. */
+/** The readers of a failure domain; the result is the same on all VMs that know the same members. */
 export function readersOf(domain: string, members: readonly Member[]): ReaderPlan {
   const present = members.filter((member) => member.domain === domain && isPresent(member));
-  const ranked = rankByCores('store', present);
-  const chosen = ranked.slice(0, READERS);
-  const answered = ranked.filter(({ storeLost }) => !storeLost).slice(0, READERS);
-  return { chosen, deputies: answered.filter((member) => !chosen.includes(member)) };
+  const candidates = rankByCores('store', present);
+  const chosen = candidates.slice(0, READERS);
+  const reachable = candidates.filter(({ storeLost }) => !storeLost).slice(0, READERS);
+  return { chosen, deputies: reachable.filter((member) => !chosen.includes(member)) };
 }
 
-/** Whether a VM hears nothing of others, as far back as its start. */
+/** Whether a VM has received no packet from others for `ISOLATED_MS`, counted from its start at the earliest. */
 export function isIsolated(now: number, startedAt: number, { heardAt }: Members): boolean {
   return now - Math.max(startedAt, heardAt ?? startedAt) > ISOLATED_MS;
 }
 
-/** Whether a VM is to read the store for others, or because it knows none. */
+/** Whether a VM has to read the store: as a reader of its failure domain, or because it knows no other VM. */
 export function shouldRead(
   now: number,
   startedAt: number,
@@ -60,9 +62,9 @@
 }
 
 /**
- * Addresses of whom a new VM asks for all that is known: those of its failure
- * domain, if there are any. All tell the same, and 195 VMs that start ask some
- * 1,500 times; between failure domains that costs rate and money.
+ * Addresses that a new VM asks for the full state: those in its failure domain if there
+ * are any. All VMs return the same state, and 195 VMs that start together send some
+ * 1,500 of these requests; between failure domains traffic is limited and billed.
  */
 export function joinTargets(domain: string, present: readonly Member[]): readonly string[] {
   const near = present.filter((member) => member.domain === domain);
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -1,72 +1,72 @@
-/** Types of membership: which schedulers are there, as each of them sees it. */
+/** Types of the membership protocol: which schedulers exist, as seen by one of them. */
 
-/** How a member is seen. `left` said so itself; `dead` did not answer. */
+/** State of a member. A member announces `left` itself; `dead` means that it did not answer probes. */
 export type MemberState = 'alive' | 'suspect' | 'left' | 'dead';
 
-/** One scheduler and what it tells of its VM. */
+/** One scheduler and the state that it announces for its VM. */
 export interface Member {
   readonly vm: string;
   readonly domain: string;
   /** `HOST:PORT` for peer links and probes. */
   readonly address: string;
-  /** Raised by the member itself only, to refute what others say of it. */
+  /** Raised only by the member itself, to refute false reports about it. */
   readonly incarnation: number;
   readonly state: MemberState;
-  /** Whether the VM takes no new callers. */
+  /** Whether the VM accepts no new callers. */
   readonly draining: boolean;
-  /** Callers' addresses of the gateways on the VM. */
+  /** Addresses at which callers reach the gateways of the VM. */
   readonly gateways: readonly string[];
-  /** Processor cores that the VM has, as a part or a multiple of one. */
+  /** Processor cores of the VM; may be a fraction. */
   readonly cores: number;
-  /** Whether its calls to the platform's store fail. */
+  /** Whether the VM's calls to the platform's store fail. */
   readonly storeLost: boolean;
 }
 
-/** Who this member is and how it probes. */
+/** Identity of this member and its probe settings. */
 export interface MembershipOptions {
   readonly vm: string;
   readonly domain: string;
   readonly address: string;
   /** Processor cores of the VM. */
   readonly cores: number;
-  /** Period of probes in milliseconds. */
+  /** Probe period in milliseconds. */
   readonly probeMs: number;
-  /** Time a suspect has to refute, in milliseconds. */
+  /** Time in which a suspect can refute the suspicion, in milliseconds. */
   readonly suspectMs: number;
-  /** Random source: uniform in [0, 1). */
+  /** Random source, uniform in [0, 1). */
   readonly random: () => number;
-  /** Starting incarnation; a restarted process must start above its last life. */
+  /** Initial incarnation; a restarted process must start above the one that it had before. */
   readonly incarnation: number;
 }
 
 /** Read-only view of the members. */
 export interface Members {
   readonly self: Member;
-  /** All members known, this one included. */
+  /** All known members, including this one. */
   readonly all: readonly Member[];
   get(vm: string): Member | undefined;
-  /** When any other member was heard last. Default: none was. */
+  /** When the last packet from another member arrived; undefined if none has. */
   readonly heardAt: number | undefined;
 }
 
-/** News that something has a new revision. */
+/** Announces that a resource has a new revision. */
 export interface Rumour {
   readonly path: string;
   readonly revision: number;
-  /** The news itself where it is small. Default: it has to be fetched from whoever tells. */
+  /** The new content if it is small. Default: the receiver fetches it from the sender. */
   readonly text?: string | undefined;
 }
 
-/** What a member tells of its VM. */
+/** The part of a member's state that describes its VM. */
 export type Description = Pick<Member, 'gateways' | 'draining' | 'storeLost'>;
 
-/** What goes over UDP. */
+/** A UDP datagram of the membership protocol. */
 export interface Packet {
   readonly kind: 'ping' | 'ack' | 'probe' | 'news';
   readonly seq: number;
   readonly from: string;
   readonly address: string;
-  /** For `probe`: the address that the receiver shall ping on behalf of the sender. */
+  /** For `probe`: the address that the receiver pings on behalf of the sender. */
   readonly target?: string;
   /** Digest of the sender's settings. */
   readonly digest: string;
@@ -74,45 +74,45 @@
   readonly rumours: readonly Rumour[];
 }
 
-/** What happened. */
+/** An input of the membership protocol. */
 export type MembershipEvent =
   | { readonly kind: 'packet'; readonly packet: Packet }
-  /** Says hello to whoever is at these addresses, without taking them for members. */
+  /** Pings these addresses without adding them as members. */
   | { readonly kind: 'contact'; readonly addresses: readonly string[] }
   | { readonly kind: 'listed'; readonly vms: readonly ListedMember[] }
-  /** Members as another one knows them, taken over without telling of them. */
+  /** Members known to another VM; taken over without spreading them further. */
   | { readonly kind: 'synced'; readonly members: readonly Member[] }
   | { readonly kind: 'described'; readonly description: Description }
   | { readonly kind: 'rumours'; readonly rumours: readonly Rumour[] }
   | { readonly kind: 'leaving' }
   | { readonly kind: 'woke' };
 
-/** A VM from the platform's list. */
+/** An entry of the platform's list of VMs. */
 export interface ListedMember {
   readonly vm: string;
   readonly address: string;
   readonly leaving: boolean;
 }
 
-/** What is to be done. */
+/** An output of the membership protocol that the caller carries out. */
 export type MembershipAction =
   | { readonly kind: 'send'; readonly to: string; readonly packet: Packet }
   | { readonly kind: 'changed'; readonly member: Member }
   | { readonly kind: 'heard'; readonly rumour: Rumour; readonly address: string }
-  /** The settings of that member differ and it may have newer ones. */
+  /** That member's settings digest differs; it may have newer settings. */
   | { readonly kind: 'differs'; readonly address: string };
 
-/** Whether a member is there, as far as is known. */
+/** Whether a member counts as present: alive, or suspected but not yet declared dead. */
 export function isPresent({ state }: Member): boolean {
   return state === 'alive' || state === 'suspect';
 }
 
 const rankOf: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
-/** Whether news of a member goes before what is known of it. */
-export function overrides(news: Member, known: Member): boolean {
-  if (news.incarnation !== known.incarnation) return news.incarnation > known.incarnation;
-  return rankOf[news.state] > rankOf[known.state];
+/** Whether an update about a member takes precedence over its known state. */
+export function overrides(update: Member, known: Member): boolean {
+  if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
+  return rankOf[update.state] > rankOf[known.state];
 }
 
 /** Whether a member may own cells, keys and ledger shards. */
--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -1,4 +1,4 @@
-/** Who owns what: cells, request keys and ledger shards, by rendezvous among live schedulers. */
+/** Ownership of cells, request keys and ledger shards, by rendezvous hashing among live schedulers. */
 
 import { createHash } from 'node:crypto';
 
@@ -7,7 +7,7 @@
 import { rank } from './rendezvous';
 import type { Pool } from './settings/schema';
 
-/** Owners of a pool's cell by falling claim; nearer failure domains come first more often. */
+/** Candidates for the ownership of a pool's cell, the owner first. VMs in failure domains with more of the pool's runners have a higher weight. */
 export function ownersOfPool(
   name: string,
   pool: Pool,
@@ -23,77 +23,80 @@
   return rank(`pool/${name}`, candidates).map(({ member }) => member);
 }
 
-/** Members by falling claim to a key, all alike. */
-function rankAlike(key: string, members: readonly Member[]): readonly Member[] {
+/** Members by falling rank for a key, with equal weights. */
+function rankUnweighted(key: string, members: readonly Member[]): readonly Member[] {
   const candidates = members.map((member) => ({ id: member.vm, weight: 1, member }));
   return rank(key, candidates).map(({ member }) => member);
 }
 
-/** Members that callers may be sent to: alive, and staying. */
+/** Members that callers may connect to: alive and not draining. */
 function openMembers(members: readonly Member[]): readonly Member[] {
   return members.filter(({ state, draining }) => state === 'alive' && !draining);
 }
 
-/** Cores that a VM is taken to have at least: it may tell none. */
-const LEAST_CORES = 0.01;
+/** Minimum number of cores assumed for a VM, since it may report 0. */
+const MIN_CORES = 0.01;
 
-/** Rises by one with each doubling of a VM's cores. */
+/** Size class of a VM; rises by one with each doubling of its cores. */
 function tierOf({ cores }: Member): number {
-  return Math.round(Math.log2(Math.max(LEAST_CORES, cores)));
+  return Math.round(Math.log2(Math.max(MIN_CORES, cores)));
 }
 
 /**
- * Members by falling claim to a key. Those with about twice the cores of others go
- * before them: drawn alike, the owner of a service was mostly one of the many weak
- * VMs, and one that falls behind makes its own account old.
+ * Members by falling rank for a key. VMs with about twice the cores of others go before
+ * them: with equal weights the owner of a service was mostly one of the many weak VMs,
+ * and the state of an owner that falls behind becomes stale.
  */
 export function rankByCores(key: string, members: readonly Member[]): readonly Member[] {
-  const tiers = rankAlike(key, members).map((member) => ({ member, tier: tierOf(member) }));
-  // The sort is stable, so that within a tier the order by claim stays.
+  const tiers = rankUnweighted(key, members).map((member) => ({ member, tier: tierOf(member) }));
+  // The sort is stable, so the order by rank is kept within a tier.
   tiers.sort((a, b) => b.tier - a.tier);
   return tiers.map(({ member }) => member);
 }
 
-/** Owners of a key by falling claim. */
+/** Candidates for the ownership of a key, the owner first. */
 export function ownersOfKey(key: string, members: readonly Member[]): readonly Member[] {
-  return rankAlike(key, members.filter(mayOwn));
+  return rankUnweighted(key, members.filter(mayOwn));
 }
 
-/** Parts into which request keys are grouped, so that owners are worked out for parts and not for each key. */
-const KEY_PARTS = 1024;
+/** Number of groups of request keys; owners are computed for each group instead of each key. */
+const KEY_GROUPS = 1024;
 
-/** Owners worked out once for each membership and kept until it changes. */
+/** Caches the owners for one membership. */
 export class Owners {
   #members: readonly Member[] = [];
 
   readonly #cached = new Map<string, readonly Member[]>();
 
-  /** Takes over a new membership. */
+  /** Sets a new membership and drops the cache. */
   update(members: readonly Member[]): void {
     this.#members = members;
     this.#cached.clear();
   }
 
-  /** Forgets what was worked out from older settings. */
+  /** Drops the cache after a change of the settings. */
   settingsChanged(): void {
     this.#cached.clear();
   }
 
+  /** Candidates for the ownership of a pool's cell, the owner first. */
   ofPool(name: string, pool: Pool): readonly Member[] {
-    return this.#get(`pool/${name}`, () => ownersOfPool(name, pool, this.#members));
+    return this.#getOrCompute(`pool/${name}`, () => ownersOfPool(name, pool, this.#members));
   }
 
+  /** Candidates for the ownership of a ledger shard, the owner first. */
   ofShard(shard: number): readonly Member[] {
     const key = `ledger/${shard}`;
-    return this.#get(key, () => ownersOfKey(key, this.#members));
+    return this.#getOrCompute(key, () => ownersOfKey(key, this.#members));
   }
 
+  /** Candidates for the ownership of a request key, the owner first. */
   ofRequestKey(key: string): readonly Member[] {
-    const part = `key/${createHash('sha1').update(key).digest().readUInt32BE(0) % KEY_PARTS}`;
-    return this.#get(part, () => ownersOfKey(part, this.#members));
+    const part = `key/${createHash('sha1').update(key).digest().readUInt32BE(0) % KEY_GROUPS}`;
+    return this.#getOrCompute(part, () => ownersOfKey(part, this.#members));
   }
 
-  #get(name: string, compute: () => readonly Member[]): readonly Member[] {
+  #getOrCompute(name: string, compute: () => readonly Member[]): readonly Member[] {
     const known = this.#cached.get(name);
     if (known) return known;
     const owners = compute();
@@ -103,18 +106,19 @@
 }
 
 /**
- * Callers' addresses for one failure domain, the best first: VMs there, then others
- * by hash. The same few of a large fleet for all callers would carry everything;
- * drawn anew for each answer, callers would drop their connections with each.
+ * Addresses for the callers of one failure domain, best first: VMs of that domain, then
+ * others in hash order. If all callers of a large fleet received the same few addresses,
+ * those VMs would carry all of the load; if addresses were drawn again for each answer,
+ * callers would drop their connections each time.
  */
 export function addressesNear(domain: string, members: readonly Member[]): readonly string[] {
-  const ranked = rankAlike(`callers of ${domain}`, openMembers(members));
+  const ranked = rankUnweighted(`callers of ${domain}`, openMembers(members));
   const near = ranked.filter((member) => member.domain === domain);
   const far = ranked.filter((member) => member.domain !== domain);
   return [...near, ...far].flatMap(({ gateways }) => gateways);
 }
 
-/** Callers' addresses to answer with: of VMs that are alive and stay, spread by a random number. */
+/** Up to `limit` addresses for callers, of VMs that are alive and not draining, in random order. */
 export function chooseAddresses(
   members: readonly Member[],
   random: () => number,
--- a/src/core/quarantine/completions.ts
+++ b/src/core/quarantine/completions.ts
@@ -1,32 +1,33 @@
-/** Requests that runners lately ran to a whole answer, within a bounded memory. */
+/** Recently completed requests, in bounded memory. */
 
-/** Most requests in each half of the memory: some 100 bytes each. */
-const HALF_MOST = 1000;
+/** Maximum number of requests in each generation: some 100 bytes each. */
+const MAX_GENERATION_SIZE = 1000;
 
-/** Times of the latest completions, by fingerprint. The older half is dropped whole, so that a request costs no search. */
+/** Times of recent completions, by fingerprint. The older generation is dropped as a whole, so that no request has to search for expired entries. */
 export class Completions {
-  readonly #keptMs: number;
+  readonly #ttlMs: number;
 
-  #young = new Map<string, number>();
+  #current = new Map<string, number>();
 
-  #old = new Map<string, number>();
+  #previous = new Map<string, number>();
 
-  /** @param keptMs time for which a completion matters, in milliseconds */
-  constructor(keptMs: number) {
-    this.#keptMs = keptMs;
+  /** @param ttlMs time for which a completion counts, in milliseconds */
+  constructor(ttlMs: number) {
+    this.#ttlMs = ttlMs;
   }
 
+  /** Records a completion. */
   add(now: number, fingerprint: string): void {
-    if (this.#young.size >= HALF_MOST) {
-      this.#old = this.#young;
-      this.#young = new Map();
+    if (this.#current.size >= MAX_GENERATION_SIZE) {
+      this.#previous = this.#current;
+      this.#current = new Map();
     }
-    this.#young.set(fingerprint, now);
+    this.#current.set(fingerprint, now);
   }
 
-  /** When a request was completed last; minus infinity if that is not known or long ago. */
+  /** When a request was last completed; minus infinity if that is unknown or expired. */
   lastOf(now: number, fingerprint: string): number {
-    const at = this.#young.get(fingerprint) ?? this.#old.get(fingerprint) ?? -Infinity;
-    return now - at < this.#keptMs ? at : -Infinity;
+    const at = this.#current.get(fingerprint) ?? this.#previous.get(fingerprint) ?? -Infinity;
+    return now - at < this.#ttlMs ? at : -Infinity;
   }
 }
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -1,109 +1,109 @@
 /**
- * Keeps a request from the runners once it has ended several of them.
+ * Quarantine for requests that crash the runners that process them.
  *
- * A request can end each runner that begins to run it, and everything else on that
- * runner with it. Its caller sends it again, under another id and to any VM, so that
- * one request takes runner after runner: sixteen of them in fifteen seconds where this
- * was seen. What all its attempts have in common is its content. All VMs count the
- * runners that ended under one content; from the third on they refuse it for a while.
+ * A request can crash each runner that starts it, together with all other work on that
+ * runner. Its caller retries under another id and at any VM, so a single request can
+ * crash one runner after the other: sixteen within fifteen seconds in one incident. The
+ * attempts have their content in common. All VMs count the runners that crashed while
+ * processing the same content; from the third crash on they refuse it for a limited time.
  *
- * A runner that ends takes innocent requests with it. They are told apart by three
- * things: a run that had brought answers for a while did not end its runner by being
- * begun; one that was completed since, or shortly before, ends no runner; and three
- * different runners must have ended under it.
+ * A crash also affects innocent requests on the same runner. Three rules keep them out: a
+ * run that had produced output for some time did not crash its runner by being started; a
+ * request that was completed since the crash or shortly before it does not crash runners;
+ * and three different runners must have crashed.
  */
 
 import { textHash } from '../hash';
 import { Completions } from './completions';
 import type { RunnerEnd, Suspect } from './types';
 
-/** Runners that end under one request before it is refused: two can be chance where runners crash by themselves and callers repeat, three were never seen so. */
+/** Number of crashed runners from which a request is refused. Two can be coincidence if runners crash on their own and callers retry; three never were. */
 export const ENDS = 3;
-/** Time for which ends count, in milliseconds: long beside the return of a caller, and in it operators can look. */
+/** Time for which crashes count, in milliseconds: much longer than callers take to retry, and enough for operators to investigate. */
 export const KEPT_MS = 600_000;
-/** Time from the first part of an answer within which the end of its runner is held against the request, in milliseconds: such a request ends runners as soon as they begin it. */
-const YOUNG_MS = 2000;
-/** Time after a completion in which ends do not count, in milliseconds: a request that is sent often has runs at several runners that crash together. */
-const PROVEN_MS = 60_000;
-/** By how much a completion must be later than the one known to be news, in milliseconds. */
-const COMPLETION_STEP_MS = 10_000;
-/** Requests kept. All runners of a failure domain may crash at once and leave thousands. */
-const KEPT_MOST = 256;
-/** Time after which one with a single end yields to another that somebody tells of, in milliseconds. It bounds what a storm of crashes has VMs tell each other to some 26 a second. */
-const YIELD_MS = 10_000;
-
-/** All times are steady times of this VM. */
+/** Time from the first output of a run within which a crash of its runner is attributed to it, in milliseconds: such requests crash runners as soon as they start. */
+const EARLY_CRASH_MS = 2000;
+/** Time after a completion in which crashes do not count, in milliseconds: a frequent request runs at several runners that may crash together. */
+const COMPLETION_TTL_MS = 60_000;
+/** Minimum advance of the completion time that is worth spreading, in milliseconds. */
+const MIN_COMPLETION_ADVANCE_MS = 10_000;
+/** Maximum number of requests kept. If all runners of a failure domain crash at once, they leave thousands. */
+const MAX_ENTRIES = 256;
+/** Minimum age of an entry with a single crash before one reported by another VM may evict it, in milliseconds. It limits the gossip during mass crashes to some 26 updates a second. */
+const MIN_EVICTION_AGE_MS = 10_000;
+
+/** All times are by the monotonic clock of this VM. */
 interface Entry {
-  /** Time of the latest end of each runner, by runner. */
+  /** Time of the latest crash of each runner, by instance id. */
   readonly ends: ReadonlyMap<string, number>;
   readonly completedAt: number;
 }
 
-/** Whether the end of a runner is held against a run of it. */
+/** Whether the crash of a runner is attributed to a run on it, by the time of the run's first output if it had any. */
 export function isTelling(now: number, answeredAt: number | undefined): boolean {
-  return answeredAt === undefined || now - answeredAt < YOUNG_MS;
+  return answeredAt === undefined || now - answeredAt < EARLY_CRASH_MS;
 }
 
-/** Requests under which runners ended, by fingerprint. */
+/** Requests that runners crashed on, by fingerprint. */
 export class Quarantine {
   readonly #entries = new Map<string, Entry>();
 
-  readonly #completions = new Completions(PROVEN_MS);
+  readonly #completions = new Completions(COMPLETION_TTL_MS);
 
-  /** A runner ended under a request. Gives what is to be told to others, if that is news. */
+  /** Records that a runner crashed while processing a request. Returns the update to spread; undefined if nothing changed. */
   ended(now: number, fingerprint: string, runner: string): Suspect | undefined {
-    return this.#takeOver(now, { fingerprint, ends: [{ runner, agoMs: 0 }] }, 0);
+    return this.#merge(now, { fingerprint, ends: [{ runner, agoMs: 0 }] }, 0);
   }
 
-  /** A runner ran a request to a whole answer. Gives what is to be told to others, if that is news. */
+  /** Records that a runner completed a request. Returns the update to spread; undefined if nothing changed. */
   completed(now: number, fingerprint: string): Suspect | undefined {
     this.#completions.add(now, fingerprint);
     if (!this.#entries.has(fingerprint)) return undefined;
-    return this.#takeOver(now, { fingerprint, ends: [], completedAgoMs: 0 }, 0);
+    return this.#merge(now, { fingerprint, ends: [], completedAgoMs: 0 }, 0);
   }
 
-  /** Takes over what another VM or the store tells. Gives what is to be told on, if that was news. */
+  /** Merges a report of another VM or the store. Returns the update to spread; undefined if nothing changed. */
   learn(now: number, suspect: Suspect): Suspect | undefined {
-    return this.#takeOver(now, suspect, suspect.ends.length > 1 ? 0 : YIELD_MS);
+    return this.#merge(now, suspect, suspect.ends.length > 1 ? 0 : MIN_EVICTION_AGE_MS);
   }
 
-  /** @param yieldMs age from which another request makes room for it, in milliseconds */
-  #takeOver(now: number, suspect: Suspect, yieldMs: number): Suspect | undefined {
+  /** @param minAgeMs age from which another entry may be evicted, in milliseconds */
+  #merge(now: number, suspect: Suspect, minAgeMs: number): Suspect | undefined {
     const { fingerprint } = suspect;
     const before = this.#entries.get(fingerprint);
     const after = merge(now, before, suspect, this.#completions.lastOf(now, fingerprint));
-    if (after.ends.size === 0 || !isNews(before, after)) return undefined;
-    if (!before && !this.#makeRoom(now, yieldMs)) return undefined;
+    if (after.ends.size === 0 || !hasChanged(before, after)) return undefined;
+    if (!before && !this.#evict(now, minAgeMs)) return undefined;
     this.#entries.set(fingerprint, after);
     return toSuspect(now, fingerprint, after);
   }
 
-  /** Until when a request is refused, as a time from now in milliseconds. Default: it is not. */
+  /** How much longer a request is refused, in milliseconds; undefined if it is not refused. */
   refusedForMs(now: number, fingerprint: string): number | undefined {
     const entry = this.#entries.get(fingerprint);
     const endsAt = entry && refusedUntil(now, entry);
     return endsAt === undefined ? undefined : endsAt - now;
   }
 
-  /** Runners that are known to have ended under a request. */
+  /** Number of runners known to have crashed on a request, at most `CRASH_LIMIT`. */
   endsOf(fingerprint: string): number {
     return this.#entries.get(fingerprint)?.ends.size ?? 0;
   }
 
-  /** All that is known, to be told to another VM. */
+  /** All entries, to be sent to another VM. */
   suspects(now: number): readonly Suspect[] {
     this.#expire(now);
     return [...this.#entries].map(([fingerprint, entry]) => toSuspect(now, fingerprint, entry));
   }
 
-  /** Requests that are refused. */
+  /** The requests that are refused now. */
   refused(now: number): readonly Suspect[] {
     return this.suspects(now).filter(
       ({ fingerprint }) => this.refusedForMs(now, fingerprint) !== undefined,
     );
   }
 
-  /** The requests that are refused in short, for others to compare; empty if there are none. */
+  /** Digest of the refused requests, to be compared between VMs; empty if there are none. */
   digest(now: number): string {
     const prints = this.refused(now).map(({ fingerprint }) => fingerprint);
     return prints.length === 0 ? '' : textHash(prints.sort().join(' ')).toString(36);
@@ -115,13 +115,13 @@
     }
   }
 
-  /** Whether there is room for one more request; of those with the fewest ends the oldest makes it. */
-  #makeRoom(now: number, yieldMs: number): boolean {
-    if (this.#entries.size < KEPT_MOST) return true;
+  /** Evicts an entry if the limit is reached: the oldest of those with the fewest crashes. Returns whether there is capacity for one more. */
+  #evict(now: number, minAgeMs: number): boolean {
+    if (this.#entries.size < MAX_ENTRIES) return true;
     const weakest = this.#weakest();
     if (!weakest) return true;
     const [fingerprint, { ends }] = weakest;
-    if (now - Math.max(...ends.values()) < yieldMs) return false;
+    if (now - Math.max(...ends.values()) < minAgeMs) return false;
     this.#entries.delete(fingerprint);
     return true;
   }
@@ -136,18 +136,18 @@
   }
 }
 
-/** The latest ends of both, one for each runner, and the latest completion. */
+/** Combines the latest crashes, one per runner, and the latest completion. */
 function merge(
   now: number,
   before: Entry | undefined,
   { ends, completedAgoMs = Infinity }: Suspect,
   completedHereAt: number,
 ): Entry {
-  const fresh = ends
+  const reported = ends
     .filter(({ agoMs }) => agoMs < KEPT_MS)
     .map(({ runner, agoMs }): [string, number] => [runner, now - agoMs]);
-  // What is known goes last and stands: an end that comes back by another way is a little younger each time.
-  const all = new Map([...fresh, ...(before?.ends ?? [])]);
+  // Known times override reported ones: a crash reported back over another path looks slightly more recent each time.
+  const all = new Map([...reported, ...(before?.ends ?? [])]);
   const latest = [...all].sort(([, a], [, b]) => b - a).slice(0, ENDS);
   const completedAt = Math.max(
     before?.completedAt ?? -Infinity,
@@ -157,26 +157,26 @@
   return { ends: new Map(latest), completedAt };
 }
 
-function isNews(before: Entry | undefined, after: Entry): boolean {
+function hasChanged(before: Entry | undefined, after: Entry): boolean {
   if (!before) return true;
-  if (after.completedAt - before.completedAt >= COMPLETION_STEP_MS) return true;
+  if (after.completedAt - before.completedAt >= MIN_COMPLETION_ADVANCE_MS) return true;
   return [...after.ends.keys()].some((runner) => !before.ends.has(runner));
 }
 
-/** Undefined if it is not refused now. */
+/** When the refusal ends; undefined if the request is not refused now. */
 function refusedUntil(now: number, { ends, completedAt }: Entry): number | undefined {
-  const telling = [...ends.values()].filter((at) => at - completedAt > PROVEN_MS);
-  if (telling.length < ENDS) return undefined;
-  const until = Math.min(...telling) + KEPT_MS;
+  const counted = [...ends.values()].filter((at) => at - completedAt > COMPLETION_TTL_MS);
+  if (counted.length < ENDS) return undefined;
+  const until = Math.min(...counted) + KEPT_MS;
   return until > now ? until : undefined;
 }
 
 function toSuspect(now: number, fingerprint: string, { ends, completedAt }: Entry): Suspect {
   const ago = (at: number): number => Math.max(0, Math.round(now - at));
-  const told = [...ends].map(([runner, at]): RunnerEnd => ({ runner, agoMs: ago(at) }));
+  const crashes = [...ends].map(([runner, at]): RunnerEnd => ({ runner, agoMs: ago(at) }));
   return {
     fingerprint,
-    ends: told,
+    ends: crashes,
     ...(Number.isFinite(completedAt) ? { completedAgoMs: ago(completedAt) } : {}),
   };
 }
--- a/src/core/quarantine/types.ts
+++ b/src/core/quarantine/types.ts
@@ -1,18 +1,18 @@
-/** Requests under which runners ended, as VMs tell each other of them. */
+/** Requests that runners crashed on, as exchanged between VMs. */
 
-/** The end of a runner under a request. */
+/** The crash of a runner while it processed a request. */
 export interface RunnerEnd {
-  /** Id of that start of the runner. */
+  /** Id of the runner's instance. */
   readonly runner: string;
-  /** Time since then, in milliseconds: clocks of VMs differ, so no absolute time crosses. */
+  /** Time since the crash, in milliseconds; clocks of VMs differ, so no absolute time is sent. */
   readonly agoMs: number;
 }
 
-/** What is known of one request. */
+/** Crashes and completions of one request. */
 export interface Suspect {
   readonly fingerprint: string;
-  /** The latest ends under it, at most `ENDS`, each of another start of a runner. */
+  /** The latest crashes, at most `CRASH_LIMIT`, each of a different runner instance. */
   readonly ends: readonly RunnerEnd[];
-  /** Time since a runner last ran it to a whole answer, in milliseconds. Default: none did. */
+  /** Time since a runner last completed the request, in milliseconds. Default: none did. */
   readonly completedAgoMs?: number | undefined;
 }
--- a/src/core/quotas/accounts.ts
+++ b/src/core/quotas/accounts.ts
@@ -1,28 +1,28 @@
-/** The accounts that one VM owns, or is taken for the owner of, in groups that have one owner each. */
+/** The accounts for which one VM acts as owner, in groups that have one owner each. */
 
 import type { QuotaBounds, QuotaVerdict, Rate } from './account';
 import { QuotaAccount } from './account';
 import type { QuotaMembers } from './share';
 import { QuotaShare } from './share';
 
-/** Time for which a group is remembered that this VM does not own and nobody asks for, in milliseconds. */
+/** Time for which a group that this VM does not own is kept after the last request for it, in milliseconds. */
 const FORGET_MS = 3000;
 
-/** Whose account it is. */
+/** Identifies an account. */
 export interface QuotaKey {
-  /** The accounts of a group have one owner. */
+  /** Group whose accounts have one owner. */
   readonly group: string;
   readonly subject: string;
 }
 
 interface Group {
-  readonly beganAt: number;
+  readonly startedAt: number;
   readonly share: QuotaShare;
   readonly accounts: Map<string, QuotaAccount>;
   askedAt: number;
 }
 
-/** Accounts by group and subject, whose quota it is. */
+/** Accounts by group and subject; the subject is the customer or runner that has the quota. */
 export class QuotaAccounts {
   readonly #bounds: QuotaBounds;
 
@@ -32,34 +32,34 @@
     this.#bounds = bounds;
   }
 
-  /** Subjects with an account here. */
+  /** Number of accounts. */
   get size(): number {
     return [...this.#groups.values()].reduce((sum, { accounts }) => sum + accounts.size, 0);
   }
 
-  /** Takes over which groups this VM owns by the members that it knows. */
+  /** Sets the groups that this VM owns by the members that it knows, and drops unused other ones. */
   own(now: number, owned: ReadonlySet<string>): void {
-    for (const group of owned) this.#of(now, group);
+    for (const group of owned) this.#groupOf(now, group);
     for (const [group, { askedAt }] of this.#groups) {
       if (!owned.has(group) && now - askedAt > FORGET_MS) this.#groups.delete(group);
     }
   }
 
-  /** A VM goes by this one for a group. */
+  /** Records that a VM uses this one as the owner of a group. */
   join(now: number, group: string, vm: string): void {
-    const known = this.#of(now, group);
+    const known = this.#groupOf(now, group);
     known.askedAt = now;
     known.share.join(now, vm);
   }
 
-  /** A VM goes by another one for a group. */
+  /** Records that a VM uses another one as the owner of a group. */
   leave(group: string, vm: string): void {
     this.#groups.get(group)?.share.leave(vm);
   }
 
   /**
-   * A VM asks for a run, which brings its part to this one.
-   * @param mostWaitMs longest time that the run may wait for its turn
+   * Debits a run for a VM, which thereby contributes its part of the quota to this owner.
+   * @param maxWaitMs maximum time that the run may wait for its start
    */
   take(
     now: number,
@@ -68,31 +68,32 @@
     quota: Rate,
     members: QuotaMembers,
     size: number,
-    mostWaitMs = 0,
+    maxWaitMs = 0,
   ): QuotaVerdict {
     this.join(now, key.group, vm);
     const { share, account } = this.#accountOf(now, key);
-    return account.take(now, quota, share.part(now, members), size, mostWaitMs);
+    return account.take(now, quota, share.part(now, members), size, maxWaitMs);
   }
 
-  /** Time until a run of that size could begin, in milliseconds. */
+  /** Time until a run of that size could start, in milliseconds. */
   waitMs(now: number, key: QuotaKey, quota: Rate, members: QuotaMembers, size: number): number {
     const { share, account } = this.#accountOf(now, key);
     return account.waitMs(now, quota, share.part(now, members), size);
   }
 
-  /** Drops the accounts of subjects that have no quota any more. */
+  /** Drops the accounts of subjects that no longer have a quota. */
   retain(hasQuota: (subject: string) => boolean): void {
     for (const { accounts } of this.#groups.values()) {
       for (const subject of accounts.keys()) if (!hasQuota(subject)) accounts.delete(subject);
     }
   }
 
+  /** Credits a run that did not take place. */
   giveBack({ group, subject }: QuotaKey, size: number): void {
     this.#groups.get(group)?.accounts.get(subject)?.giveBack(size);
   }
 
-  /** This VM stood still: others owned its groups meanwhile, and what they gave out is unknown. */
+  /** Drops all accounts after this VM was paused: other VMs owned its groups meanwhile, and what they granted is unknown. */
   reset(): void {
     this.#groups.clear();
   }
@@ -101,26 +102,26 @@
     now: number,
     { group, subject }: QuotaKey,
   ): { readonly share: QuotaShare; readonly account: QuotaAccount } {
-    const { beganAt, share, accounts } = this.#of(now, group);
+    const { startedAt, share, accounts } = this.#groupOf(now, group);
     let account = accounts.get(subject);
     if (!account) {
-      // Nobody else gave anything out since this VM owns the group.
-      account = new QuotaAccount(beganAt, this.#bounds);
+      // No other VM has granted anything since this VM owns the group.
+      account = new QuotaAccount(startedAt, this.#bounds);
       accounts.set(subject, account);
     }
     return { share, account };
   }
 
-  #of(now: number, group: string): Group {
+  #groupOf(now: number, group: string): Group {
     const known = this.#groups.get(group);
     if (known) return known;
-    const fresh: Group = {
-      beganAt: now,
+    const created: Group = {
+      startedAt: now,
       share: new QuotaShare(),
       accounts: new Map(),
       askedAt: now,
     };
-    this.#groups.set(group, fresh);
-    return fresh;
+    this.#groups.set(group, created);
+    return created;
   }
 }
--- a/src/core/quotas/share.ts
+++ b/src/core/quotas/share.ts
@@ -1,65 +1,65 @@
-/** Which part of each quota belongs to one owner: that of the VMs that go by it. */
+/** The part of each quota that belongs to one owner: that of the VMs that use it as owner. */
 
-/** Members as an owner sees them. */
+/** The members known to an owner. */
 export interface QuotaMembers {
-  /** VMs there may be: all that did not say that they leave. */
+  /** Number of VMs that may exist: all that have not announced that they leave. */
   readonly known: number;
-  /** Those that live, this one included. */
+  /** VMs that are present, including this one. */
   readonly present: ReadonlySet<string>;
 }
 
-/** Shortest time after which a VM says again by whom it goes if it asked for nothing since, in milliseconds. */
-const RENEW_LEAST_MS = 1300;
-/** That time for each VM of the fleet, in milliseconds: one owner hears some 200 of these words a second at most. */
-const RENEW_VM_MS = 5;
-/** Words of a VM that may be lost before its part lapses, and time for the last one to come, in milliseconds. */
-const RENEWALS = 3;
-const TRAVEL_MS = 100;
+/** Minimum time after which a VM without requests renews its announcement to its owner, in milliseconds. */
+const MIN_RENEWAL_MS = 1300;
+/** Renewal time per VM of the fleet, in milliseconds, so that one owner receives at most some 200 renewals a second. */
+const RENEWAL_PER_VM_MS = 5;
+/** Renewals that may be lost before a VM's part expires, and the time allowed for the last one to arrive, in milliseconds. */
+const MAX_LOST_RENEWALS = 3;
+const DELIVERY_MS = 100;
 
-/** Time after which a VM says again by whom it goes, in milliseconds. */
+/** Time after which a VM renews its announcement to its owner, in milliseconds. */
 export function renewMs({ known }: QuotaMembers): number {
-  return Math.max(RENEW_LEAST_MS, RENEW_VM_MS * known);
+  return Math.max(MIN_RENEWAL_MS, RENEWAL_PER_VM_MS * known);
 }
 
-/** Time for which a part is taken to be the same, in milliseconds: it is asked for with each run. */
-const SAME_MS = 100;
+/** Time for which a computed part is cached, in milliseconds; it is needed for each run. */
+const CACHE_MS = 100;
 
 /**
- * Which VMs go by one owner. Each says so when it takes up an owner and from time to time;
- * that others live as far as is known counts for nothing, since a VM that is cut off needs
- * many seconds to find out that they do not answer.
+ * The VMs that use one owner. Each announces itself when it selects an owner and
+ * periodically afterwards. That other VMs appear to be alive does not count, since a VM
+ * that is cut off needs many seconds to detect that they do not answer.
  */
 export class QuotaShare {
-  /** When each VM said last that it goes by this owner. */
+  /** When each VM last announced that it uses this owner. */
   readonly #joined = new Map<string, number>();
 
-  #known:
+  #cached:
     { readonly members: QuotaMembers; readonly part: number; readonly at: number } | undefined;
 
-  /** A VM goes by this owner. */
+  /** Records that a VM uses this owner. */
   join(now: number, vm: string): void {
-    if (!this.#joined.has(vm)) this.#known = undefined;
+    if (!this.#joined.has(vm)) this.#cached = undefined;
     this.#joined.set(vm, now);
   }
 
-  /** A VM goes by another owner. */
+  /** Records that a VM uses another owner. */
   leave(vm: string): void {
-    if (this.#joined.delete(vm)) this.#known = undefined;
+    if (this.#joined.delete(vm)) this.#cached = undefined;
   }
 
-  /** Part of each quota that belongs to the VMs that go by this owner. */
+  /** Part of each quota that belongs to the VMs that use this owner, from 0 to 1. */
   part(now: number, members: QuotaMembers): number {
-    const known = this.#known;
-    if (known?.members === members && now - known.at < SAME_MS) return known.part;
-    const part = this.#partOf(now, members);
-    this.#known = { members, part, at: now };
+    const known = this.#cached;
+    if (known?.members === members && now - known.at < CACHE_MS) return known.part;
+    const part = this.#computePart(now, members);
+    this.#cached = { members, part, at: now };
     return part;
   }
 
-  #partOf(now: number, members: QuotaMembers): number {
+  #computePart(now: number, members: QuotaMembers): number {
     const { known, present } = members;
-    // Where only the way between a VM and its owner is cut, the word that it leaves is lost.
-    const leaseMs = renewMs(members) * RENEWALS + TRAVEL_MS;
+    // If only the path between a VM and its owner is cut, the announcement that the VM leaves is lost, so its part expires.
+    const leaseMs = renewMs(members) * MAX_LOST_RENEWALS + DELIVERY_MS;
     let own = 0;
     for (const [vm, at] of this.#joined) {
       if (now - at > leaseMs) this.#joined.delete(vm);
--- a/src/core/ratelimits/rates.ts
+++ b/src/core/ratelimits/rates.ts
@@ -1,34 +1,35 @@
 /**
- * The rate limits of runners as one VM knows them.
+ * Rate limits of runners known to one VM.
  *
- * A runner names its limit in its answers for as long as it holds. Answers of several
- * VMs overtake each other, and news of a limit is told several times, so each change
- * has a version: a VM that sees one makes the next version, and the highest one wins.
+ * A runner reports its limit in its answers while it is in force. Answers to several VMs
+ * overtake each other, and an update may arrive several times, so each change has a
+ * version: a VM that observes a change creates the next version, and the highest one
+ * wins.
  */
 
 import { textHash } from '../hash';
 import type { Runner } from '../routing/types';
 import type { RateNotice, RunnerRate } from './types';
 
-/** What an answer tells of the limit of its runner. */
+/** An observation of a runner's limit in an answer. */
 export interface RateSighting {
   /** When its request was sent. */
   readonly sentAt: number;
   readonly notice: RateNotice;
-  /** Whether a runner without a limit would surely have answered so. */
+  /** Whether this answer, without a reported limit, proves that the runner has none. */
   readonly provesEnd: boolean;
 }
 
-/** By how much a rate must differ from the known one to be news, as a part: some runners work it out anew for each answer. */
-const NEWS_PART = 0.1;
-/** Least time between two such changes of one runner, in milliseconds. */
-const NEWS_PACE_MS = 500;
-/** How long a limit that has ended, or whose runner is gone, is remembered, so that late news of it is known for what it is, in milliseconds. */
-const KEPT_MS = 60_000;
-/** Runners whose limits are kept: more than there are in the largest fleet. */
-const KEPT_MOST = 10_000;
+/** Minimum relative change of a rate that is spread; some runners recompute their rate for each answer. */
+const MIN_CHANGE_FRACTION = 0.1;
+/** Minimum time between two such changes of one runner, in milliseconds. */
+const MIN_CHANGE_INTERVAL_MS = 500;
+/** How long a limit is remembered after it ended or its runner disappeared, in milliseconds, so that late updates are recognised as stale. */
+const RETENTION_MS = 60_000;
+/** Maximum number of runners whose limits are kept: more than the largest fleet has. */
+const MAX_ENTRIES = 10_000;
 
-/** Which runners are limited, in short, for VMs to compare; empty if none is. */
+/** Digest of the set of limited runners, to be compared between VMs; empty if there are none. */
 export function digestOf(limited: readonly RunnerRate[]): string {
   const ids = limited.map(({ runner }) => runner);
   return ids.length === 0 ? '' : textHash(ids.sort().join(' ')).toString(36);
@@ -37,9 +38,9 @@
 interface Entry {
   readonly rate: RunnerRate;
   readonly changedAt: number;
-  /** When the limit was named last, as far as this VM knows. */
-  namedAt: number;
-  /** When its runner was last listed. */
+  /** When the limit was last reported to this VM. */
+  reportedAt: number;
+  /** When the runner was last listed. */
   listedAt: number;
 }
 
@@ -47,12 +48,12 @@
 export class RunnerRates {
   readonly #entries = new Map<string, Entry>();
 
-  /** Requests a second that a runner takes from all VMs together. Default: it names no limit. */
+  /** Requests per second that a runner accepts from all VMs together; undefined if it has no limit. */
   ratePerS(runner: string): number | undefined {
     return this.#entries.get(runner)?.rate.ratePerS;
   }
 
-  /** What is known of a runner's limit. Default: it never named one. */
+  /** The latest change of a runner's limit; undefined if it never reported one. */
   rateOf(runner: string): RunnerRate | undefined {
     return this.#entries.get(runner)?.rate;
   }
@@ -62,12 +63,12 @@
     return this.all.filter(({ ratePerS }) => ratePerS !== undefined);
   }
 
-  /** The limits in force and those that ended a while ago, to be told to another VM. */
+  /** The limits in force and those that ended recently, to be sent to another VM. */
   get all(): readonly RunnerRate[] {
     return [...this.#entries.values()].map(({ rate }) => rate);
   }
 
-  /** Takes an answer's word. Gives what is to be told to others, if that is news. */
+  /** Records an answer of a runner. Returns the update to spread; undefined if nothing changed. */
   saw(
     now: number,
     { id: runner, service }: Runner,
@@ -77,46 +78,46 @@
     const known = entry?.rate.ratePerS;
     const version = (entry?.rate.version ?? 0) + 1;
     if (notice.kind === 'limited') {
-      if (entry) entry.namedAt = now;
+      if (entry) entry.reportedAt = now;
       const { ratePerS } = notice;
-      const isNews = !entry || known === undefined || isChange(now, entry, known, ratePerS);
-      return isNews ? this.#set(now, { runner, service, version, ratePerS }) : undefined;
+      const hasChanged = !entry || known === undefined || isChange(now, entry, known, ratePerS);
+      return hasChanged ? this.#set(now, { runner, service, version, ratePerS }) : undefined;
     }
-    // The limit may have been named after this answer was made, where its request is older.
-    const isOver = known !== undefined && provesEnd && sentAt > (entry?.namedAt ?? Infinity);
-    return isOver ? this.#set(now, { runner, service, version }) : undefined;
+    // If the request is older than the last report, the limit may have come into force after this answer was made.
+    const hasEnded = known !== undefined && provesEnd && sentAt > (entry?.reportedAt ?? Infinity);
+    return hasEnded ? this.#set(now, { runner, service, version }) : undefined;
   }
 
-  /** Takes over what another VM tells; whether that was news. */
-  learn(now: number, told: RunnerRate): boolean {
-    const known = this.#entries.get(told.runner)?.rate;
-    if (known && !isLater(told, known)) return false;
-    return this.#set(now, told) !== undefined;
+  /** Applies an update from another VM; returns whether it was new. */
+  learn(now: number, update: RunnerRate): boolean {
+    const known = this.#entries.get(update.runner)?.rate;
+    if (known && !isLater(update, known)) return false;
+    return this.#set(now, update) !== undefined;
   }
 
-  /** Forgets limits that ended, or whose runners are gone, a while ago. */
+  /** Drops limits that ended, or whose runners disappeared, more than `RETENTION_MS` ago. */
   prune(now: number, listed: ReadonlySet<string>): void {
     for (const [runner, entry] of this.#entries) {
       const { rate, changedAt } = entry;
       if (listed.has(runner)) entry.listedAt = now;
-      const neededAt = rate.ratePerS === undefined ? changedAt : entry.listedAt;
-      if (now - neededAt > KEPT_MS) this.#entries.delete(runner);
+      const lastNeededAt = rate.ratePerS === undefined ? changedAt : entry.listedAt;
+      if (now - lastNeededAt > RETENTION_MS) this.#entries.delete(runner);
     }
   }
 
   #set(now: number, rate: RunnerRate): RunnerRate | undefined {
-    if (!this.#entries.has(rate.runner) && this.#entries.size >= KEPT_MOST) return undefined;
-    this.#entries.set(rate.runner, { rate, changedAt: now, namedAt: now, listedAt: now });
+    if (!this.#entries.has(rate.runner) && this.#entries.size >= MAX_ENTRIES) return undefined;
+    this.#entries.set(rate.runner, { rate, changedAt: now, reportedAt: now, listedAt: now });
     return rate;
   }
 }
 
 function isChange(now: number, { changedAt }: Entry, known: number, ratePerS: number): boolean {
-  const differs = Math.abs(ratePerS - known) > known * NEWS_PART;
-  return differs && now - changedAt >= NEWS_PACE_MS;
+  const differs = Math.abs(ratePerS - known) > known * MIN_CHANGE_FRACTION;
+  return differs && now - changedAt >= MIN_CHANGE_INTERVAL_MS;
 }
 
-/** Of two changes that VMs saw at the same time, the one with the lower rate wins: it keeps to both. */
+/** Of two concurrent changes with the same version the one with the lower rate wins, since it satisfies both. */
 function isLater(one: RunnerRate, other: RunnerRate): boolean {
   if (one.version !== other.version) return one.version > other.version;
   return (one.ratePerS ?? Infinity) < (other.ratePerS ?? Infinity);
--- a/src/core/ratelimits/types.ts
+++ b/src/core/ratelimits/types.ts
@@ -1,35 +1,35 @@
-/** Rate limits that runners in need name in their answers, as VMs know and tell of them. */
+/** Rate limits that overloaded runners report in their answers, as VMs store and exchange them. */
 
-/** What an answer says of the rate limit of its runner. */
+/** What an answer reports about the rate limit of its runner. */
 export type RateNotice =
   | { readonly kind: 'none' }
-  /** Requests a second that the runner takes from all VMs together. */
+  /** Requests per second that the runner accepts from all VMs together. */
   | { readonly kind: 'limited'; readonly ratePerS: number }
-  /** There is something under the header's name, but no rate. */
+  /** The header is present, but its value is not a rate. */
   | { readonly kind: 'unreadable'; readonly text: string };
 
 /** The rate limit of one runner as of its latest change. */
 export interface RunnerRate {
-  /** Id of the start of the runner. */
+  /** Id of the runner's instance. */
   readonly runner: string;
   readonly service: string;
-  /** Grows with each change; the higher one wins. */
+  /** Grows with each change; the highest one wins. */
   readonly version: number;
-  /** Requests a second from all VMs together. Default: the limit has ended. */
+  /** Requests per second from all VMs together. Default: the limit has ended. */
   readonly ratePerS?: number | undefined;
 }
 
-/** What the limited runners of one service may still be sent. */
+/** What the rate-limited runners of one service may still receive. */
 export interface Ration {
-  /** Requests a second that a runner takes from all VMs together. Default: it names no limit. */
+  /** Requests per second that a runner accepts from all VMs together; undefined if it has no limit. */
   ratePerS(runner: string): number | undefined;
-  /** Time until one more request may go to a runner, in milliseconds; 0 where it names no limit. */
+  /** Time until one more request may be sent to a runner, in milliseconds; 0 if it has no limit. */
   waitMs(now: number, runner: string): number;
-  /** One more request goes to a runner. */
+  /** Debits one request that is sent to a runner. */
   take(now: number, runner: string): void;
 }
 
-/** Runners that name no limits. */
+/** The allowance of runners without limits. */
 export const unlimited: Ration = {
   ratePerS: () => undefined,
   waitMs: () => 0,
--- a/src/core/routing/digest.ts
+++ b/src/core/routing/digest.ts
@@ -1,19 +1,19 @@
 /**
- * A short form of a set of facts, in parts: two VMs compare it and exchange only
- * the facts of the parts in which they differ.
+ * Digest of a set of records, split into parts by record id. Two VMs compare their
+ * digests and exchange only the records of the parts that differ.
  */
 
 import { textHash } from '../hash';
 
-/** Parts: at 7,300 runners one holds some 115, about 25 KB. */
+/** Number of parts: at 7,300 runners one part holds some 115 records, about 25 KB. */
 export const DIGEST_PARTS = 64;
 
-/** Part that a fact's id falls into. */
+/** The part to which a record belongs. */
 export function partOf(id: string): number {
   return textHash(id) % DIGEST_PARTS;
 }
 
-/** Digest that is kept up with each change; the order of changes does not matter. */
+/** Digest that is updated incrementally; the order of updates does not matter. */
 export class FactDigest {
   readonly #parts = new Uint32Array(DIGEST_PARTS);
 
@@ -21,7 +21,7 @@
 
   #text: string | undefined;
 
-  /** Takes a fact's new content; undefined if it is gone. */
+  /** Sets the content of a record; undefined if it was removed. */
   set(id: string, content: string | undefined): void {
     const part = partOf(id);
     const hash = content === undefined ? 0 : textHash(`${id} ${content}`);
@@ -32,17 +32,18 @@
     this.#text = undefined;
   }
 
+  /** Digests of the parts, by index. */
   get parts(): readonly number[] {
     return [...this.#parts];
   }
 
-  /** All parts in one. */
+  /** One digest over all parts. */
   get text(): string {
     this.#text ??= textHash(this.#parts.join(' ')).toString(36);
     return this.#text;
   }
 
-  /** The parts in which another digest differs. */
+  /** Indices of the parts that differ from those of another digest. */
   differing(theirs: readonly number[]): ReadonlySet<number> {
     const own = this.parts;
     return new Set(own.map((_, part) => part).filter((part) => own[part] !== theirs[part]));
--- a/src/core/routing/directory.ts
+++ b/src/core/routing/directory.ts
@@ -1,11 +1,11 @@
 /**
- * What is known of runners, from the store and from peers.
+ * Runner records, collected from the store and from peers.
  *
- * Every fact carries the position of its last change in the store's history. The
- * latest wins, so an older copy from a peer, or of the store itself, never undoes a
- * newer one. Of two starts under one listing the later one wins whatever the
- * positions say: a write of the earlier start may be carried out seconds after its
- * end. A start that leaves never stays after all.
+ * Each record carries the position of its last change in the store's history. The latest
+ * position wins, so an older copy from a peer or of the store itself never undoes a newer
+ * record. Of two instances under one listing the one started later wins whatever their
+ * positions: a write of the earlier instance may be carried out seconds after it ended.
+ * An instance that announced that it leaves never becomes available again.
  */
 
 import { FactDigest, partOf } from './digest';
@@ -13,40 +13,40 @@
 import { START, isLater } from './position';
 import type { Runner } from './types';
 
-/** One fact: a runner as of a position, or that it is gone. */
+/** A runner as of a position, or the information that it was removed. */
 export interface RunnerFact {
-  /** Listing of the runner. */
+  /** Id under which the runner is listed. */
   readonly id: string;
   readonly position: Position;
   readonly runner: Runner | undefined;
-  /** Why the entry names no runner although it is there. Default: it was read, or is gone. */
+  /** Why an existing entry could not be decoded. Default: it was decoded or is removed. */
   readonly unreadable?: string;
-  /** How long the runner stays in use all the same, in milliseconds, as another VM tells. Default: to be worked out here. */
+  /** How much longer the removed runner stays in use, in milliseconds, as reported by another VM. Default: determined by the receiver. */
   readonly graceMs?: number | undefined;
 }
 
-interface Known {
-  fact: RunnerFact;
-  /** The last listed form of a runner whose entry vanished, kept while its return is likely. */
+interface Entry {
+  record: RunnerFact;
+  /** The last listed state of a runner whose entry was removed, kept while it may return. */
   last: Runner | undefined;
   goneAt: number;
-  /** Latest start that is known, in Unix milliseconds. */
+  /** Start time of the latest known instance, in Unix milliseconds. */
   bornAt: number;
 }
 
-/** All of a runner that matters to routing, in one text. */
+/** The fields of a runner that matter to routing, as one string. */
 function contentOf(runner: Runner | undefined): string | undefined {
   if (!runner) return undefined;
   const { id, listing, service, address, domain, role, slots, leaving } = runner;
   return [id, listing, service, address, domain, role, slots, leaving].join(' ');
 }
 
-/** How long gone runners are remembered, so that an old fact cannot bring them back, in milliseconds. */
-const FORGET_MS = 60_000;
+/** How long removed runners are remembered, in milliseconds, so that a stale record cannot restore them. */
+const RETENTION_MS = 60_000;
 
-/** Runners by id. */
+/** Runner records by listing. */
 export class RunnerDirectory {
-  readonly #known = new Map<string, Known>();
+  readonly #entries = new Map<string, Entry>();
 
   readonly #digest = new FactDigest();
 
@@ -59,28 +59,30 @@
     return this.#position;
   }
 
-  /** Grows with each change that matters to routing, in whatever order they come in. */
+  /** Counts the changes that matter to routing, in whatever order they arrive. */
   get changes(): number {
     return this.#changes;
   }
 
+  /** Digest of all records. */
   get digest(): FactDigest {
     return this.#digest;
   }
 
+  /** All records, those of removed runners included. */
   get facts(): readonly RunnerFact[] {
-    return [...this.#known.values()].map(({ fact }) => fact);
+    return [...this.#entries.values()].map(({ record }) => record);
   }
 
-  /** Facts of some parts of the digest as another VM should take them over; no more parts than hold about `most` facts. */
+  /** Records of some parts of the digest, for another VM. Includes whole parts until about `most` records are reached. */
   factsIn(now: number, parts: ReadonlySet<number>, most: number): readonly RunnerFact[] {
     const byPart = new Map<number, RunnerFact[]>();
-    for (const { fact, goneAt } of this.#known.values()) {
-      const part = partOf(fact.id);
+    for (const { record, goneAt } of this.#entries.values()) {
+      const part = partOf(record.id);
       if (parts.has(part)) {
-        const graceMs = fact.runner ? undefined : Math.max(0, goneAt - now);
+        const graceMs = record.runner ? undefined : Math.max(0, goneAt - now);
         const found = byPart.get(part) ?? [];
-        found.push({ ...fact, graceMs });
+        found.push({ ...record, graceMs });
         byPart.set(part, found);
       }
     }
@@ -90,91 +92,99 @@
   }
 
   /**
-   * Takes a fact over if it is newer.
-   * @param graceMs how long the runner stays in use if its entry vanished, in milliseconds
-   * @returns whether anything that matters changed
+   * Applies a record if it is newer than the known one.
+   * @param graceMs how long the runner stays in use if its entry was removed, in milliseconds
+   * @returns whether anything that matters to routing changed
    */
-  learn(now: number, told: RunnerFact, graceMs: number): boolean {
-    const known = this.#known.get(told.id);
-    const { bornAt = known?.bornAt ?? 0 } = told.runner ?? {};
+  learn(now: number, update: RunnerFact, graceMs: number): boolean {
+    const known = this.#entries.get(update.id);
+    const { bornAt = known?.bornAt ?? 0 } = update.runner ?? {};
     if (known && bornAt < known.bornAt) return false;
-    const fact = join(known, told);
-    if (!fact) return false;
-    const before = known?.fact.runner;
-    const content = contentOf(fact.runner);
+    const record = latestOf(known, update);
+    if (!record) return false;
+    const before = known?.record.runner;
+    const content = contentOf(record.runner);
     const changed = contentOf(before) !== content;
-    const last = fact.runner ?? before ?? known?.last;
-    // One that is gone already gets no new grace: told again, as by a copy of the store, it would come into use once more.
+    const last = record.runner ?? before ?? known?.last;
+    // A runner that is already removed gets no new grace period: a repeated report, for example from a copy of the store, would bring it back into use.
     const goneAt = Math.min(known?.goneAt ?? Infinity, last?.leaving ? now : now + graceMs);
-    this.#known.set(fact.id, { fact, last, goneAt: fact.runner ? Infinity : goneAt, bornAt });
+    this.#entries.set(record.id, {
+      record,
+      last,
+      goneAt: record.runner ? Infinity : goneAt,
+      bornAt,
+    });
     if (changed) {
-      if (isLater(fact.position, this.#position)) this.#position = fact.position;
+      if (isLater(record.position, this.#position)) this.#position = record.position;
       this.#changes += 1;
-      this.#digest.set(fact.id, content);
+      this.#digest.set(record.id, content);
     }
     return changed;
   }
 
   /**
-   * A runner itself told of a start. The one listed is over if that is later:
-   * its entry stays as it was until the new start has written its own.
-   * @returns whether a start that was known is over by it
+   * Applies the start time that a runner reported itself. If it is later than that of the
+   * listed instance, the listed instance has ended; its entry stays as it is until the new
+   * instance has written its own.
+   * @returns whether a known instance has ended by this
    */
   learnStart(listing: string, bornAt: number): boolean {
-    const known = this.#known.get(listing);
-    // An entry that does not tell its start names no start that could be over.
+    const known = this.#entries.get(listing);
+    // An entry without a start time names no instance that could have ended.
     if (!known || known.bornAt === 0 || bornAt <= known.bornAt) return false;
     known.bornAt = bornAt;
     this.#changes += 1;
     return true;
   }
 
-  /** The latest start that is known of a listing, in Unix milliseconds; 0 if none is. */
+  /** Start time of the latest known instance of a listing, in Unix milliseconds; 0 if none is known. */
   latestStart(listing: string): number {
-    return this.#known.get(listing)?.bornAt ?? 0;
+    return this.#entries.get(listing)?.bornAt ?? 0;
   }
 
-  /** Whether a fact was taken in before, or is older than what was. */
+  /** Whether the known record is as late as this one or later. */
   isKnown({ id, position }: RunnerFact): boolean {
-    const known = this.#known.get(id);
-    return known !== undefined && !isLater(position, known.fact.position);
+    const known = this.#entries.get(id);
+    return known !== undefined && !isLater(position, known.record.position);
   }
 
-  /** Runners that may get work now. */
+  /** Runners that may receive work now. */
   usable(now: number): readonly Runner[] {
     const found: Runner[] = [];
-    for (const [id, { fact, last, goneAt, bornAt }] of this.#known) {
-      const runner = fact.runner ?? (now < goneAt ? last : undefined);
+    for (const [id, { record, last, goneAt, bornAt }] of this.#entries) {
+      const runner = record.runner ?? (now < goneAt ? last : undefined);
       if (runner && !runner.leaving && runner.bornAt >= bornAt) found.push(runner);
-      // An entry that cannot be read stays known while it is listed: forgotten, it would be reported again.
-      if (now > goneAt + FORGET_MS && fact.unreadable === undefined) this.#known.delete(id);
+      // An entry that cannot be decoded is kept while it is listed; if it were forgotten, it would be reported again.
+      if (now > goneAt + RETENTION_MS && record.unreadable === undefined) this.#entries.delete(id);
     }
     return found;
   }
 
-  /** Ids that the store's full list did not name although they are listed here. */
+  /** Listings that have a runner here but are missing from the store's full list. */
   missing(listed: ReadonlySet<string>): readonly string[] {
-    return [...this.#known.values()]
-      .filter(({ fact }) => fact.runner !== undefined && !listed.has(fact.id))
-      .map(({ fact }) => fact.id);
+    return [...this.#entries.values()]
+      .filter(({ record }) => record.runner !== undefined && !listed.has(record.id))
+      .map(({ record }) => record.id);
   }
 }
 
 /**
- * The later of two facts; undefined if that is the known one. That a start leaves
- * goes into either: an older copy of the store shows it as it was before it said so,
- * and work that it gets by that is lost with it.
+ * The later of two records; undefined if that is the known one. The announcement that an
+ * instance leaves is kept in either: an older copy of the store shows the instance as it
+ * was before, and work sent to it on that basis would be lost with it.
  */
-function join(known: Known | undefined, told: RunnerFact): RunnerFact | undefined {
-  if (!known) return told;
-  const { fact, last } = known;
-  if (isLater(told.position, fact.position)) {
-    return saysLeaving(last, told.runner) ? { ...told, runner: last } : told;
+function latestOf(known: Entry | undefined, update: RunnerFact): RunnerFact | undefined {
+  if (!known) return update;
+  const { record, last } = known;
+  if (isLater(update.position, record.position)) {
+    return announcesLeaving(last, update.runner) ? { ...update, runner: last } : update;
   }
-  return saysLeaving(told.runner, fact.runner) ? { ...fact, runner: told.runner } : undefined;
+  return announcesLeaving(update.runner, record.runner)
+    ? { ...record, runner: update.runner }
+    : undefined;
 }
 
-/** Whether one form of a runner says that it leaves, of which the other, of the same start, does not. */
-function saysLeaving(one: Runner | undefined, other: Runner | undefined): boolean {
+/** Whether one state of a runner announces that it leaves and the other, of the same instance, does not. */
+function announcesLeaving(one: Runner | undefined, other: Runner | undefined): boolean {
   return one?.leaving === true && other?.leaving === false && one.id === other.id;
 }
--- a/src/core/routing/freshness.ts
+++ b/src/core/routing/freshness.ts
@@ -1,124 +1,130 @@
 /**
- * How old the configuration of a VM can be at most.
+ * Upper bound on the age of a VM's configuration.
  *
- * Time is counted from the moment at which this VM asked, whoever answered: what
- * came between is unknown, and so the age is never told too low. The store's answer
- * proves that nothing newer was there when it was asked. Another VM answers with the
- * age of its own proof, which therefore passes from VM to VM without the store. Times
- * are on this VM's own clock, which must go on while the VM is suspended: times of
- * day differ by seconds, and news that did not come proves nothing.
+ * The age counts from the moment at which this VM sent its query, whoever answered it.
+ * Changes after that moment are unknown, so the reported age is never too low. An answer
+ * of the store confirms that nothing newer was in force when it was asked. Another VM
+ * answers with the age of its own confirmation, so confirmations pass from VM to VM
+ * without the store. Times are on this VM's own monotonic clock, which must go on while
+ * the VM is suspended: wall clocks differ by seconds, and the absence of updates
+ * confirms nothing.
  */
 
-/** What a VM tells of its own proof. */
+/** A VM's confirmation that its configuration was in force at some time. */
 export interface Proof {
-  /** Its configuration, to which the proof belongs. */
+  /** Version of the configuration that is confirmed. */
   readonly version: number;
   readonly ageMs: number;
 }
 
 /**
- * Time after its return from an older copy in which the store's answers prove nothing, in
- * milliseconds: the copy may lack a configuration that was confirmed, until the operator has
- * written it again.
+ * Time after the store was restored from an older copy in which its answers confirm
+ * nothing, in milliseconds: the copy may lack a confirmed configuration until the
+ * operator has written it again.
  */
-const RETURN_MS = 2500;
+const RESTORE_GRACE_MS = 2500;
 /**
- * Parts of the age to which a proof is good: from the first a reader asks the store, since
- * a watch proves nothing while it waits; from the second other VMs ask the readers of
- * their failure domain, from the third the store itself.
+ * Fractions of the maximum age at which a VM asks for a new confirmation. From the first
+ * on, a reader queries the store, since a pending watch confirms nothing. From the second
+ * on, other VMs query the readers of their failure domain; from the third on, the store
+ * itself.
  */
-const READER_PART = 0.25;
-const ASK_PART = 0.5;
-const ALONE_PART = 0.7;
+const READER_FRACTION = 0.25;
+const PEER_FRACTION = 0.5;
+const STORE_FRACTION = 0.7;
 
-/** Whom a VM is to ask how old its configuration is. */
+/** Where a VM asks for a new confirmation. */
 export type ProofSource = 'store' | 'readers' | 'nobody';
 
-/** @param goodMs age to which a proof is good, in milliseconds */
-export function proofSource(ageMs: number, goodMs: number, isReader: boolean): ProofSource {
-  if (ageMs > goodMs * (isReader ? READER_PART : ALONE_PART)) return 'store';
-  return ageMs > goodMs * ASK_PART ? 'readers' : 'nobody';
+/**
+ * Selects where to ask for a new confirmation at the current age.
+ * @param maxAgeMs age up to which a confirmation is accepted, in milliseconds
+ */
+export function proofSource(ageMs: number, maxAgeMs: number, isReader: boolean): ProofSource {
+  if (ageMs > maxAgeMs * (isReader ? READER_FRACTION : STORE_FRACTION)) return 'store';
+  return ageMs > maxAgeMs * PEER_FRACTION ? 'readers' : 'nobody';
 }
 
-/** Waits between two questions to the store, in milliseconds: the first, doubled up to the limit; all VMs ask where the store is away for all, and readers bring the proof back to them. */
-const READER_WAIT_MS = { first: 250, limit: 500 };
-const ALONE_WAIT_MS = { first: 500, limit: 4000 };
+/** Backoff between two queries to the store, in milliseconds: the first wait, doubled up to the limit. If the store is unavailable to all, all VMs query it, and readers distribute the next confirmation to them. */
+const READER_BACKOFF_MS = { first: 250, limit: 500 };
+const STORE_BACKOFF_MS = { first: 500, limit: 4000 };
 
-/** Paces the questions of one VM to the store. */
+/** Exponential backoff for the queries of one VM to the store. */
 export class ProofPace {
-  #at = -Infinity;
+  #nextAt = -Infinity;
 
   #waitMs = 0;
 
-  /** Whether the store may be asked now; counts as a question. */
+  /** Whether the store may be queried now; if so, counts the query. */
   asks(now: number, isReader: boolean): boolean {
-    if (now < this.#at) return false;
-    const { first, limit } = isReader ? READER_WAIT_MS : ALONE_WAIT_MS;
+    if (now < this.#nextAt) return false;
+    const { first, limit } = isReader ? READER_BACKOFF_MS : STORE_BACKOFF_MS;
     this.#waitMs = Math.min(limit, Math.max(first, this.#waitMs * 2));
-    this.#at = now + this.#waitMs;
+    this.#nextAt = now + this.#waitMs;
     return true;
   }
 
-  /** The proof is young again. */
+  /** Resets the backoff after a new confirmation. */
   reset(): void {
     this.#waitMs = 0;
   }
 }
 
-/** Questions to other VMs that are kept in mind; each is answered soon or never. */
-const ASKED_MOST = 32;
+/** Pending queries to other VMs that are tracked; each is answered soon or never. */
+const MAX_PENDING_QUERIES = 32;
 
-/** The proof of one VM. */
+/** The freshness confirmation of one VM. */
 export class Freshness {
-  /** Nothing newer than the own configuration was in force then. Default: unknown. */
+  /** Time at which nothing newer than the own configuration was in force; minus infinity if unknown. */
   #asOf = -Infinity;
 
-  readonly #asked = new Map<number, number>();
+  readonly #pendingQueries = new Map<number, number>();
 
-  #storeProvesFrom = -Infinity;
+  #storeValidFrom = -Infinity;
 
-  /** How old the configuration can be at most, in milliseconds; infinite if that is unknown. */
+  /** Maximum age of the configuration in milliseconds; infinite if unknown. */
   ageMs(now: number): number {
     return now - this.#asOf;
   }
 
-  /** Takes over that nothing newer than the own configuration was in force at a time. */
+  /** Records that nothing newer than the own configuration was in force at a time. */
   prove(asOf: number): void {
     this.#asOf = Math.max(this.#asOf, asOf);
   }
 
-  /** The store answered what it was asked at a time. */
+  /** Records an answer of the store to a query sent at `askedAt`. */
   storeAnswered(askedAt: number): void {
-    if (askedAt >= this.#storeProvesFrom) this.prove(askedAt);
+    if (askedAt >= this.#storeValidFrom) this.prove(askedAt);
   }
 
-  /** The store came back from an older copy. */
+  /** Records that the store was restored from an older copy. */
   storeCameBack(now: number): void {
-    this.#storeProvesFrom = now + RETURN_MS;
+    this.#storeValidFrom = now + RESTORE_GRACE_MS;
   }
 
-  /** This VM asks another one. */
+  /** Records a query to another VM. */
   ask(now: number, seq: number): void {
-    this.#asked.set(seq, now);
-    const [oldest] = this.#asked.keys();
-    if (this.#asked.size > ASKED_MOST && oldest !== undefined) this.#asked.delete(oldest);
+    this.#pendingQueries.set(seq, now);
+    const [oldest] = this.#pendingQueries.keys();
+    if (this.#pendingQueries.size > MAX_PENDING_QUERIES && oldest !== undefined)
+      this.#pendingQueries.delete(oldest);
   }
 
-  /** Another VM answers a question; see `ask`. */
+  /** Records the answer to a query; see `recordQuery`. Unknown queries are ignored. */
   answer(seq: number, proof: Proof, version: number): void {
-    const askedAt = this.#asked.get(seq);
+    const askedAt = this.#pendingQueries.get(seq);
     if (askedAt !== undefined) this.told(askedAt, proof, version);
   }
 
   /**
-   * Another VM told its proof after it was asked for it.
-   * @param version the own configuration; a proof for a later one says nothing of it
+   * Applies the confirmation of another VM that was queried at `askedAt`.
+   * @param version the own configuration; a confirmation for a later one does not apply to it
    */
-  told(askedAt: number, { version: proven, ageMs }: Proof, version: number): void {
-    if (proven <= version) this.prove(askedAt - ageMs);
+  told(askedAt: number, { version: confirmed, ageMs }: Proof, version: number): void {
+    if (confirmed <= version) this.prove(askedAt - ageMs);
   }
 
-  /** What this VM tells others; undefined if it has no proof. */
+  /** The confirmation that this VM sends to others; undefined if it has none. */
   tell(now: number, version: number): Proof | undefined {
     const ageMs = this.ageMs(now);
     return Number.isFinite(ageMs) ? { version, ageMs } : undefined;
--- a/src/core/routing/spread.ts
+++ b/src/core/routing/spread.ts
@@ -1,8 +1,9 @@
 /**
- * How news of configuration and runners gets to all VMs: whoever learns a change
- * tells a few others at once, and they tell on. Small news goes with the message;
- * the rest is fetched from whoever told of it, one fetch at a time and paced. What
- * was lost on the way shows in the digests that probes carry.
+ * Propagation of configuration and runner updates to all VMs. A VM that learns of a
+ * change announces it to a few others at once, and they pass it on by gossip. Small
+ * updates travel in the message; the rest is fetched from the VM that announced it, one
+ * rate-limited fetch at a time. Lost updates show as differences in the digests that
+ * probes carry.
  */
 
 import type { Rumour } from '../membership/types';
@@ -10,92 +11,93 @@
 import type { Position } from './position';
 import { latest, ordinalOf } from './position';
 
-/** Path of news that the configuration changed. */
+/** Path of updates of the configuration. */
 export const CONFIG_PATH = 'config';
-/** Path of news that many runners changed. */
+/** Path of updates that announce changes of many runners. */
 export const RUNNERS_PATH = 'runners';
-/** Path of news that the store came back from an older copy. */
+/** Path of updates that announce that the store was restored from an older copy. */
 export const ERA_PATH = 'era';
-/** Path of news of one runner, followed by its listing. */
+/** Path of updates of one runner, followed by its listing. */
 export const RUNNER_PATH = 'runner/';
 
-/** Changes that are told one by one; more at once are fetched together. */
-const TOLD_MOST = 16;
-/** Least time between two fetches of one VM, in milliseconds: with 800 VMs some two a second come to each. */
-const FETCH_PACE_MS = 400;
+/** Maximum number of changes that are announced one by one; more at once are fetched together. */
+const MAX_SINGLE_UPDATES = 16;
+/** Minimum time between two fetches of one VM, in milliseconds: with 800 VMs each receives some two requests a second. */
+const FETCH_INTERVAL_MS = 400;
 /**
- * Time for which digests must differ before a VM fetches, in milliseconds: while
- * news goes round, they differ between VMs that will hear of it anyway.
+ * Time for which digests must differ before a VM fetches, in milliseconds: while updates
+ * circulate, digests differ between VMs that will receive them anyway.
  */
-const DIFFERS_MS = 300;
+const MISMATCH_MS = 300;
 
-/** What a VM knows, for comparison with what it hears. */
+/** Versions that a VM has, to compare with announced ones. */
 export interface KnownState {
   readonly configVersion: number;
   /** Latest position of a change of a runner. */
   readonly runnersPosition: Position;
 }
 
-/** Decides what one VM tells on and from whom it fetches. */
+/** Decides which updates one VM announces and from which VM it fetches. */
 export class NewsSpread {
-  /** VM to fetch from as soon as the pace allows. */
-  #bearer: string | undefined;
+  /** Address to fetch from as soon as the rate limit allows. */
+  #fetchFrom: string | undefined;
 
   #fetchedAt = -Infinity;
 
-  #differsSince: number | undefined;
+  #mismatchSince: number | undefined;
 
-  /** What to tell others of a new configuration. */
+  /** Updates that announce a new configuration. */
   configRumours(version: number): readonly Rumour[] {
-    this.#differsSince = undefined;
+    this.#mismatchSince = undefined;
     return [{ path: CONFIG_PATH, revision: version }];
   }
 
-  /** What to tell others of changed runners. */
+  /** Updates that announce changed runners. */
   runnerRumours(
-    facts: readonly RunnerFact[],
-    encode: (fact: RunnerFact) => string,
+    records: readonly RunnerFact[],
+    encode: (record: RunnerFact) => string,
   ): readonly Rumour[] {
-    this.#differsSince = undefined;
-    const revision = ordinalOf(latest(facts.map(({ position }) => position)));
-    if (facts.length > TOLD_MOST) return [{ path: RUNNERS_PATH, revision }];
-    return facts.map((fact) => ({
-      path: `${RUNNER_PATH}${fact.id}`,
-      revision: ordinalOf(fact.position),
-      text: encode(fact),
+    this.#mismatchSince = undefined;
+    const revision = ordinalOf(latest(records.map(({ position }) => position)));
+    if (records.length > MAX_SINGLE_UPDATES) return [{ path: RUNNERS_PATH, revision }];
+    return records.map((record) => ({
+      path: `${RUNNER_PATH}${record.id}`,
+      revision: ordinalOf(record.position),
+      text: encode(record),
     }));
   }
 
-  /** What to tell others of the store's eras, the latest first. */
+  /** Updates that announce the store's eras, given latest first. */
   eraRumours(starts: readonly Position[]): readonly Rumour[] {
-    this.#differsSince = undefined;
+    this.#mismatchSince = undefined;
     return [{ path: ERA_PATH, revision: starts[0]?.era ?? 0, text: JSON.stringify(starts) }];
   }
 
-  /** A member told that it has something newer which is not in the message. */
+  /** Handles the announcement of a member that has something newer which is not in the message. */
   heard({ path, revision }: Rumour, address: string, known: KnownState): void {
     const own = path === CONFIG_PATH ? known.configVersion : ordinalOf(known.runnersPosition);
-    if ((path === CONFIG_PATH || path === RUNNERS_PATH) && revision > own) this.#bearer = address;
+    if ((path === CONFIG_PATH || path === RUNNERS_PATH) && revision > own)
+      this.#fetchFrom = address;
   }
 
-  /** A member's digest is another one. */
+  /** Records that a member's digest differs. */
   differs(now: number, address: string): void {
-    this.#differsSince ??= now;
-    if (now - this.#differsSince >= DIFFERS_MS) this.#bearer ??= address;
+    this.#mismatchSince ??= now;
+    if (now - this.#mismatchSince >= MISMATCH_MS) this.#fetchFrom ??= address;
   }
 
-  /** The address to fetch from now, if there is one and the pace allows it. */
+  /** Takes the address to fetch from now; undefined if there is none or the rate limit does not allow it yet. */
   takeDue(now: number): string | undefined {
-    if (this.#bearer === undefined || now < this.dueAt) return undefined;
-    const address = this.#bearer;
-    this.#bearer = undefined;
-    this.#differsSince = undefined;
+    if (this.#fetchFrom === undefined || now < this.dueAt) return undefined;
+    const address = this.#fetchFrom;
+    this.#fetchFrom = undefined;
+    this.#mismatchSince = undefined;
     this.#fetchedAt = now;
     return address;
   }
 
-  /** When something is to be fetched; infinite if nothing is. */
+  /** Time of the next fetch; infinite if none is pending. */
   get dueAt(): number {
-    return this.#bearer === undefined ? Infinity : this.#fetchedAt + FETCH_PACE_MS;
+    return this.#fetchFrom === undefined ? Infinity : this.#fetchedAt + FETCH_INTERVAL_MS;
   }
 }
--- a/src/core/routing/table.ts
+++ b/src/core/routing/table.ts
@@ -1,9 +1,9 @@
-/** Finds the route of a request: its host's longest prefix that begins the path. */
+/** Route lookup: the longest path prefix of the request's host that matches the path. */
 
 import { KeyRing } from '../customers/keyring';
 import type { Route, RoutingConfig, Service, Target } from './types';
 
-/** One configuration version, indexed. */
+/** Indexes of one configuration version. */
 export class RouteTable {
   readonly config: RoutingConfig;
 
@@ -11,7 +11,7 @@
 
   readonly #services = new Map<string, Service>();
 
-  /** Undefined where requests need no key. */
+  /** Customers by key; undefined if requests need no key. */
   readonly keyRing: KeyRing | undefined;
 
   constructor(config: RoutingConfig) {
@@ -28,23 +28,27 @@
     }
   }
 
-  /** @param path path without the query */
+  /**
+   * The route of a request; undefined if none matches.
+   * @param path path without the query
+   */
   match(host: string, path: string): Route | undefined {
     return this.#hosts.get(host.toLowerCase())?.find(({ prefix }) => path.startsWith(prefix));
   }
 
+  /** The service of a name; undefined if the configuration has none. */
   service(name: string): Service | undefined {
     return this.#services.get(name);
   }
 }
 
-/** Picks a target by weight; `random` is uniform in [0, 1). */
+/** Picks a target at random by weight; `random` is uniform in [0, 1). Undefined if there are no targets. */
 export function pickTarget(targets: readonly Target[], random: number): string | undefined {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = random * total;
+  let remaining = random * total;
   for (const { service, weight } of targets) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return targets.at(-1)?.service;
 }
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -1,8 +1,8 @@
-/** Routes, services and runners as the router knows them, whatever system they were read from. */
+/** Routes, services and runners, independent of the system that they were read from. */
 
 import type { Customer } from '../customers/types';
 
-/** What may be repeated: `once` at most one run, `repeatable` any number, `stream` events with ids. */
+/** Whether a call may be executed again: `once` at most one execution, `repeatable` any number, `stream` a repeatable stream of events with ids. */
 export type CallKind = 'once' | 'repeatable' | 'stream';
 
 /** A service and the share of a route's requests that goes to it. */
@@ -17,48 +17,48 @@
   readonly host: string;
   readonly prefix: string;
   readonly kind: CallKind;
-  /** Services by weight; the weights need not add up to anything. */
+  /** Services by weight; the weights may have any sum. */
   readonly targets: readonly Target[];
-  /** Longest time that a request may be kept waiting, in milliseconds. */
+  /** Maximum time that a request may wait, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which the answer (streams: its first event) is worth most to its caller, in milliseconds. */
+  /** Target latency of the answer (for streams: of the first event), in milliseconds. */
   readonly aimMs: number;
-  /** Silence before the first event after which callers of a stream leave, in milliseconds. */
+  /** Time without a first event after which callers of a stream disconnect, in milliseconds. */
   readonly patienceMs: number;
-  /** Longest pause between events with which a stream is on time, in milliseconds; 0 if none is set. */
+  /** Target for the longest gap between two events of a stream, in milliseconds; 0 if there is none. */
   readonly gapMs: number;
-  /** Runners that one request may be sent to. */
+  /** Maximum number of runners that one request is sent to. */
   readonly attempts: number;
-  /** Rank, 0 first. */
+  /** Priority; 0 is the highest. */
   readonly priority: number;
-  /** Whether a broken stream may go on at another runner after the last event that got through. */
+  /** Whether a broken stream may continue at another runner after the last event that was delivered. */
   readonly resumable: boolean;
-  /** Whether requests without a key may run. */
+  /** Whether requests without a key are allowed. */
   readonly anonymous: boolean;
 }
 
-/** Engine of a model service, the same on all of its runners. */
+/** Inference engine of a model service, the same on all of its runners. */
 export interface Engine {
   readonly slots: number;
   /** KV cache of one runner, in tokens. */
   readonly memoryTokens: number;
-  /** Tokens of output in one event. */
+  /** Output tokens in one event. */
   readonly eventTokens: number;
   /** How long a finished prefill is kept, in milliseconds. */
   readonly keepMs: number;
-  /** Time that a runner needs to change between prefill and decode, in milliseconds. Default: it cannot. */
+  /** Time that a runner takes to switch between prefill and decode, in milliseconds. Default: it cannot switch. */
   readonly switchMs: number | undefined;
 }
 
-/** A service: model runners if it has an engine, plain ones if not. */
+/** A service. Its runners run a model if it has an engine, and plain calls otherwise. */
 export interface Service {
   readonly name: string;
-  /** Connections that one runner takes from all callers. */
+  /** Connections that one runner accepts in total. */
   readonly connections: number;
   readonly engine: Engine | undefined;
 }
 
-/** Limits on what callers may send and how long they may take. */
+/** Limits on the size and duration of callers' requests. */
 export interface IngressLimits {
   readonly bodyBytes: number;
   readonly headerTimeoutMs: number;
@@ -70,21 +70,21 @@
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
-  /** Whose requests may run. Default: everybody's, and no request needs a key. */
+  /** Customers whose requests are allowed. Default: everyone's are, and no request needs a key. */
   readonly customers?: readonly Customer[] | undefined;
   readonly limits: IngressLimits;
 }
 
-/** What a runner does. */
+/** Kind of work that a runner does. */
 export type RunnerRole = 'prefill' | 'decode' | 'plain';
 
 /** A runner as it registered itself. */
 export interface Runner {
-  /** New with each start of the runner; see `startId`. */
+  /** Id of the instance, new with each start; see `instanceId`. */
   readonly id: string;
-  /** Id under which it is listed and addressed, which a later start may have again. */
+  /** Id under which the runner is listed and addressed; a later instance may have the same one. */
   readonly listing: string;
-  /** When it started, in Unix milliseconds of its own clock; 0 where it does not tell. */
+  /** Start time in Unix milliseconds by the runner's clock; 0 if it does not report one. */
   readonly bornAt: number;
   readonly service: string;
   /** `HOST:PORT`. */
@@ -96,10 +96,9 @@
 }
 
 /**
- * Id of one start of a runner. A runner that starts again under its listed id
- * holds nothing of before; taken for the same one, it kept the account, the
- * distrust and the orders of a process that is gone. Under an id of its own
- * nothing of the earlier start can be mistaken for its own.
+ * Id of one instance of a runner. A runner that restarts under its listed id has none of
+ * its earlier state. If it were treated as the same instance, the reservations, the
+ * ejection and the orders of the ended process would be attributed to it.
  */
 export function startId(listing: string, bornAt: number): string {
   return bornAt === 0 ? listing : `${listing}@${bornAt}`;
