--- a/src/core/codes.ts
+++ b/src/core/codes.ts
@@ -1,19 +1,19 @@
 /**
- * Result codes: the one list of what goldcrestdock may answer in place of success.
- * `docs/ERRORS.md` is held equal to this list by a test.
+ * Result codes: all failures that goldcrestdock may report to callers and operators.
+ * A test checks that `docs/ERRORS.md` matches this list.
  */
 
-/** One numbered outcome. */
+/** One numbered result. */
 export interface Code {
   /** Stable number, never reused. */
   readonly number: number;
-  /** HTTP status with which callers and operators see it. */
+  /** HTTP status of the response. */
   readonly http: number;
   /** Whether this code by itself proves that no runner executed the request. */
   readonly notRun: boolean;
-  /** What was found. */
+  /** Description of the failure. */
   readonly meaning: string;
-  /** What the reader of the error should do. */
+  /** Recommended action for the reader of the error. */
   readonly remedy: string;
 }
 
@@ -174,8 +174,8 @@
   quarantined: refusal(
     312,
     503,
-    'Several runners ended under this very request, so it is kept from runners for a while.',
-    'Change the request, or mend what ends the runners; it is taken again after ten minutes.',
+    'Several runners crashed while running this request, so it is not sent to runners for now.',
+    'Change the request, or fix what crashes the runners; it is accepted again after ten minutes.',
   ),
   configOld: refusal(
     313,
@@ -192,7 +192,7 @@
   runnersLimited: refusal(
     315,
     503,
-    'All runners of the service name rate limits and take no more for now.',
+    'All runners of the service report rate limits and accept no more requests for now.',
     'Come back after the time in Retry-After.',
   ),
   runnerUnreachable: refusal(
@@ -270,8 +270,8 @@
   eraUnfit: fault(
     504,
     503,
-    'An answer of the store names no era, none that is a number, or an earlier one than before.',
-    'What was known stays in force, and the store is read whole in place of its changes. Mend what stands between the VMs and the store.',
+    'An answer of the store has no era, one that is not a number, or an earlier one than before.',
+    'The last known state stays in force, and the store is read completely instead of by its changes. Fix what is between the VMs and the store.',
   ),
   internal: fault(
     599,
--- a/src/core/customers/groups.ts
+++ b/src/core/customers/groups.ts
@@ -1,15 +1,15 @@
-/** Customers in groups, whose accounts have one owner each. */
+/** Groups of customers; the quota accounts of a group have one owner. */
 
 import { textHash } from '../hash';
 
-/** Groups of customers: so many that strong VMs share them, so few that all owners are worked out anew in no time. */
+/** Number of groups: enough to spread them over the strong VMs, few enough that recomputing all owners is cheap. */
 const GROUPS = 16;
 
 function keyOf(group: number): string {
   return `quotas/${group}`;
 }
 
-/** The group of a customer; also what the group's owners are ranked by. */
+/** The group of a customer; also the key by which the group's owners are ranked. */
 export function groupOf(customer: string): string {
   return keyOf(textHash(customer) % GROUPS);
 }
--- a/src/core/customers/identity.ts
+++ b/src/core/customers/identity.ts
@@ -1,11 +1,12 @@
 /**
- * Whose a request is, and whether it may run by what this VM knows.
+ * Determines the customer of a request and whether the request is allowed by the
+ * configuration known to this VM.
  *
- * A key that was taken away must not run anything a stated time later, on any VM,
- * also on one that is cut off and hears of no change. So a key counts only for as
- * long as this VM's configuration is known not to be older than that. What it does
- * not know may be news to it, so it says for good that a key is unknown only where
- * its configuration is recent; callers do not come back after that answer.
+ * A revoked key must stop working on all VMs within a stated time, also on one that is
+ * cut off and receives no updates. A key is therefore accepted only while this VM's
+ * configuration is confirmed to be no older than that. An unknown key may merely be newer
+ * than the configuration, so a request is rejected as final only if the configuration is
+ * recent; callers do not retry after that answer.
  */
 
 import { Failure } from '../failure';
@@ -13,26 +14,26 @@
 import type { Route } from '../routing/types';
 import type { Customer } from './types';
 
-/** What a request says of whose it is. */
+/** The credential of a request. */
 export type Credential =
   | { readonly kind: 'none' }
-  /** `digest` of the key. */
+  /** Digest of the key; see `digestOfKey`. */
   | { readonly kind: 'key'; readonly digest: string }
-  /** Something that is no key. */
+  /** The credential cannot be parsed as a key. */
   | { readonly kind: 'unfit'; readonly detail: string };
 
-/** How old a configuration may be to decide by, in milliseconds. */
+/** Maximum age of the configuration for decisions, in milliseconds. */
 export interface AgeBounds {
-  /** For a key to count; infinite where keys that were taken away need not stop in time. */
+  /** For accepting a key; infinite if revoked keys need not stop within a stated time. */
   readonly keyMs: number;
-  /** To say for good that something is not there: every configuration that may be in force lacks it. */
+  /** For a final rejection: at this age every configuration that may be in force lacks the item. */
   readonly finalMs: number;
 }
 
-/** When a caller may come back to a VM whose configuration is too old, in milliseconds: others are told to it meanwhile. */
+/** Time after which a caller may retry at a VM whose configuration is too old, in milliseconds; the answer names other VMs to use meanwhile. */
 const RETRY_MS = 300;
 
-/** What the VM that decides cannot know. */
+/** The failure for a decision that needs a newer configuration than this VM has. */
 export function tooOld(ageMs: number, detail: string): Failure {
   const age = Number.isFinite(ageMs) ? `${Math.round(ageMs)} ms old` : 'of unknown age';
   return new Failure('configOld', `${detail}, by a configuration ${age}`, {
@@ -41,9 +42,10 @@
 }
 
 /**
- * The customer whose request it is; undefined where none is needed. Throws
- * `unauthorized` if it is nobody's, and `configOld` if this VM cannot know.
- * @param ageMs how old the configuration can be at most, in milliseconds
+ * The customer of a request; undefined if none is needed. Throws `unauthorized` if the
+ * request belongs to no customer, and `configOld` if this VM's configuration is too old
+ * to decide.
+ * @param ageMs maximum age of the configuration in milliseconds
  */
 export function identify(
   { keyRing }: RouteTable,
@@ -55,12 +57,12 @@
   if (!keyRing) return undefined;
   if (credential.kind === 'none' && anonymous) return undefined;
   const customer = credential.kind === 'key' ? keyRing.holderOf(credential.digest) : undefined;
-  if (!customer) throw refusalOf(credential, ageMs, finalMs);
+  if (!customer) throw rejectionOf(credential, ageMs, finalMs);
   if (ageMs > keyMs) throw tooOld(ageMs, `found a key of ${customer.name}`);
   return customer;
 }
 
-function refusalOf(credential: Credential, ageMs: number, finalMs: number): Failure {
+function rejectionOf(credential: Credential, ageMs: number, finalMs: number): Failure {
   const detail = detailOf(credential);
   return ageMs > finalMs ? tooOld(ageMs, detail) : new Failure('unauthorized', detail);
 }
--- a/src/core/customers/keyring.ts
+++ b/src/core/customers/keyring.ts
@@ -1,4 +1,4 @@
-/** Finds the customer that holds a key, in one version of the configuration. */
+/** Lookup of customers by key in one version of the configuration. */
 
 import type { Customer } from './types';
 
@@ -18,21 +18,25 @@
     for (const key of this.#disputed) this.#holders.delete(key);
   }
 
-  /** Keys that two customers are said to hold; they are nobody's. */
+  /** Number of keys configured for two customers; these are valid for neither. */
   get disputed(): number {
     return this.#disputed.size;
   }
 
-  /** @param key digest of a key */
+  /**
+   * The customer that holds a key; undefined if none does.
+   * @param key digest of the key
+   */
   holderOf(key: string): Customer | undefined {
     return this.#holders.get(key);
   }
 
+  /** The customer of a name; undefined if there is none. */
   customer(name: string): Customer | undefined {
     return this.#customers.get(name);
   }
 
-  /** A request under a key of two customers would run for one of them and be counted for the other. */
+  /** Adds a key. A key of two customers is rejected, since a request under it would run for one and be counted for the other. */
   #add(key: string, customer: Customer): void {
     const holder = this.#holders.get(key);
     if (holder && holder.name !== customer.name) this.#disputed.add(key);
--- a/src/core/customers/types.ts
+++ b/src/core/customers/types.ts
@@ -1,24 +1,24 @@
-/** Customers of the users' platform: whose requests may run, and how much of them. */
+/** Customers of the platform: whose requests are allowed, and their quotas. */
 
 import type { Rate } from '../quotas/account';
 
-/** What a quota is counted in. */
+/** Unit of a quota. */
 export type QuotaUnit = 'requests' | 'tokens';
 
-/** How much of a customer's work all VMs together may pass on to runners. */
+/** Limit on the work of a customer that all VMs together pass on to runners. */
 export interface Quota extends Rate {
   readonly unit: QuotaUnit;
-  /** What a request counts that tells no tokens of its own, in tokens. */
+  /** Cost of a request without token counts, in tokens. */
   readonly plainTokens: number;
 }
 
-/** A customer as the operators' configuration names it. */
+/** A customer in the operators' configuration. */
 export interface Customer {
   readonly name: string;
-  /** Digests of its keys; see `digestOfKey`. */
+  /** Digests of the customer's keys; see `digestOfKey`. */
   readonly keys: readonly string[];
-  /** Rank of its requests, 0 first; goes before the rank of their routes. Default: the route's. */
+  /** Priority of the customer's requests, 0 first; overrides that of their routes. Default: the route's. */
   readonly rank?: number | undefined;
-  /** Default: it may use any amount. */
+  /** Default: usage is unlimited. */
   readonly quota?: Quota | undefined;
 }
--- a/src/core/failure.ts
+++ b/src/core/failure.ts
@@ -1,19 +1,19 @@
-/** The one error class of the project: a `VError` that carries a result code. */
+/** The error class of the project: a `VError` with a result code. */
 
 import VError from 'verror';
 
 import type { Code, CodeName } from './codes';
 import { codes } from './codes';
 
-/** What a failure may say beyond its code. */
+/** Optional details of a failure. */
 export interface FailureOptions {
-  /** Milliseconds after which a repeat makes sense. Default: none. */
+  /** Time after which a retry is useful, in milliseconds. Default: unknown. */
   readonly retryAfterMs?: number;
   /** The underlying error. Default: none. */
   readonly cause?: Error;
 }
 
-/** An error with a numbered code; its message says what was found and expected. */
+/** An error with a numbered code. Its message states what was found and what was expected. */
 export class Failure extends VError {
   readonly codeName: CodeName;
 
@@ -25,6 +25,7 @@
     this.retryAfterMs = options.retryAfterMs;
   }
 
+  /** The result code; see `codes`. */
   get code(): Code {
     return codes[this.codeName];
   }
@@ -35,7 +36,7 @@
   }
 }
 
-/** Turns anything thrown into a `Failure`; what is not one already is an internal fault. */
+/** Converts any thrown value to a `Failure`; other errors become `internal` failures. */
 export function toFailure(error: unknown): Failure {
   if (error instanceof Failure) return error;
   const cause = error instanceof Error ? error : new Error(String(error));
--- a/src/core/fingerprint.ts
+++ b/src/core/fingerprint.ts
@@ -1,8 +1,8 @@
-/** What all attempts of one request have in common, in short. */
+/** Fingerprints of requests: digests that are the same for all attempts of one request. */
 
 import { createHash } from 'node:crypto';
 
-/** Characters of a content id, six bits each: no two requests of a fleet have the same by chance. */
+/** Characters of a content id, six bits each: enough to make collisions within a fleet negligible. */
 const CONTENT_ID_LENGTH = 16;
 
 /**
@@ -14,7 +14,7 @@
   return createHash('sha256').update(`${head}\0`).update(body).digest('base64url');
 }
 
-/** A short form of that digest, to name a request in messages and logs. */
+/** Short form of the fingerprint that identifies a request in messages and logs. */
 export function contentIdOf(head: string, body: string | Uint8Array): string {
   return fingerprintOf(head, body).slice(0, CONTENT_ID_LENGTH);
 }
--- a/src/core/hash.ts
+++ b/src/core/hash.ts
@@ -1,4 +1,4 @@
-/** Hashes for comparing what two VMs know; they prove nothing against an attacker. */
+/** Non-cryptographic hashes for comparing the state of two VMs; they give no protection against an attacker. */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -15,6 +15,7 @@
 
   readonly #sent = new Map<string, Item<T>>();
 
+  /** Number of queued updates. */
   get size(): number {
     return this.#fresh.size + this.#sent.size;
   }
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -91,6 +91,7 @@
 export interface ListedMember {
   readonly vm: string;
   readonly address: string;
+  /** Whether the platform lists the VM as leaving. */
   readonly leaving: boolean;
 }
 
--- a/src/core/pause.ts
+++ b/src/core/pause.ts
@@ -1,9 +1,9 @@
-/** Notices that this process stood still: frozen, suspended with its VM, or starved of processor time. */
+/** Detects that this process was paused: frozen, suspended with its VM, or starved of processor time. */
 
-/** Time above the period that counts as a pause, in milliseconds: longer than a busy turn of the event loop, shorter than the time after which others pass this VM over. */
+/** Delay of a tick that counts as a pause, in milliseconds: longer than a busy turn of the event loop, shorter than the time after which other VMs stop using this one. */
 const PAUSE_MS = 700;
 
-/** Watches a periodic tick. */
+/** Detects pauses by the delay of a periodic tick. */
 export class PauseWatch {
   readonly #periodMs: number;
 
@@ -16,9 +16,9 @@
   }
 
   /**
-   * Takes one tick; true if the process stood still before it. The steady clock
-   * stands still with a suspended VM, so the time of day is looked at too; a jump
-   * of it counts as a pause, which costs a moment of caution and nothing else.
+   * Records one tick; returns whether the process was paused before it. The monotonic clock
+   * stops while a VM is suspended, so the wall clock is checked as well. A jump of the wall
+   * clock counts as a pause, which only causes a short warm-up.
    */
   tick(steadyMs: number, wallMs: number): boolean {
     const steadyGap = steadyMs - (this.#steadyMs ?? steadyMs);
--- a/src/core/plain/balancer.ts
+++ b/src/core/plain/balancer.ts
@@ -1,17 +1,17 @@
-/** Choice of runners for plain calls, by what one gateway has sent and seen itself. */
+/** Selects runners for plain calls by the outstanding calls and results of one gateway. */
 
 import { RunnerHealth } from '../cell/health';
 
-/** A runner of plain calls. */
+/** A runner for plain calls. */
 export interface PlainRunner {
   readonly id: string;
   readonly domain: string;
 }
 
-/** A runner that said it leaves gets nothing for this time, in milliseconds; then one call finds out again. */
+/** Time for which a runner that announced that it leaves receives no calls, in milliseconds; then one call checks it again. */
 const LEAVING_MS = 5000;
 
-/** Least outstanding calls first, the nearer failure domain on a tie. */
+/** Balances by least outstanding calls; ties go to the own failure domain. */
 export class PlainBalancer {
   readonly #domain: string;
 
@@ -21,50 +21,52 @@
 
   readonly #health = new RunnerHealth();
 
-  #turn = 0;
+  #rotation = 0;
 
   constructor(domain: string) {
     this.#domain = domain;
   }
 
-  /** A runner for one call, without those tried already; undefined if none is able. */
+  /** Selects a runner for one call, excluding those already tried; undefined if none is available. */
   choose<T extends PlainRunner>(
     now: number,
     runners: readonly T[],
     tried: ReadonlySet<string>,
   ): T | undefined {
     this.#health.setPoolSize(runners.length);
-    this.#turn += 1;
-    const able = runners.filter(({ id }) => !tried.has(id) && this.#able(now, id));
-    // Beginning at another one each time spreads calls over runners that are equally idle.
-    const from = this.#turn % Math.max(1, able.length);
-    const turned = [...able.slice(from), ...able.slice(0, from)];
-    const [best] = turned.sort((a, b) => this.#cost(a) - this.#cost(b));
+    this.#rotation += 1;
+    const available = runners.filter(({ id }) => !tried.has(id) && this.#isAvailable(now, id));
+    // Rotating the starting point spreads calls over runners that are equally idle.
+    const from = this.#rotation % Math.max(1, available.length);
+    const rotated = [...available.slice(from), ...available.slice(0, from)];
+    const [best] = rotated.sort((a, b) => this.#cost(a) - this.#cost(b));
     if (best) this.#health.given(now, best.id);
     return best;
   }
 
+  /** Records the start of a call. */
   begin(runner: string): void {
-    this.#outstanding.set(runner, this.#of(runner) + 1);
+    this.#outstanding.set(runner, this.#outstandingOf(runner) + 1);
   }
 
+  /** Records the end of a call and its result. */
   end(now: number, runner: string, result: 'ok' | 'lost' | 'leaving' | 'inconclusive'): void {
-    this.#outstanding.set(runner, Math.max(0, this.#of(runner) - 1));
+    this.#outstanding.set(runner, Math.max(0, this.#outstandingOf(runner) - 1));
     if (result === 'ok') this.#health.succeeded(runner);
     else if (result === 'lost') this.#health.failed(now, runner);
     else this.#health.inconclusive(runner);
     if (result === 'leaving') this.#leavingUntil.set(runner, now + LEAVING_MS);
   }
 
-  #able(now: number, id: string): boolean {
+  #isAvailable(now: number, id: string): boolean {
     return (this.#leavingUntil.get(id) ?? 0) <= now && this.#health.allows(now, id);
   }
 
-  #of(runner: string): number {
+  #outstandingOf(runner: string): number {
     return this.#outstanding.get(runner) ?? 0;
   }
 
   #cost({ id, domain }: PlainRunner): number {
-    return this.#of(id) + (domain === this.#domain ? 0 : 0.5);
+    return this.#outstandingOf(id) + (domain === this.#domain ? 0 : 0.5);
   }
 }
--- a/src/core/quotas/account.ts
+++ b/src/core/quotas/account.ts
@@ -20,6 +20,7 @@
 
 /** Bounds on how far all VMs together may temporarily exceed a quota. */
 export interface QuotaBounds {
+  /** Length of the window in which the excess is measured, in milliseconds. */
   readonly windowMs: number;
   /** Allowed excess as a fraction of what the quota allows in a window. */
   readonly overage: number;
@@ -42,7 +43,7 @@
 const INITIAL_GRANT_FRACTION = 0.25;
 /** Fraction of the allowed excess that owners grant on behalf of VMs that no owner has contact with, each in proportion to its own part, so that dead VMs reduce the total only a little. */
 const MISSING_VM_FRACTION = 0.5;
-/** Burst of a quota that sets none, as a time at its rate in milliseconds: less than an overage of a tenth allows excess the usual window. */
+/** Minimum burst, for quotas that set none, as a time at the quota's rate in milliseconds: less than an overage of a tenth allows over the usual window. */
 const MIN_BURST_MS = 500;
 /** Minimum and maximum time after which a refused caller may retry, in milliseconds. */
 const MIN_RETRY_MS = 100;
@@ -106,7 +107,7 @@
     this.#updatedAt = now;
     // A run larger than the capacity would never start; it takes the whole capacity and leaves the account in debt.
     const need = Math.min(size, capacity);
-    const isTooSmall = this.#bounds.wholeRuns && this.#ownExcess(quota) * part < size;
+    const isTooSmall = this.#bounds.wholeRuns && this.#grantableExcess(quota) * part < size;
     const shortfall = isTooSmall ? Infinity : need - this.#balance;
     return { rate, need, waitMs: shortfall > 0 ? shortfall / rate : 0 };
   }
@@ -119,7 +120,7 @@
   }
 
   /** The allowed excess less the part that is granted for missing VMs. */
-  #ownExcess(quota: Rate): number {
+  #grantableExcess(quota: Rate): number {
     return this.#allowance(quota).excess * (1 - MISSING_VM_FRACTION);
   }
 
--- a/src/core/retries.ts
+++ b/src/core/retries.ts
@@ -1,52 +1,54 @@
-/** Retry budget of one service at one VM: its share of what the fleet may send again. */
+/** Retry budget of one service at one VM: its share of the retries that the fleet may send. */
 
-/** Bounds for the whole fleet. */
+/** Limits for the whole fleet. */
 export interface RetryBounds {
-  /** Repeats allowed for each first attempt. */
+  /** Retries allowed per first attempt. */
   readonly ratio: number;
-  /** Repeats allowed beside, for the whole fleet in one window. */
+  /** Additional retries allowed for the whole fleet in one window. */
   readonly extra: number;
+  /** Length of the sliding window in milliseconds. */
   readonly windowMs: number;
 }
 
-/** Part of the bound that is used; the rest covers windows that straddle a change of the fleet. */
-const SAFETY = 0.7;
+/** Fraction of the limit that is used; the rest covers windows in which the size of the fleet changes. */
+const SAFETY_FACTOR = 0.7;
 
 /**
- * Counts in a sliding window. Each VM keeps to its own first attempts and its
- * share of the extra, so the sum keeps the fleet's bound without a message, also
- * while VMs cannot reach each other. Without a bound, a failing service would
- * get every request several times just when it can bear least.
+ * Sliding-window retry budget. Each VM limits its retries by its own first attempts and
+ * its share of the additional retries, so the sum stays within the fleet's limit without
+ * any messages, also while VMs cannot reach each other. Without a limit, a failing service
+ * would receive every request several times when it has the least capacity.
  */
 export class RetryWindow {
   readonly #bounds: RetryBounds;
 
-  readonly #firsts: number[] = [];
+  readonly #firstAttempts: number[] = [];
 
-  readonly #repeats: number[] = [];
+  readonly #retries: number[] = [];
 
   constructor(bounds: RetryBounds) {
     this.#bounds = bounds;
   }
 
+  /** Records a first attempt. */
   first(now: number): void {
     this.#expire(now);
-    this.#firsts.push(now);
+    this.#firstAttempts.push(now);
   }
 
-  /** Takes one repeat, or says that none is left. */
+  /** Takes one retry from the budget; false if none is left. */
   spend(now: number, vms: number): boolean {
     this.#expire(now);
     const { ratio, extra } = this.#bounds;
-    const allowed = SAFETY * (ratio * this.#firsts.length + extra / Math.max(1, vms));
-    if (this.#repeats.length + 1 > allowed) return false;
-    this.#repeats.push(now);
+    const allowed = SAFETY_FACTOR * (ratio * this.#firstAttempts.length + extra / Math.max(1, vms));
+    if (this.#retries.length + 1 > allowed) return false;
+    this.#retries.push(now);
     return true;
   }
 
   #expire(now: number): void {
     const since = now - this.#bounds.windowMs;
-    while ((this.#firsts[0] ?? Infinity) < since) this.#firsts.shift();
-    while ((this.#repeats[0] ?? Infinity) < since) this.#repeats.shift();
+    while ((this.#firstAttempts[0] ?? Infinity) < since) this.#firstAttempts.shift();
+    while ((this.#retries[0] ?? Infinity) < since) this.#retries.shift();
   }
 }
--- a/src/core/routing/freshness.ts
+++ b/src/core/routing/freshness.ts
@@ -1,7 +1,7 @@
 /**
  * Upper bound on the age of a VM's configuration.
  *
- * The age counts from the moment at which this VM sent its query, whoever answered it.
+  * The age counts from the moment at which this VM sent its query, whichever process answered it.
  * Changes after that moment are unknown, so the reported age is never too low. An answer
  * of the store confirms that nothing newer was in force when it was asked. Another VM
  * answers with the age of its own confirmation, so confirmations pass from VM to VM
@@ -107,7 +107,7 @@
     this.#pendingQueries.set(seq, now);
     const [oldest] = this.#pendingQueries.keys();
     if (this.#pendingQueries.size > MAX_PENDING_QUERIES && oldest !== undefined)
-      this.#pendingQueries.delete(oldest);
+      { this.#pendingQueries.delete(oldest); }
   }
 
   /** Records the answer to a query; see `recordQuery`. Unknown queries are ignored. */
--- a/src/core/routing/spread.ts
+++ b/src/core/routing/spread.ts
@@ -77,7 +77,7 @@
   heard({ path, revision }: Rumour, address: string, known: KnownState): void {
     const own = path === CONFIG_PATH ? known.configVersion : ordinalOf(known.runnersPosition);
     if ((path === CONFIG_PATH || path === RUNNERS_PATH) && revision > own)
-      this.#fetchFrom = address;
+      { this.#fetchFrom = address; }
   }
 
   /** Records that a member's digest differs. */
--- a/src/core/stream/answer.ts
+++ b/src/core/stream/answer.ts
@@ -1,11 +1,11 @@
-/** Assembles one stream from the answers of one or several runs, and decides when it is complete. */
+/** Assembles one stream from the answers of one or several runs and decides when it is complete. */
 
 import type { OrderFault } from './order';
 import { EventOrder } from './order';
 import type { ServerEvent } from './splitter';
 import { EventSplitter } from './splitter';
 
-/** What marks the end of an answer: its length, its last chunk, or the close of its connection. */
+/** How the end of an answer is marked: by its length, its last chunk, or the close of its connection. */
 export type Framing = 'length' | 'chunked' | 'close';
 
 /** The head of a run's answer. */
@@ -17,12 +17,13 @@
 }
 
 /**
- * Why a run does not complete its stream: a status other than the caller's, events out
- * of order, an end within an event or before the first one, or a broken connection.
+ * Why a run does not complete its stream: `status` differs from the status sent to the
+ * caller, `order` and `gap` see `OrderFault`, `torn` an end within an event or before the
+ * first one, `cut` a broken connection.
  */
 export type StreamFault = 'status' | OrderFault | 'torn' | 'cut';
 
-/** One stream, fed by one run after the other. */
+/** One stream, assembled from consecutive runs. */
 export class AnswerStream {
   readonly #order = new EventOrder();
 
@@ -43,7 +44,7 @@
   #firstId: string | undefined;
 
   /** Whether the last event has an id. */
-  #named = true;
+  #lastHasId = true;
 
   #fault: StreamFault | undefined;
 
@@ -52,18 +53,19 @@
     return this.#events;
   }
 
+  /** Id of the first event of this run; undefined if there is none. */
   get firstId(): string | undefined {
     return this.#firstId;
   }
 
-  /** Id of the last whole event. */
+  /** Id of the last whole event; undefined if no event had one. */
   get lastId(): string | undefined {
     return this.#order.last;
   }
 
-  /** Whether another run can be told exactly where to continue. */
+  /** Whether the last event has an id after which another run can continue. */
   get canContinue(): boolean {
-    return this.#named;
+    return this.#lastHasId;
   }
 
   /** Bytes of this run after the last whole event. */
@@ -71,12 +73,12 @@
     return this.#splitter.rest;
   }
 
-  /** Why this run cannot complete the stream. Default: it can, as far as it has come. */
+  /** Why this run cannot complete the stream; undefined if there is no fault so far. */
   get fault(): StreamFault | undefined {
     return this.#fault;
   }
 
-  /** Call this when the head of a run's answer has arrived. */
+  /** Starts a run; call this when the head of its answer has arrived. */
   begin(head: AnswerHead): void {
     this.#splitter = new EventSplitter();
     this.#firstId = undefined;
@@ -92,32 +94,35 @@
     for (const event of this.#splitter.push(chunk)) {
       this.#fault ??= this.#check(event);
       if (this.#fault) break;
-      this.#take(event);
+      this.#accept(event);
       passed.push(event.bytes);
     }
     return passed.length === 1 && passed[0] ? passed[0] : Buffer.concat(passed);
   }
 
-  /** Call this when the run's answer has ended; `arrived` if it is whole by its framing. */
+  /**
+   * Ends the run; call this when its answer has ended.
+   * @param arrived whether the answer is whole by its framing
+   */
   end(arrived: boolean): void {
     if (!arrived) this.#fault ??= 'cut';
-    if (this.#isTorn) this.#fault ??= 'torn';
+    if (this.#isTruncated) this.#fault ??= 'torn';
   }
 
-  #take({ id, hasData }: ServerEvent): void {
+  #accept({ id, hasData }: ServerEvent): void {
     this.#firstId ??= id;
     if (!hasData) return;
     this.#events += 1;
-    this.#named = id !== undefined;
+    this.#lastHasId = id !== undefined;
   }
 
   #check({ id, hasData }: ServerEvent): OrderFault | undefined {
     if (id !== undefined) return this.#order.next(id, this.#firstId === undefined);
-    // Without an id, nothing shows that the run continues at the right event.
-    return hasData && this.#continues && this.#isFirst ? 'order' : undefined;
+    // Without an id, nothing proves that the run continues at the right event.
+    return hasData && this.#isContinuation && this.#isFirst ? 'order' : undefined;
   }
 
-  get #continues(): boolean {
+  get #isContinuation(): boolean {
     return this.#eventsBefore > 0;
   }
 
@@ -126,13 +131,13 @@
     return this.#events === this.#eventsBefore && this.#firstId === undefined;
   }
 
-  get #isTorn(): boolean {
+  get #isTruncated(): boolean {
     const head = this.#head;
     const hasRest = this.rest.toString('latin1').trim() !== '';
     // The caller already has events, so what remains can only be part of one, whatever the framing.
-    if (this.#continues && hasRest) return true;
-    // A process that exits closes its connections in order too. Where the close is the only mark of
-    // the end, a partial event, or none at all, shows that the answer was cut short.
+    if (this.#isContinuation && hasRest) return true;
+    // A process that exits closes its connections regularly as well. If only the close marks the end,
+    // a partial event, or no event at all, shows that the answer was truncated.
     const hasEvents = head?.isEvents || this.#firstId !== undefined;
     return head?.framing === 'close' && hasEvents && (hasRest || this.#isFirst);
   }
--- a/src/core/stream/order.ts
+++ b/src/core/stream/order.ts
@@ -1,6 +1,6 @@
-/** Checks by their ids that the events of a stream are in order. */
+/** Checks the order of a stream's events by their ids. */
 
-/** Ids that can be compared as numbers. */
+/** Ids that are compared as numbers. */
 const NUMBER = /^\d{1,40}$/;
 
 /** Consecutive ids needed before a jump between two runs counts as a gap. */
@@ -9,7 +9,7 @@
 /** `order`: the id does not rise; `gap`: events between two runs are missing. */
 export type OrderFault = 'order' | 'gap';
 
-/** Ids of one stream so far. */
+/** The ids of one stream so far. */
 export class EventOrder {
   #first: string | undefined;
 
@@ -18,33 +18,34 @@
   #ids = 0;
 
   /** Whether all ids so far are consecutive. */
-  #dense = true;
+  #isDense = true;
 
+  /** The last id; undefined if there is none. */
   get last(): string | undefined {
     return this.#last;
   }
 
   /**
    * Adds the next event of the stream.
-   * @param begins whether it is the first of its run
+   * @param isFirstOfRun whether it is the first event of its run
    * @returns undefined if it is in order
    */
-  next(id: string, begins: boolean): OrderFault | undefined {
-    const step = this.#stepTo(id, begins);
-    if (step <= 0n) return 'order';
-    // Within a run, a runner may number its events as it likes.
-    if (begins && step > 1n && this.#dense && this.#ids >= DENSE_IDS) return 'gap';
-    this.#dense &&= step === 1n;
+  next(id: string, isFirstOfRun: boolean): OrderFault | undefined {
+    const increment = this.#incrementTo(id, isFirstOfRun);
+    if (increment <= 0n) return 'order';
+    // Within a run, a runner may number its events in any steps.
+    if (isFirstOfRun && increment > 1n && this.#isDense && this.#ids >= DENSE_IDS) return 'gap';
+    this.#isDense &&= increment === 1n;
     this.#ids += 1;
     this.#first ??= id;
     this.#last = id;
     return undefined;
   }
 
-  /** By how much the id rises. A run must not begin with the first or the last id if they are not numbers. */
-  #stepTo(id: string, begins: boolean): bigint {
+  /** Difference to the last id. Ids that are not numbers count as rising unless a run isFirstOfRun with the first or the last id again. */
+  #incrementTo(id: string, isFirstOfRun: boolean): bigint {
     if (this.#last === undefined) return 1n;
     if (NUMBER.test(id) && NUMBER.test(this.#last)) return BigInt(id) - BigInt(this.#last);
-    return begins && (id === this.#last || id === this.#first) ? 0n : 1n;
+    return isFirstOfRun && (id === this.#last || id === this.#first) ? 0n : 1n;
   }
 }
--- a/src/core/stream/splitter.ts
+++ b/src/core/stream/splitter.ts
@@ -1,22 +1,22 @@
-/** Splits bytes into server-sent events. */
+/** Splits a byte stream into server-sent events. */
 
 /** The blank line that ends an event. */
 const BLANK_LINE = /\r?\n\r?\n/g;
-/** An empty id counts as none. */
+/** Matches an event's id; an empty id counts as none. */
 const ID_FIELD = /^id: ?(.+)$/m;
 const DATA_FIELD = /^data(:|$)/m;
 
-/** One event as it was sent. */
+/** One event as received. */
 export interface ServerEvent {
-  /** Its bytes, including the blank line at its end. */
+  /** The event's bytes, including the blank line at its end. */
   readonly bytes: Buffer;
-  /** Default: it has none. */
+  /** The event's id; undefined if it has none. */
   readonly id: string | undefined;
-  /** False for comments and settings, which clients do not dispatch. */
+  /** False for blocks without data, such as comments and `retry` fields, which clients do not dispatch. */
   readonly hasData: boolean;
 }
 
-/** Events of one run. */
+/** Incremental event parser for the answer of one run. */
 export class EventSplitter {
   #rest: Buffer = Buffer.alloc(0);
 
@@ -25,7 +25,7 @@
     return this.#rest;
   }
 
-  /** Takes bytes and returns the events that they complete. */
+  /** Appends bytes and returns the events that they complete. */
   push(chunk: Buffer): readonly ServerEvent[] {
     const all = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     const text = all.toString('latin1');
--- a/test/core/membership.test.ts
+++ b/test/core/membership.test.ts
@@ -5,14 +5,14 @@
 import { rank } from '../../src/core/rendezvous';
 
 describe('membership', () => {
-  test('brings a fleet that starts together to one view', () => {
+  test('converges to one view in a fleet that starts together', () => {
     const fleet = new Fleet(16, 1);
     fleet.run(10_000);
     expect(fleet.views().map((view) => view.alive)).toEqual(Array.from({ length: 16 }, () => 16));
   });
 
-  /* A VM dies without a word. All others must see it within a bounded time, and none of the living may be blamed. */
-  test('finds a dead VM and blames nobody else', () => {
+  /* A VM dies without announcing it. All others must detect this within a bounded time, and no live VM may be declared dead. */
+  test('detects a dead VM and declares no live one dead', () => {
     const fleet = new Fleet(16, 2);
     fleet.run(10_000);
     fleet.kill(3);
@@ -22,11 +22,11 @@
   });
 
   /*
-   * A VM is frozen for longer than the suspicion lasts and then wakes. The others
-   * call it dead; on waking it hears so, raises its incarnation, and is back. It
-   * must not call the others dead for answers that it slept through.
+   * A VM is paused for longer than the suspicion timeout and then resumes. The others
+   * declare it dead; after resuming it learns this, raises its incarnation and is present
+   * again. It must not declare the others dead for answers that arrived during the pause.
    */
-  test('takes a frozen VM back after it wakes, and it blames nobody', () => {
+  test('readmits a paused VM after it resumes, and it declares no other dead', () => {
     const fleet = new Fleet(8, 3);
     fleet.run(10_000);
     fleet.freeze(2, true);
@@ -37,8 +37,8 @@
     expect(back).toBeLessThan(20_000);
   });
 
-  /* The regions are cut for a minute and heal. Each side goes on by itself; afterwards both are one again. */
-  test('becomes one again after a partition heals', () => {
+  /* The network is partitioned for a minute and heals. Each side continues on its own; afterwards both merge. */
+  test('merges again after a partition heals', () => {
     const fleet = new Fleet(10, 4);
     fleet.run(10_000);
     fleet.cut((vm) => vm < 5);
@@ -49,8 +49,8 @@
     expect(healed).toBeLessThan(60_000);
   });
 
-  /* One direction between two VMs is cut. Helpers reach the VM for the one that cannot, so nobody calls it dead. */
-  test('bears a one-way cut between two VMs', () => {
+  /* One direction between two VMs is cut. Indirect pings by other members reach the VM, so no VM declares it dead. */
+  test('tolerates a one-way cut between two VMs', () => {
     const fleet = new Fleet(8, 5);
     fleet.run(10_000);
     fleet.cutOneWay(0, 1);
@@ -58,14 +58,14 @@
     expect(fleet.views().every(({ alive }) => alive === 8)).toBe(true);
   });
 
-  test('passes a rumour to all in a few hops', () => {
+  test('spreads a gossip update to all members in a few hops', () => {
     const fleet = new Fleet(64, 6);
     fleet.run(10_000);
     const took = fleet.spread('teams/a', 7);
     expect(took).toBeLessThan(5000);
   });
 
-  test('knows a VM that leaves at once and not after a suspicion', () => {
+  test('removes a VM that announces its leave without a suspicion timeout', () => {
     const fleet = new Fleet(8, 7);
     fleet.run(10_000);
     fleet.leave(4);
@@ -96,36 +96,36 @@
     return [...chosen, ...deputies].map(({ vm }) => vm);
   };
 
-  test('are two strong VMs of each failure domain, the same for all who see them', () => {
+  test('are two strong VMs of each failure domain, the same in every view', () => {
     expect([...names(members)].sort()).toEqual(['vm0', 'vm3']);
     expect(names([...members].reverse())).toEqual(names(members));
   });
 
-  /* The store turns one reader away. Another VM reads in its place, and the first goes on trying. */
-  test('have deputies while the store does not answer them', () => {
+  /* The store rejects one reader. A standby reads in addition, and the first one keeps trying. */
+  test('have standbys while the store does not answer them', () => {
     const lost = members.map((one) => (one.vm === 'vm0' ? { ...one, storeLost: true } : one));
     const read = names(lost);
     expect(read).toContain('vm0');
     expect(read.length).toBe(3);
   });
 
-  /* A VM is cut off from all others and holds them for dead. It reads for itself. */
-  test('are whoever is left', () => {
+  /* A VM is cut off from all others and considers them dead. It reads for itself. */
+  test('are the only VM left', () => {
     const alone = members.map((one): Member =>
       one.vm === 'vm4' ? one : { ...one, state: 'dead' },
     );
     expect(names(alone)).toEqual(['vm4']);
   });
 
-  /* What a new VM asks for is the same at all others; between failure domains it costs rate and money. */
-  test('and all others are asked by new VMs of their failure domain first', () => {
+  /* All VMs return the same state to a new VM; traffic between failure domains is limited and billed. */
+  test('and other VMs are asked first by new VMs of their failure domain', () => {
     const near = members.slice(0, 6).map(({ address }) => address);
     expect(joinTargets('a', members)).toEqual(near);
     expect(joinTargets('c', members)).toEqual(members.map(({ address }) => address));
   });
 
-  /* All VMs of a fleet start at once, each for itself alone for a moment. They do not all read the store in it. */
-  test('are not those that know no other yet', () => {
+  /* All VMs of a fleet start together, and each knows no other at first. They must not all read the store in that time. */
+  test('do not include a VM that has just started and knows no other', () => {
     const [self] = members as [Member];
     expect(shouldRead(300, 0, self, [self])).toBe(false);
     expect(shouldRead(700, 0, self, [self])).toBe(true);
@@ -139,25 +139,25 @@
   );
 
   /*
-   * A caller may be told 64 addresses of a fleet of 195 VMs. Told the first ones that
-   * a VM knows, all callers would go to the same third of the fleet.
+   * An answer names up to 64 addresses of a fleet of 195 VMs. If it named the first ones
+   * that a VM knows, all callers would connect to the same third of the fleet.
    */
-  test('are near ones first, and spread callers over all VMs', () => {
-    const told = [0, 1, 2, 3, 4].map((i) => addressesNear(`d${i}`, members).slice(0, 64));
+  test('start with near VMs and spread callers over all VMs', () => {
+    const answers = [0, 1, 2, 3, 4].map((i) => addressesNear(`d${i}`, members).slice(0, 64));
     const near = members.filter(({ domain }) => domain === 'd0').map(({ vm }) => `${vm}:80`);
-    expect(told[0]?.slice(0, 39).sort()).toEqual(near.sort());
-    expect(new Set(told.flat()).size).toBe(195);
+    expect(answers[0]?.slice(0, 39).sort()).toEqual(near.sort());
+    expect(new Set(answers.flat()).size).toBe(195);
   });
 
   /* Callers close connections to addresses that are missing from the next answer. */
-  test('stay the same while the fleet does, whoever is asked', () => {
+  test('stay the same while the fleet does, whichever VM is asked', () => {
     const one = addressesNear('d0', members);
     expect(addressesNear('d0', [...members].reverse())).toEqual(one);
     const less = addressesNear('d0', members.slice(1));
     expect(less).toEqual(one.filter((address) => address !== 'vm0:80'));
   });
 
-  test('are of VMs that live and stay', () => {
+  test('are those of VMs that are alive and not draining', () => {
     const two = [memberOf(1, { draining: true, gateways: ['a'] }), memberOf(2, { state: 'dead' })];
     expect(addressesNear('x', two)).toEqual([]);
   });
@@ -166,7 +166,7 @@
 describe('ownership', () => {
   const members = Array.from({ length: 20 }, (_, i) => memberOf(i));
 
-  test('of a key moves only when its owner goes', () => {
+  test('of a key moves only if its owner is removed', () => {
     const keys = Array.from({ length: 500 }, (_, i) => `key-${i}`);
     const [gone, ...rest] = members;
     const moved = keys.filter(
@@ -186,10 +186,10 @@
   });
 
   /*
-   * Most VMs of a fleet are weak. Drawn alike, the owner of a service is mostly a
-   * weak one, which falls behind in a burst; it must be a strong one while one lives.
+   * Most VMs of a fleet are weak. With equal weights the owner of a service is mostly a weak
+   * one, which falls behind in a burst; it must be a strong one while one is present.
    */
-  test('by cores goes to strong VMs first, by hash among them', () => {
+  test('by cores selects strong VMs first, and by hash among them', () => {
     const mixed = members.map((member, i) => ({ ...member, cores: i < 4 ? 1.35 : 0.324 }));
     const firsts = Array.from({ length: 100 }, (_, i) => rankByCores(`s${i}`, mixed)[0]?.vm);
     expect([...new Set(firsts)].sort()).toEqual(['vm0', 'vm1', 'vm2', 'vm3']);
@@ -197,7 +197,7 @@
     expect(weak.map(({ vm }) => vm)).toEqual(ownersOfKey('s', mixed.slice(4)).map(({ vm }) => vm));
   });
 
-  test('passes over VMs that leave', () => {
+  test('excludes VMs that are draining', () => {
     const leaving = members.map((member, i) => (i < 10 ? { ...member, draining: true } : member));
     const owners = Array.from({ length: 100 }, (_, i) => ownersOfKey(`k${i}`, leaving)[0]?.vm);
     expect(owners.every((vm) => Number(vm?.slice(2)) >= 10)).toBe(true);
--- a/test/core/position.test.ts
+++ b/test/core/position.test.ts
@@ -2,7 +2,7 @@
 import { at } from '../fakes/position';
 
 describe('a position in the history of the store', () => {
-  test('is ordered by its era before its revision, as one number too', () => {
+  test('is ordered by era and then by revision, also as one number', () => {
     const early = at(900, 1);
     const late = at(7, 2);
     expect([isLater(late, early), isLater(early, late), isLater(late, late)]).toEqual([
@@ -15,15 +15,15 @@
   });
 });
 
-describe('the history that a VM knows', () => {
-  test('takes what was written up to the first revision seen of an era for older', () => {
+describe('the known history of the store', () => {
+  test('assigns revisions up to the first one seen of an era to earlier eras', () => {
     const history = new History();
     expect(history.learn([at(50, 4)])).toBe(false);
     expect([history.positionOf(50), history.positionOf(51)]).toEqual([at(50), at(51, 4)]);
   });
 
-  /* Another VM read the store sooner after its return: what was written between is of the new era beyond doubt. */
-  test('goes by the earliest start of an era that any VM saw', () => {
+  /* Another VM read the store earlier after its restore: entries written in between certainly belong to the new era. */
+  test('uses the earliest start of an era that any VM has seen', () => {
     const history = new History();
     history.learn([at(50, 4)]);
     expect(history.learn([at(40, 4)])).toBe(false);
@@ -32,11 +32,11 @@
   });
 
   /*
-   * The store comes back twice in a row. An entry that the second copy still has from
-   * before the first return was taken for one of between the two: later than the removal
-   * of its runner, which came into use again.
+   * The store is restored twice in a row. An entry that the second copy still has from
+   * before the first restore was assigned to the era between the two, which put it after
+   * the removal of its runner, so the runner came into use again.
    */
-  test('takes an entry of before two returns for one of before both', () => {
+  test('assigns an entry from before two restores to the era before both', () => {
     const history = new History();
     history.learn([at(10, 1)]);
     expect(history.learn([at(30, 2)])).toBe(true);
--- a/test/core/quarantine.test.ts
+++ b/test/core/quarantine.test.ts
@@ -5,7 +5,7 @@
 
 const MINUTE_MS = 60_000;
 
-/** A quarantine that was told of the ends of some runners under request `f`, a second apart. */
+/** A quarantine in which some runners crashed on request `f`, a second apart. */
 function endedBy(...runners: readonly string[]): Quarantine {
   const quarantine = new Quarantine();
   runners.forEach((runner, i) => quarantine.ended(i * 1000, 'f', runner));
@@ -16,7 +16,7 @@
   quarantine.refusedForMs(now, 'f') !== undefined;
 
 describe('a quarantine', () => {
-  test('refuses a request from the third runner that ended under it, for ten minutes', () => {
+  test('refuses a request for ten minutes after the third runner crashed on it', () => {
     expect(isRefused(endedBy('a', 'b'), 2000)).toBe(false);
     const quarantine = endedBy('a', 'b', 'c');
     expect(quarantine.refusedForMs(2000, 'f')).toBe(KEPT_MS - 2000);
@@ -24,13 +24,13 @@
     expect(quarantine.suspects(KEPT_MS + 2000)).toEqual([]);
   });
 
-  /* One runner breaks answers off and lives: that it does so thrice to one request says nothing of the request. */
-  test('counts each start of a runner once', () => {
+  /* One runner breaks off answers without crashing: that it does so three times for one request says nothing about the request. */
+  test('counts each runner instance once', () => {
     expect(isRefused(endedBy('a', 'a', 'a', 'b'), 4000)).toBe(false);
   });
 
-  /* A summary has run for seconds when its runner crashes. Whatever ended the runner, it was not that it began this one. */
-  test('holds nothing against a run that had brought answers for a while', () => {
+  /* A request has produced output for seconds when its runner crashes. Starting this request did not cause the crash. */
+  test('does not attribute a crash to a run that had produced output for some time', () => {
     expect([isTelling(5000, undefined), isTelling(5000, 4000), isTelling(5000, 1000)]).toEqual([
       true,
       true,
@@ -38,30 +38,30 @@
     ]);
   });
 
-  test('takes a request again once a runner ran it to a whole answer', () => {
+  test('accepts a request again once a runner has completed it', () => {
     const quarantine = endedBy('a', 'b', 'c');
     expect(quarantine.completed(5000, 'f')?.completedAgoMs).toBe(0);
     expect(isRefused(quarantine, 5000)).toBe(false);
   });
 
   /*
-   * A map tile is asked for many times a second, by the same request. All three runners
-   * crash at the same moment and each had it. It had been answered right before: it is
-   * not what ended them, and refusing it would go on when the runners are back.
+   * The same request, such as one for a map tile, arrives many times a second, and all three
+   * runners crash at the same moment while running it. It had been completed right before,
+   * so it did not crash them; refusing it would go on after the runners are back.
    */
-  test('does not refuse a request that was answered within the minute before', () => {
+  test('does not refuse a request that was completed within the minute before', () => {
     const quarantine = new Quarantine();
     quarantine.completed(0, 'f');
     for (const runner of ['a', 'b', 'c']) quarantine.ended(1000, 'f', runner);
     expect(isRefused(quarantine, 1000)).toBe(false);
     const other = endedBy('a', 'b', 'c');
-    const [told] = quarantine.suspects(2000) as [Suspect];
-    other.learn(2000, told);
+    const [update] = quarantine.suspects(2000) as [Suspect];
+    other.learn(2000, update);
     expect(isRefused(other, 2000)).toBe(false);
   });
 
-  /* A release breaks what was answered before: after a minute without an answer its ends count. */
-  test('refuses a request that was answered longer ago', () => {
+  /* A release breaks a request that worked before: a minute after its last completion its crashes count. */
+  test('refuses a request whose last completion is longer ago', () => {
     const quarantine = new Quarantine();
     quarantine.completed(0, 'f');
     for (const runner of ['a', 'b', 'c']) quarantine.ended(2 * MINUTE_MS, 'f', runner);
@@ -69,15 +69,15 @@
   });
 
   /*
-   * All runners of a failure domain crash at once and leave a request each with one end.
-   * Memory and news stay bounded, and a request that two runners ended under is not lost among them.
+   * All runners of a failure domain crash at once and leave many requests with one crash
+   * each. Memory and updates stay bounded, and a request with two crashes is not evicted.
    */
-  test('keeps what counts in a storm of crashes', () => {
+  test('keeps the entries with several crashes during mass crashes', () => {
     const quarantine = endedBy('a', 'b');
-    const told = Array.from({ length: 3000 }, (_, i) =>
+    const updates = Array.from({ length: 3000 }, (_, i) =>
       quarantine.learn(3000, { fingerprint: `g${i}`, ends: [{ runner: `r${i}`, agoMs: 0 }] }),
     );
-    expect(told.filter((news) => news !== undefined).length).toBeLessThan(300);
+    expect(updates.filter((update) => update !== undefined).length).toBeLessThan(300);
     expect(quarantine.suspects(3000).length).toBeLessThan(300);
     quarantine.ended(4000, 'f', 'c');
     expect(isRefused(quarantine, 4000)).toBe(true);
@@ -86,11 +86,11 @@
   });
 });
 
-/** What happens at one of the VMs, or that one tells another all it knows. */
+/** An event at one of the VMs, or an exchange in which one VM sends all of its entries to another. */
 type Step =
   | { readonly kind: 'ended'; readonly vm: number; readonly runner: number }
   | { readonly kind: 'completed'; readonly vm: number }
-  | { readonly kind: 'told'; readonly from: number; readonly to: number };
+  | { readonly kind: 'sent'; readonly from: number; readonly to: number };
 
 const VMS = 3;
 const STEP_MS = 37;
@@ -101,25 +101,25 @@
     arbitrary: fc.record({ kind: fc.constant('ended' as const), vm, runner: fc.nat(5) }),
   },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('completed' as const), vm }) },
-  { weight: 3, arbitrary: fc.record({ kind: fc.constant('told' as const), from: vm, to: vm }) },
+  { weight: 3, arbitrary: fc.record({ kind: fc.constant('sent' as const), from: vm, to: vm }) },
 );
 
 describe('quarantines of several VMs', () => {
-  /* News is lost, doubled and overtaken. Whatever was, VMs that have told each other all they know refuse the same. */
-  test('agree once each has told the others', () => {
+  /* Updates are lost, duplicated and reordered. VMs that have exchanged all of their entries must refuse the same requests. */
+  test('agree once each has sent its entries to the others', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
         const quarantines = Array.from({ length: VMS }, () => new Quarantine());
         const runners = new Set<number>();
         let completions = 0;
         let now = 0;
-        const tell = (from: Quarantine, to: Quarantine): void => {
+        const sendAll = (from: Quarantine, to: Quarantine): void => {
           for (const suspect of from.suspects(now)) to.learn(now, suspect);
         };
         for (const one of steps) {
           now += STEP_MS;
-          if (one.kind === 'told') {
-            tell(quarantines[one.from] as Quarantine, quarantines[one.to] as Quarantine);
+          if (one.kind === 'sent') {
+            sendAll(quarantines[one.from] as Quarantine, quarantines[one.to] as Quarantine);
           } else if (one.kind === 'ended') {
             runners.add(one.runner);
             quarantines[one.vm]?.ended(now, 'f', `r${one.runner}`);
@@ -130,7 +130,7 @@
         }
         now += STEP_MS;
         for (let round = 0; round < 2; round += 1) {
-          for (const from of quarantines) for (const to of quarantines) tell(from, to);
+          for (const from of quarantines) for (const to of quarantines) sendAll(from, to);
         }
         const digests = new Set(quarantines.map((one) => one.digest(now)));
         expect(digests.size).toBe(1);
--- a/test/core/quotas.test.ts
+++ b/test/core/quotas.test.ts
@@ -5,7 +5,7 @@
 const bounds: QuotaBounds = { windowMs: 4000, overage: 0.5, slack: 5, wholeRuns: true };
 const rate = { ratePerS: 1.4, burst: 0 };
 
-/** Runs that one owner grants in a time, asked every 10 ms. */
+/** Number of runs that one owner grants within `ms` milliseconds when asked every 10 ms. */
 function grantedIn(ms: number, part: number, account = new QuotaAccount(0, bounds)): number {
   let count = 0;
   for (let now = 0; now < ms; now += 10) {
@@ -15,11 +15,11 @@
 }
 
 describe('an account of a rate of single runs', () => {
-  test('grants one after the other, at the rate', () => {
+  test('grants runs one at a time, at the rate', () => {
     expect(grantedIn(20_000, 1)).toBe(28);
   });
 
-  test('lets a run wait for its turn, and those after it longer', () => {
+  test('lets a run wait for its start, and later ones longer', () => {
     const account = new QuotaAccount(0, bounds);
     const waits = Array.from({ length: 3 }, () => account.take(1000, rate, 1, 1, 1000));
     expect(
@@ -28,24 +28,24 @@
     expect(Math.round(account.waitMs(1000, rate, 1, 1))).toBe(1429);
   });
 
-  /* 195 VMs reach nobody. Each lets one run through at once by its own small part, and all together are far over. */
-  test('grants nothing on a part that does not bear one run', () => {
+  /* None of 195 VMs reaches another. If each granted one run at once on its own small part, the total would far exceed the quota. */
+  test('grants nothing on a part that is too small for one run', () => {
     expect(grantedIn(60_000, 1 / 195)).toBe(0);
     expect(grantedIn(60_000, 1 / 4)).toBe(0);
     expect(grantedIn(60_000, 1 / 3)).toBeGreaterThan(0);
-    const careless = new QuotaAccount(0, { ...bounds, wholeRuns: false });
-    expect(grantedIn(60_000, 1 / 195, careless)).toBeGreaterThan(0);
+    const unrestricted = new QuotaAccount(0, { ...bounds, wholeRuns: false });
+    expect(grantedIn(60_000, 1 / 195, unrestricted)).toBeGreaterThan(0);
   });
 
-  test('grants nothing at a rate of nothing', () => {
+  test('grants nothing at a rate of zero', () => {
     const account = new QuotaAccount(0, bounds);
     expect(account.waitMs(1e6, { ratePerS: 0, burst: 1 }, 0, 1)).toBe(Infinity);
   });
 });
 
 describe('the part of an owner', () => {
-  /* The way from a VM to its owner is cut, so that it cannot say that it goes by another one. */
-  test('lapses with VMs that say nothing any more', () => {
+  /* The path from a VM to its owner is cut, so the VM cannot announce that it uses another one. */
+  test('expires for VMs that no longer renew it', () => {
     const share = new QuotaShare();
     const members = { known: 2, present: new Set(['a', 'b']) };
     share.join(0, 'a');
@@ -55,7 +55,7 @@
     expect(share.part(8000, members)).toBe(0);
   });
 
-  test('is that of the VMs that go by it, until they go by another one', () => {
+  test('is that of the VMs that use the owner, until they use another one', () => {
     const share = new QuotaShare();
     const members = { known: 4, present: new Set(['a', 'b', 'c']) };
     for (const vm of ['a', 'b', 'gone']) share.join(0, vm);
--- a/test/core/ratelimits.test.ts
+++ b/test/core/ratelimits.test.ts
@@ -6,13 +6,13 @@
 const none: RateNotice = { kind: 'none' };
 const limited = (ratePerS: number): RateNotice => ({ kind: 'limited', ratePerS });
 
-/** The word of an answer to a request that was sent at a time. */
+/** Records an answer to a request that was sent at a time. */
 function see(rates: RunnerRates, now: number, sentAt: number, notice: RateNotice): unknown {
   return rates.saw(now, runner, { sentAt, notice, provesEnd: notice.kind === 'none' });
 }
 
 describe('the rate limit of a runner', () => {
-  test('holds from the first answer that names it to the first that does not', () => {
+  test('is in force from the first answer that reports it to the first one that does not', () => {
     const rates = new RunnerRates();
     expect(see(rates, 0, -50, none)).toBeUndefined();
     expect(see(rates, 100, 50, limited(1.4))).toEqual({
@@ -27,8 +27,8 @@
     expect([rates.ratePerS('a'), rates.limited]).toEqual([undefined, []]);
   });
 
-  /* An answer that was made before the limit was named arrives after one that names it. */
-  test('does not end with an answer to a request that is older than its last naming', () => {
+  /* An answer that was made before the limit came into force arrives after one that reports the limit. */
+  test('does not end with an answer to a request that is older than the last report', () => {
     const rates = new RunnerRates();
     see(rates, 100, 50, limited(2));
     see(rates, 500, 300, limited(2));
@@ -36,8 +36,8 @@
     expect(rates.ratePerS('a')).toBe(2);
   });
 
-  /* Values that are no rate, and failures, which may not name the limit, say nothing. */
-  test('stands where an answer says nothing of it', () => {
+  /* Unreadable values, and failures, which may lack the limit, do not change it. */
+  test('stays in force if an answer does not prove its end', () => {
     const rates = new RunnerRates();
     see(rates, 100, 50, limited(2));
     see(rates, 300, 200, { kind: 'unreadable', text: '-1' });
@@ -45,7 +45,7 @@
     expect(rates.ratePerS('a')).toBe(2);
   });
 
-  test('is news again only when it has changed by some part', () => {
+  test('is spread again only if it has changed by more than a minimum', () => {
     const rates = new RunnerRates();
     see(rates, 0, 0, limited(10));
     expect(see(rates, 1000, 900, limited(10.5))).toBeUndefined();
@@ -54,25 +54,25 @@
     expect(see(rates, 1700, 1600, limited(0))).toMatchObject({ version: 3, ratePerS: 0 });
   });
 
-  /* News is told several times and by several ways. What was overtaken changes nothing. */
-  test('is that of the latest change, whatever order news comes in', () => {
+  /* Updates arrive several times and over several paths. Outdated ones change nothing. */
+  test('is that of the latest change, in whatever order updates arrive', () => {
     const rates = new RunnerRates();
-    const told = (version: number, ratePerS?: number): RunnerRate => ({
+    const update = (version: number, ratePerS?: number): RunnerRate => ({
       runner: 'a',
       service: 's',
       version,
       ratePerS,
     });
-    expect(rates.learn(0, told(2))).toBe(true);
-    expect(rates.learn(10, told(1, 3))).toBe(false);
-    expect(rates.learn(20, told(2, 4))).toBe(true);
-    expect(rates.learn(30, told(2, 5))).toBe(false);
-    expect(rates.learn(40, told(2, 4))).toBe(false);
+    expect(rates.learn(0, update(2))).toBe(true);
+    expect(rates.learn(10, update(1, 3))).toBe(false);
+    expect(rates.learn(20, update(2, 4))).toBe(true);
+    expect(rates.learn(30, update(2, 5))).toBe(false);
+    expect(rates.learn(40, update(2, 4))).toBe(false);
     expect(rates.ratePerS('a')).toBe(4);
     expect(see(rates, 60, 50, none)).toMatchObject({ version: 3 });
   });
 
-  test('is remembered for a while once it has ended, and while its runner is listed', () => {
+  test('is kept for a minute after it has ended, and while its runner is listed', () => {
     const rates = new RunnerRates();
     see(rates, 0, 0, limited(2));
     rates.prune(300_000, new Set(['a']));
@@ -84,7 +84,7 @@
     expect(rates.all).toEqual([]);
   });
 
-  test('takes no room for more runners than any fleet has', () => {
+  test('is kept for a bounded number of runners', () => {
     const rates = new RunnerRates();
     for (let i = 0; i < 12_000; i += 1) {
       rates.saw(i, runnerOf(`r${i}`, 'plain'), {
--- a/test/core/retries.test.ts
+++ b/test/core/retries.test.ts
@@ -2,8 +2,8 @@
 
 const bounds = { ratio: 0.2, extra: 56, windowMs: 10_000 };
 
-/** Repeats that VMs allow in any ten seconds while each of their requests fails once. */
-function mostRepeats(vms: number, perSecond: number, attempts: number): number {
+/** Maximum number of retries that VMs allow in any ten seconds while each of their requests fails once. */
+function maxRetries(vms: number, perSecond: number, attempts: number): number {
   const windows = Array.from({ length: vms }, () => new RetryWindow(bounds));
   const spent: number[] = [];
   let most = 0;
@@ -18,24 +18,24 @@
 
 describe('the retry budget', () => {
   /*
-   * A service fails every request, and callers repeat at once and often, each
-   * repeat a new request. Ours must stay within the fleet's bound whatever they
-   * do, or the service would get its load several times when it bears least.
+   * A service fails every request, and callers retry at once and often, each retry a new
+   * request. The retries of the router must stay within the limit of the fleet, or the
+   * service would receive a multiple of its load when it has the least capacity.
    */
-  test('bounds the repeats of the fleet while everything fails', () => {
+  test('bounds the retries of the fleet while everything fails', () => {
     for (const perSecond of [5, 50, 150]) {
       const bound = bounds.ratio * perSecond * 10 + bounds.extra;
-      expect(mostRepeats(8, perSecond, 3)).toBeLessThanOrEqual(bound);
+      expect(maxRetries(8, perSecond, 3)).toBeLessThanOrEqual(bound);
     }
   });
 
-  test('allows a repeat in a calm service at once', () => {
+  test('allows a retry at once in a healthy service', () => {
     const window = new RetryWindow(bounds);
     window.first(0);
     expect(window.spend(10, 8)).toBe(true);
   });
 
-  test('gives a VM that is alone the whole of the extra', () => {
+  test('gives a single VM all of the additional retries', () => {
     const spend = (vms: number): number => {
       const window = new RetryWindow(bounds);
       return Array.from({ length: 100 }, (_, i) => window.spend(i, vms)).filter(Boolean).length;
--- a/test/core/stream.test.ts
+++ b/test/core/stream.test.ts
@@ -8,7 +8,7 @@
 const eventsOf = (first: number, last: number): string =>
   Array.from({ length: Math.max(0, last - first + 1) }, (_, i) => eventOf(first + i)).join('');
 
-/** Ids of two runs, each up to the first that may not follow. */
+/** The ids of some runs, each up to the first one that is out of order. */
 function followed(...idsOfRuns: readonly (readonly string[])[]): readonly string[] {
   const order = new EventOrder();
   return idsOfRuns.flatMap((ids) => {
@@ -27,7 +27,7 @@
     ['leave some out where that is usual', ['10', '20'], ['30']],
     ['rise in steps from the first', ['7'], ['14', '21']],
     ['are long and go back', ['1700000000000000002'], ['1700000000000000001']],
-    ['are names that begin anew', ['a', 'b'], ['a', 'b']],
+    ['are names that start again', ['a', 'b'], ['a', 'b']],
     ['are names', ['a', 'b'], ['d', 'c']],
     ['are one name in each run', ['a', 'a'], ['b', 'b']],
   ])('of ids that %s', (_, first, second) => {
@@ -35,17 +35,17 @@
   });
 });
 
-/** What a run does after it was asked to continue behind the last event. */
+/** Behaviour of a run that is asked to continue after the last event. */
 const runs = fc.array(
   fc.record({
     status: fc.constantFrom(200, 200, 200, 500),
-    /** Where it begins, against the event that is due. */
+    /** Offset of its first event from the next expected one. */
     shift: fc.constantFrom(0, 0, 0, -1, -2, 1),
     events: fc.nat(6),
     tornBytes: fc.nat(12),
     chunkBytes: fc.integer({ min: 1, max: 40 }),
     arrives: fc.boolean(),
-    /** Whether only the close of the connection tells the end, also of an answer that breaks off within an event or before any. */
+    /** Whether only the close of the connection marks the end, also of an answer that breaks off within an event or before any. */
     closes: fc.boolean(),
   }),
   { minLength: 1, maxLength: 5 },
@@ -54,16 +54,16 @@
 describe('a stream of several runs', () => {
   const TOTAL = 12;
 
-  // Guards against events that are missing, repeated or out of order, and ends that are none.
-  test('has its events once and in order, and is complete only with the last', () => {
+  // Guards against missing, repeated and reordered events, and against a stream that is complete too early.
+  test('has each event once and in order, and is complete only after the last', () => {
     fc.assert(
       fc.property(runs, (plan) => {
         const stream = new AnswerStream();
         let out = '';
         for (const { status, shift, events, tornBytes, chunkBytes, arrives, closes } of plan) {
           const due = Number(stream.lastId ?? 0) + 1;
-          // A run that has nothing to add cannot be told from one that leaves out the rest, and one id
-          // alone does not tell by how much ids rise.
+          // A run that has nothing to add is indistinguishable from one that omits the rest, and a single
+          // id does not show by how much ids rise.
           const most = stream.events < 2 ? due : Math.max(due, TOTAL);
           const from = stream.events === 0 ? 1 : Math.max(1, Math.min(due + shift, most));
           const last = arrives ? TOTAL : Math.min(TOTAL, from + events - 1);
@@ -95,14 +95,14 @@
     return stream;
   };
 
-  // Guards against a whole answer that is taken for a torn one.
-  test('is whole with an empty line at its end', () => {
+  // Guards against a complete answer that is treated as truncated.
+  test('is complete with an empty line at its end', () => {
     expect(streamOf(`${eventsOf(1, 2)}\n`, 'close').fault).toBeUndefined();
   });
 
-  // Guards against a stream that is cut although another run could continue it.
+  // Guards against a stream that is ended although another run could continue it.
   test.each([': still here\n\n', 'retry: 100\n\n', '\n\n'])(
-    'can be continued behind the block %j, which is no event',
+    'can be continued after the block %j, which is not an event',
     (block) => {
       const { canContinue, events, lastId } = streamOf(eventsOf(1, 2) + block);
       expect({ canContinue, events, lastId }).toEqual({
@@ -113,9 +113,9 @@
     },
   );
 
-  // Guards against events that come twice: no runner can be told where to continue.
+  // Guards against duplicate events: no runner can be asked to continue after an event without an id.
   test.each(['data: x\n\n', ': note\ndata: x\n\n', 'id:\ndata: x\n\n'])(
-    'cannot be continued behind the event %j, which has no id',
+    'cannot be continued after the event %j, which has no id',
     (event) => {
       expect(streamOf(eventsOf(1, 2) + event).canContinue).toBe(false);
     },
--- a/test/router/splitter.test.ts
+++ b/test/router/splitter.test.ts
@@ -3,7 +3,7 @@
 const event = (id: number): string => `id: ${id}\ndata: token ${id}\n\n`;
 
 describe('the event splitter', () => {
-  test('gives whole events only, whatever the chunks', () => {
+  test('returns whole events only, whatever the chunks', () => {
     const splitter = new EventSplitter();
     const text = event(1) + event(2);
     const events = [...text].flatMap((char) => splitter.push(Buffer.from(char)));
@@ -11,7 +11,7 @@
     expect(events.map(({ id }) => id)).toEqual(['1', '2']);
   });
 
-  test('takes lines that end with a carriage return too', () => {
+  test('accepts lines that end with a carriage return and a line feed', () => {
     const splitter = new EventSplitter();
     const text = event(1).replaceAll('\n', '\r\n');
     const events = [...text].flatMap((char) => splitter.push(Buffer.from(char)));
