--- a/src/core/cell/lifecycle.ts
+++ b/src/core/cell/lifecycle.ts
@@ -5,7 +5,7 @@
 import type { Entry } from './entry';
 import { newEntry } from './entry';
 import { ageOf } from './forecast';
-import { isTelling } from '../quarantine/quarantine';
+import { isAttributable } from '../quarantine/quarantine';
 import type { Adoption, CellEvent } from './types';
 
 type Failed = Extract<CellEvent, { kind: 'failed' }>;
@@ -38,7 +38,7 @@
     }
     board.counters.finished += 1;
     const { fingerprint } = entry.arrival;
-    if (fingerprint !== undefined) board.quarantine.completed(now, fingerprint);
+    if (fingerprint !== undefined) board.quarantine.recordCompletion(now, fingerprint);
     board.drop(now, entry);
   }
 
@@ -149,8 +149,8 @@
   #suspect(now: number, { arrival, stage, since }: Entry, runner: string): void {
     const { fingerprint } = arrival;
     const answeredAt = stage === 'decoding' ? since : undefined;
-    if (fingerprint === undefined || !isTelling(now, answeredAt)) return;
-    this.#board.quarantine.ended(now, fingerprint, `${runner}@${now}`);
+    if (fingerprint === undefined || !isAttributable(now, answeredAt)) return;
+    this.#board.quarantine.recordCrash(now, fingerprint, `${runner}@${now}`);
   }
 
   /** A finished prefill whose decode place was lost is used again while it is kept. */
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -10,7 +10,7 @@
  * rest in round-robin order, so that the size of a packet stays bounded even if the
  * whole fleet changes at once.
  */
-export class Gossip<T> {
+export class GossipQueue<T> {
   readonly #fresh = new Map<string, Item<T>>();
 
   readonly #sent = new Map<string, Item<T>>();
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -7,10 +7,10 @@
 
 import { match } from 'ts-pattern';
 
-import { Gossip } from './gossip';
-import { ProbeOrder, pickSome } from './order';
+import { GossipQueue } from './gossip';
+import { ProbeOrder, sample } from './order';
 import type {
-  Description,
+  MemberStatus,
   ListedMember,
   Member,
   Members,
@@ -18,7 +18,7 @@
   MembershipEvent,
   MembershipOptions,
   Packet,
-  Rumour,
+  GossipUpdate,
 } from './types';
 import { isPresent, overrides } from './types';
 
@@ -60,7 +60,7 @@
   readonly until: number;
 }
 
-function textLengthOf({ text = '' }: Rumour): number {
+function textLengthOf({ text = '' }: GossipUpdate): number {
   return text.length;
 }
 
@@ -75,9 +75,9 @@
 
   readonly #known = new Map<string, Known>();
 
-  readonly #memberUpdates = new Gossip<Member>();
+  readonly #memberUpdates = new GossipQueue<Member>();
 
-  readonly #updates = new Gossip<Rumour>();
+  readonly #updates = new GossipQueue<GossipUpdate>();
 
   readonly #relays = new Map<number, Relay>();
 
@@ -116,7 +116,7 @@
     };
   }
 
-  get heardAt(): number | undefined {
+  get lastPacketAt(): number | undefined {
     return this.#lastPacketAt;
   }
 
@@ -219,7 +219,7 @@
     const pool = [...this.#known.values()]
       .map(({ member }) => member)
       .filter((m) => m.state === 'alive' && m.vm !== except);
-    return pickSome(pool, count, this.#options.random);
+    return sample(pool, count, this.#options.random);
   }
 
   #isProbed(vm: string): boolean {
@@ -313,7 +313,7 @@
     this.#describe({ incarnation: Math.max(update.incarnation, this.#self.incarnation) });
   }
 
-  #describe(change: Partial<Description & Member>): void {
+  #describe(change: Partial<MemberStatus & Member>): void {
     const incarnation = (change.incarnation ?? this.#self.incarnation) + 1;
     this.#self = { ...this.#self, ...change, incarnation };
     this.#memberUpdates.add(this.#self.vm, this.#self, this.#sendCount());
@@ -358,7 +358,7 @@
   }
 
   /** Sends updates to a few members immediately, in as many packets as the texts need; later probes carry them on. */
-  #gossip(rumours: readonly Rumour[]): void {
+  #gossip(rumours: readonly GossipUpdate[]): void {
     for (const rumour of rumours) this.#updates.add(rumour.path, rumour, this.#sendCount());
     const characters = rumours.reduce((sum, { text = '' }) => sum + text.length, 0);
     const packets = 1 + Math.floor(characters / MAX_TEXT_LENGTH);
--- a/src/core/membership/readers.ts
+++ b/src/core/membership/readers.ts
@@ -1,7 +1,7 @@
 /**
  * Selects the VMs that read the platform's store on behalf of all others.
  *
-  * Every call to the store is counted, and a pending watch counts as one call. If every
+ * Every call to the store is counted, and a pending watch counts as one call. If every
  * VM watched it, the calls would grow with VMs times runners: 195 VMs made 156 calls a
  * second while nothing changed, and ten readers make some 14. So a few VMs in each
  * failure domain read the store, and the others receive the state by gossip. A VM that
@@ -29,9 +29,9 @@
 /** The readers of one failure domain. */
 export interface ReaderPlan {
   /** Regular readers. */
-  readonly chosen: readonly Member[];
+  readonly primaries: readonly Member[];
   /** Standby readers, which also read while the store does not answer all primary readers. */
-  readonly deputies: readonly Member[];
+  readonly standbys: readonly Member[];
 }
 
 /** The readers of a failure domain; the result is the same on all VMs that know the same members. */
@@ -40,11 +40,15 @@
   const candidates = rankByCores('store', present);
   const chosen = candidates.slice(0, READERS);
   const reachable = candidates.filter(({ storeLost }) => !storeLost).slice(0, READERS);
-  return { chosen, deputies: reachable.filter((member) => !chosen.includes(member)) };
+  return { primaries: chosen, standbys: reachable.filter((member) => !chosen.includes(member)) };
 }
 
 /** Whether a VM has received no packet from others for `ISOLATED_MS`, counted from its start at the earliest. */
-export function isIsolated(now: number, startedAt: number, { heardAt }: Members): boolean {
+export function isIsolated(
+  now: number,
+  startedAt: number,
+  { lastPacketAt: heardAt }: Members,
+): boolean {
   return now - Math.max(startedAt, heardAt ?? startedAt) > ISOLATED_MS;
 }
 
@@ -57,7 +61,7 @@
 ): boolean {
   const isAlone = !members.some((member) => member.vm !== self.vm && isPresent(member));
   if (isAlone && now - startedAt < JOIN_MS) return false;
-  const { chosen, deputies } = readersOf(self.domain, members);
+  const { primaries: chosen, standbys: deputies } = readersOf(self.domain, members);
   return [...chosen, ...deputies].some(({ vm }) => vm === self.vm);
 }
 
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -46,11 +46,11 @@
   readonly all: readonly Member[];
   get(vm: string): Member | undefined;
   /** When the last packet from another member arrived; undefined if none has. */
-  readonly heardAt: number | undefined;
+  readonly lastPacketAt: number | undefined;
 }
 
 /** Announces that a resource has a new revision. */
-export interface Rumour {
+export interface GossipUpdate {
   readonly path: string;
   readonly revision: number;
   /** The new content if it is small. Default: the receiver fetches it from the sender. */
@@ -58,7 +58,7 @@
 }
 
 /** The part of a member's state that describes its VM. */
-export type Description = Pick<Member, 'gateways' | 'draining' | 'storeLost'>;
+export type MemberStatus = Pick<Member, 'gateways' | 'draining' | 'storeLost'>;
 
 /** A UDP datagram of the membership protocol. */
 export interface Packet {
@@ -71,7 +71,7 @@
   /** Digest of the sender's settings. */
   readonly digest: string;
   readonly members: readonly Member[];
-  readonly rumours: readonly Rumour[];
+  readonly rumours: readonly GossipUpdate[];
 }
 
 /** An input of the membership protocol. */
@@ -82,8 +82,8 @@
   | { readonly kind: 'listed'; readonly vms: readonly ListedMember[] }
   /** Members known to another VM; taken over without spreading them further. */
   | { readonly kind: 'synced'; readonly members: readonly Member[] }
-  | { readonly kind: 'described'; readonly description: Description }
-  | { readonly kind: 'rumours'; readonly rumours: readonly Rumour[] }
+  | { readonly kind: 'described'; readonly description: MemberStatus }
+  | { readonly kind: 'rumours'; readonly rumours: readonly GossipUpdate[] }
   | { readonly kind: 'leaving' }
   | { readonly kind: 'woke' };
 
@@ -99,7 +99,7 @@
 export type MembershipAction =
   | { readonly kind: 'send'; readonly to: string; readonly packet: Packet }
   | { readonly kind: 'changed'; readonly member: Member }
-  | { readonly kind: 'heard'; readonly rumour: Rumour; readonly address: string }
+  | { readonly kind: 'heard'; readonly rumour: GossipUpdate; readonly address: string }
   /** That member's settings digest differs; it may have newer settings. */
   | { readonly kind: 'differs'; readonly address: string };
 
@@ -117,6 +117,6 @@
 }
 
 /** Whether a member may own cells, keys and ledger shards. */
-export function mayOwn(member: Member): boolean {
+export function canOwn(member: Member): boolean {
   return isPresent(member) && !member.draining;
 }
--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -3,7 +3,7 @@
 import { createHash } from 'node:crypto';
 
 import type { Member } from './membership/types';
-import { mayOwn } from './membership/types';
+import { canOwn } from './membership/types';
 import { rank } from './rendezvous';
 import type { Pool } from './settings/schema';
 
@@ -15,7 +15,7 @@
 ): readonly Member[] {
   const runners = new Map<string, number>();
   for (const { domain } of pool.runners) runners.set(domain, (runners.get(domain) ?? 0) + 1);
-  const candidates = members.filter(mayOwn).map((member) => ({
+  const candidates = members.filter(canOwn).map((member) => ({
     id: member.vm,
     weight: 1 + (runners.get(member.domain) ?? 0),
     member,
@@ -56,14 +56,14 @@
 
 /** Candidates for the ownership of a key, the owner first. */
 export function ownersOfKey(key: string, members: readonly Member[]): readonly Member[] {
-  return rankUnweighted(key, members.filter(mayOwn));
+  return rankUnweighted(key, members.filter(canOwn));
 }
 
 /** Number of groups of request keys; owners are computed for each group instead of each key. */
 const KEY_GROUPS = 1024;
 
 /** Caches the owners for one membership. */
-export class Owners {
+export class OwnerCache {
   #members: readonly Member[] = [];
 
   readonly #cached = new Map<string, readonly Member[]>();
@@ -75,7 +75,7 @@
   }
 
   /** Drops the cache after a change of the settings. */
-  settingsChanged(): void {
+  invalidate(): void {
     this.#cached.clear();
   }
 
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -15,12 +15,12 @@
 
 import { textHash } from '../hash';
 import { Completions } from './completions';
-import type { RunnerEnd, Suspect } from './types';
+import type { RunnerCrash, Suspect } from './types';
 
 /** Number of crashed runners from which a request is refused. Two can be coincidence if runners crash on their own and callers retry; three never were. */
-export const ENDS = 3;
+export const CRASH_LIMIT = 3;
 /** Time for which crashes count, in milliseconds: much longer than callers take to retry, and enough for operators to investigate. */
-export const KEPT_MS = 600_000;
+export const TTL_MS = 600_000;
 /** Time from the first output of a run within which a crash of its runner is attributed to it, in milliseconds: such requests crash runners as soon as they start. */
 const EARLY_CRASH_MS = 2000;
 /** Time after a completion in which crashes do not count, in milliseconds: a frequent request runs at several runners that may crash together. */
@@ -40,7 +40,7 @@
 }
 
 /** Whether the crash of a runner is attributed to a run on it, by the time of the run's first output if it had any. */
-export function isTelling(now: number, answeredAt: number | undefined): boolean {
+export function isAttributable(now: number, answeredAt: number | undefined): boolean {
   return answeredAt === undefined || now - answeredAt < EARLY_CRASH_MS;
 }
 
@@ -51,19 +51,19 @@
   readonly #completions = new Completions(COMPLETION_TTL_MS);
 
   /** Records that a runner crashed while processing a request. Returns the update to spread; undefined if nothing changed. */
-  ended(now: number, fingerprint: string, runner: string): Suspect | undefined {
+  recordCrash(now: number, fingerprint: string, runner: string): Suspect | undefined {
     return this.#merge(now, { fingerprint, ends: [{ runner, agoMs: 0 }] }, 0);
   }
 
   /** Records that a runner completed a request. Returns the update to spread; undefined if nothing changed. */
-  completed(now: number, fingerprint: string): Suspect | undefined {
+  recordCompletion(now: number, fingerprint: string): Suspect | undefined {
     this.#completions.add(now, fingerprint);
     if (!this.#entries.has(fingerprint)) return undefined;
     return this.#merge(now, { fingerprint, ends: [], completedAgoMs: 0 }, 0);
   }
 
   /** Merges a report of another VM or the store. Returns the update to spread; undefined if nothing changed. */
-  learn(now: number, suspect: Suspect): Suspect | undefined {
+  apply(now: number, suspect: Suspect): Suspect | undefined {
     return this.#merge(now, suspect, suspect.ends.length > 1 ? 0 : MIN_EVICTION_AGE_MS);
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Number of runners known to have crashed on a request, at most `CRASH_LIMIT`. */
-  endsOf(fingerprint: string): number {
+  crashCount(fingerprint: string): number {
     return this.#entries.get(fingerprint)?.ends.size ?? 0;
   }
 
@@ -111,7 +111,7 @@
 
   #expire(now: number): void {
     for (const [fingerprint, { ends }] of this.#entries) {
-      if ([...ends.values()].every((at) => now - at >= KEPT_MS)) this.#entries.delete(fingerprint);
+      if ([...ends.values()].every((at) => now - at >= TTL_MS)) this.#entries.delete(fingerprint);
     }
   }
 
@@ -144,11 +144,11 @@
   completedHereAt: number,
 ): Entry {
   const reported = ends
-    .filter(({ agoMs }) => agoMs < KEPT_MS)
+    .filter(({ agoMs }) => agoMs < TTL_MS)
     .map(({ runner, agoMs }): [string, number] => [runner, now - agoMs]);
   // Known times override reported ones: a crash reported back over another path looks slightly more recent each time.
   const all = new Map([...reported, ...(before?.ends ?? [])]);
-  const latest = [...all].sort(([, a], [, b]) => b - a).slice(0, ENDS);
+  const latest = [...all].sort(([, a], [, b]) => b - a).slice(0, CRASH_LIMIT);
   const completedAt = Math.max(
     before?.completedAt ?? -Infinity,
     completedHereAt,
@@ -166,14 +166,14 @@
 /** When the refusal ends; undefined if the request is not refused now. */
 function refusedUntil(now: number, { ends, completedAt }: Entry): number | undefined {
   const counted = [...ends.values()].filter((at) => at - completedAt > COMPLETION_TTL_MS);
-  if (counted.length < ENDS) return undefined;
-  const until = Math.min(...counted) + KEPT_MS;
+  if (counted.length < CRASH_LIMIT) return undefined;
+  const until = Math.min(...counted) + TTL_MS;
   return until > now ? until : undefined;
 }
 
 function toSuspect(now: number, fingerprint: string, { ends, completedAt }: Entry): Suspect {
   const ago = (at: number): number => Math.max(0, Math.round(now - at));
-  const crashes = [...ends].map(([runner, at]): RunnerEnd => ({ runner, agoMs: ago(at) }));
+  const crashes = [...ends].map(([runner, at]): RunnerCrash => ({ runner, agoMs: ago(at) }));
   return {
     fingerprint,
     ends: crashes,
--- a/src/core/quotas/account.ts
+++ b/src/core/quotas/account.ts
@@ -35,7 +35,7 @@
 }
 
 /** The owner's decision about one run: granted after a wait, or refused with a time to retry. */
-export type QuotaVerdict =
+export type QuotaDecision =
   | { readonly granted: true; readonly waitMs: number }
   | { readonly granted: false; readonly retryAfterMs: number };
 
@@ -73,7 +73,7 @@
    * @param part fraction of the quota that belongs to the VMs that use this owner, from 0 to 1
    * @param maxWaitMs maximum time that the run may wait for its start
    */
-  take(now: number, quota: Rate, part: number, size: number, maxWaitMs = 0): QuotaVerdict {
+  take(now: number, quota: Rate, part: number, size: number, maxWaitMs = 0): QuotaDecision {
     const { rate, need, waitMs } = this.#refill(now, quota, part, size);
     if (waitMs <= maxWaitMs) {
       this.#balance -= size;
@@ -88,7 +88,7 @@
   }
 
   /** Credits a run that did not take place. */
-  giveBack(size: number): void {
+  refund(size: number): void {
     this.#balance += size;
   }
 
--- a/src/core/quotas/accounts.ts
+++ b/src/core/quotas/accounts.ts
@@ -1,6 +1,6 @@
 /** The accounts for which one VM acts as owner, in groups that have one owner each. */
 
-import type { QuotaBounds, QuotaVerdict, Rate } from './account';
+import type { QuotaBounds, QuotaDecision, Rate } from './account';
 import { QuotaAccount } from './account';
 import type { QuotaMembers } from './share';
 import { QuotaShare } from './share';
@@ -38,7 +38,7 @@
   }
 
   /** Sets the groups that this VM owns by the members that it knows, and drops unused other ones. */
-  own(now: number, owned: ReadonlySet<string>): void {
+  setOwned(now: number, owned: ReadonlySet<string>): void {
     for (const group of owned) this.#groupOf(now, group);
     for (const [group, { askedAt }] of this.#groups) {
       if (!owned.has(group) && now - askedAt > FORGET_MS) this.#groups.delete(group);
@@ -69,7 +69,7 @@
     members: QuotaMembers,
     size: number,
     maxWaitMs = 0,
-  ): QuotaVerdict {
+  ): QuotaDecision {
     this.join(now, key.group, vm);
     const { share, account } = this.#accountOf(now, key);
     return account.take(now, quota, share.part(now, members), size, maxWaitMs);
@@ -89,8 +89,8 @@
   }
 
   /** Credits a run that did not take place. */
-  giveBack({ group, subject }: QuotaKey, size: number): void {
-    this.#groups.get(group)?.accounts.get(subject)?.giveBack(size);
+  refund({ group, subject }: QuotaKey, size: number): void {
+    this.#groups.get(group)?.accounts.get(subject)?.refund(size);
   }
 
   /** Drops all accounts after this VM was paused: other VMs owned its groups meanwhile, and what they granted is unknown. */
--- a/src/core/quotas/share.ts
+++ b/src/core/quotas/share.ts
@@ -17,7 +17,7 @@
 const DELIVERY_MS = 100;
 
 /** Time after which a VM renews its announcement to its owner, in milliseconds. */
-export function renewMs({ known }: QuotaMembers): number {
+export function renewIntervalMs({ known }: QuotaMembers): number {
   return Math.max(MIN_RENEWAL_MS, RENEWAL_PER_VM_MS * known);
 }
 
@@ -59,7 +59,7 @@
   #computePart(now: number, members: QuotaMembers): number {
     const { known, present } = members;
     // If only the path between a VM and its owner is cut, the announcement that the VM leaves is lost, so its part expires.
-    const leaseMs = renewMs(members) * MAX_LOST_RENEWALS + DELIVERY_MS;
+    const leaseMs = renewIntervalMs(members) * MAX_LOST_RENEWALS + DELIVERY_MS;
     let own = 0;
     for (const [vm, at] of this.#joined) {
       if (now - at > leaseMs) this.#joined.delete(vm);
--- a/src/core/ratelimits/rates.ts
+++ b/src/core/ratelimits/rates.ts
@@ -12,7 +12,7 @@
 import type { RateNotice, RunnerRate } from './types';
 
 /** An observation of a runner's limit in an answer. */
-export interface RateSighting {
+export interface RateObservation {
   /** When its request was sent. */
   readonly sentAt: number;
   readonly notice: RateNotice;
@@ -69,10 +69,10 @@
   }
 
   /** Records an answer of a runner. Returns the update to spread; undefined if nothing changed. */
-  saw(
+  observe(
     now: number,
     { id: runner, service }: Runner,
-    { sentAt, notice, provesEnd }: RateSighting,
+    { sentAt, notice, provesEnd }: RateObservation,
   ): RunnerRate | undefined {
     const entry = this.#entries.get(runner);
     const known = entry?.rate.ratePerS;
@@ -89,7 +89,7 @@
   }
 
   /** Applies an update from another VM; returns whether it was new. */
-  learn(now: number, update: RunnerRate): boolean {
+  apply(now: number, update: RunnerRate): boolean {
     const known = this.#entries.get(update.runner)?.rate;
     if (known && !isLater(update, known)) return false;
     return this.#set(now, update) !== undefined;
--- a/src/core/ratelimits/types.ts
+++ b/src/core/ratelimits/types.ts
@@ -20,7 +20,7 @@
 }
 
 /** What the rate-limited runners of one service may still receive. */
-export interface Ration {
+export interface RateAllowance {
   /** Requests per second that a runner accepts from all VMs together; undefined if it has no limit. */
   ratePerS(runner: string): number | undefined;
   /** Time until one more request may be sent to a runner, in milliseconds; 0 if it has no limit. */
@@ -30,7 +30,7 @@
 }
 
 /** The allowance of runners without limits. */
-export const unlimited: Ration = {
+export const unlimited: RateAllowance = {
   ratePerS: () => undefined,
   waitMs: () => 0,
   take: () => {},
--- a/src/core/retries.ts
+++ b/src/core/retries.ts
@@ -31,13 +31,13 @@
   }
 
   /** Records a first attempt. */
-  first(now: number): void {
+  recordFirst(now: number): void {
     this.#expire(now);
     this.#firstAttempts.push(now);
   }
 
   /** Takes one retry from the budget; false if none is left. */
-  spend(now: number, vms: number): boolean {
+  trySpend(now: number, vms: number): boolean {
     this.#expire(now);
     const { ratio, extra } = this.#bounds;
     const allowed = SAFETY_FACTOR * (ratio * this.#firstAttempts.length + extra / Math.max(1, vms));
--- a/src/core/routing/digest.ts
+++ b/src/core/routing/digest.ts
@@ -14,7 +14,7 @@
 }
 
 /** Digest that is updated incrementally; the order of updates does not matter. */
-export class FactDigest {
+export class RecordDigest {
   readonly #parts = new Uint32Array(DIGEST_PARTS);
 
   readonly #hashes = new Map<string, number>();
@@ -44,7 +44,7 @@
   }
 
   /** Indices of the parts that differ from those of another digest. */
-  differing(theirs: readonly number[]): ReadonlySet<number> {
+  differingParts(theirs: readonly number[]): ReadonlySet<number> {
     const own = this.parts;
     return new Set(own.map((_, part) => part).filter((part) => own[part] !== theirs[part]));
   }
--- a/src/core/routing/directory.ts
+++ b/src/core/routing/directory.ts
@@ -8,13 +8,13 @@
  * An instance that announced that it leaves never becomes available again.
  */
 
-import { FactDigest, partOf } from './digest';
+import { RecordDigest, partOf } from './digest';
 import type { Position } from './position';
 import { START, isLater } from './position';
 import type { Runner } from './types';
 
 /** A runner as of a position, or the information that it was removed. */
-export interface RunnerFact {
+export interface RunnerRecord {
   /** Id under which the runner is listed. */
   readonly id: string;
   readonly position: Position;
@@ -26,7 +26,7 @@
 }
 
 interface Entry {
-  record: RunnerFact;
+  record: RunnerRecord;
   /** The last listed state of a runner whose entry was removed, kept while it may return. */
   last: Runner | undefined;
   goneAt: number;
@@ -48,7 +48,7 @@
 export class RunnerDirectory {
   readonly #entries = new Map<string, Entry>();
 
-  readonly #digest = new FactDigest();
+  readonly #digest = new RecordDigest();
 
   #position = START;
 
@@ -65,18 +65,18 @@
   }
 
   /** Digest of all records. */
-  get digest(): FactDigest {
+  get digest(): RecordDigest {
     return this.#digest;
   }
 
   /** All records, those of removed runners included. */
-  get facts(): readonly RunnerFact[] {
+  get facts(): readonly RunnerRecord[] {
     return [...this.#entries.values()].map(({ record }) => record);
   }
 
   /** Records of some parts of the digest, for another VM. Includes whole parts until about `most` records are reached. */
-  factsIn(now: number, parts: ReadonlySet<number>, most: number): readonly RunnerFact[] {
-    const byPart = new Map<number, RunnerFact[]>();
+  factsIn(now: number, parts: ReadonlySet<number>, most: number): readonly RunnerRecord[] {
+    const byPart = new Map<number, RunnerRecord[]>();
     for (const { record, goneAt } of this.#entries.values()) {
       const part = partOf(record.id);
       if (parts.has(part)) {
@@ -86,7 +86,7 @@
         byPart.set(part, found);
       }
     }
-    const chosen: RunnerFact[] = [];
+    const chosen: RunnerRecord[] = [];
     for (const facts of byPart.values()) if (chosen.length < most) chosen.push(...facts);
     return chosen;
   }
@@ -96,7 +96,7 @@
    * @param graceMs how long the runner stays in use if its entry was removed, in milliseconds
    * @returns whether anything that matters to routing changed
    */
-  learn(now: number, update: RunnerFact, graceMs: number): boolean {
+  apply(now: number, update: RunnerRecord, graceMs: number): boolean {
     const known = this.#entries.get(update.id);
     const { bornAt = known?.bornAt ?? 0 } = update.runner ?? {};
     if (known && bornAt < known.bornAt) return false;
@@ -128,7 +128,7 @@
    * instance has written its own.
    * @returns whether a known instance has ended by this
    */
-  learnStart(listing: string, bornAt: number): boolean {
+  applyInstanceStart(listing: string, bornAt: number): boolean {
     const known = this.#entries.get(listing);
     // An entry without a start time names no instance that could have ended.
     if (!known || known.bornAt === 0 || bornAt <= known.bornAt) return false;
@@ -138,12 +138,12 @@
   }
 
   /** Start time of the latest known instance of a listing, in Unix milliseconds; 0 if none is known. */
-  latestStart(listing: string): number {
+  latestInstanceStart(listing: string): number {
     return this.#entries.get(listing)?.bornAt ?? 0;
   }
 
   /** Whether the known record is as late as this one or later. */
-  isKnown({ id, position }: RunnerFact): boolean {
+  isKnown({ id, position }: RunnerRecord): boolean {
     const known = this.#entries.get(id);
     return known !== undefined && !isLater(position, known.record.position);
   }
@@ -173,7 +173,7 @@
  * instance leaves is kept in either: an older copy of the store shows the instance as it
  * was before, and work sent to it on that basis would be lost with it.
  */
-function latestOf(known: Entry | undefined, update: RunnerFact): RunnerFact | undefined {
+function latestOf(known: Entry | undefined, update: RunnerRecord): RunnerRecord | undefined {
   if (!known) return update;
   const { record, last } = known;
   if (isLater(update.position, record.position)) {
--- a/src/core/routing/freshness.ts
+++ b/src/core/routing/freshness.ts
@@ -1,7 +1,7 @@
 /**
  * Upper bound on the age of a VM's configuration.
  *
-  * The age counts from the moment at which this VM sent its query, whichever process answered it.
+ * The age counts from the moment at which this VM sent its query, whichever process answered it.
  * Changes after that moment are unknown, so the reported age is never too low. An answer
  * of the store confirms that nothing newer was in force when it was asked. Another VM
  * answers with the age of its own confirmation, so confirmations pass from VM to VM
@@ -11,7 +11,7 @@
  */
 
 /** A VM's confirmation that its configuration was in force at some time. */
-export interface Proof {
+export interface FreshnessProof {
   /** Version of the configuration that is confirmed. */
   readonly version: number;
   readonly ageMs: number;
@@ -50,13 +50,13 @@
 const STORE_BACKOFF_MS = { first: 500, limit: 4000 };
 
 /** Exponential backoff for the queries of one VM to the store. */
-export class ProofPace {
+export class ProofBackoff {
   #nextAt = -Infinity;
 
   #waitMs = 0;
 
   /** Whether the store may be queried now; if so, counts the query. */
-  asks(now: number, isReader: boolean): boolean {
+  tryQuery(now: number, isReader: boolean): boolean {
     if (now < this.#nextAt) return false;
     const { first, limit } = isReader ? READER_BACKOFF_MS : STORE_BACKOFF_MS;
     this.#waitMs = Math.min(limit, Math.max(first, this.#waitMs * 2));
@@ -71,14 +71,14 @@
 }
 
 /** Pending queries to other VMs that are tracked; each is answered soon or never. */
-const MAX_PENDING_QUERIES = 32;
+const MAX_PENDING = 32;
 
 /** The freshness confirmation of one VM. */
 export class Freshness {
   /** Time at which nothing newer than the own configuration was in force; minus infinity if unknown. */
   #asOf = -Infinity;
 
-  readonly #pendingQueries = new Map<number, number>();
+  readonly #pending = new Map<number, number>();
 
   #storeValidFrom = -Infinity;
 
@@ -88,44 +88,47 @@
   }
 
   /** Records that nothing newer than the own configuration was in force at a time. */
-  prove(asOf: number): void {
+  confirm(asOf: number): void {
     this.#asOf = Math.max(this.#asOf, asOf);
   }
 
   /** Records an answer of the store to a query sent at `askedAt`. */
-  storeAnswered(askedAt: number): void {
-    if (askedAt >= this.#storeValidFrom) this.prove(askedAt);
+  recordStoreAnswer(askedAt: number): void {
+    if (askedAt >= this.#storeValidFrom) this.confirm(askedAt);
   }
 
   /** Records that the store was restored from an older copy. */
-  storeCameBack(now: number): void {
+  recordStoreRestore(now: number): void {
     this.#storeValidFrom = now + RESTORE_GRACE_MS;
   }
 
   /** Records a query to another VM. */
-  ask(now: number, seq: number): void {
-    this.#pendingQueries.set(seq, now);
-    const [oldest] = this.#pendingQueries.keys();
-    if (this.#pendingQueries.size > MAX_PENDING_QUERIES && oldest !== undefined)
-      { this.#pendingQueries.delete(oldest); }
+  recordQuery(now: number, seq: number): void {
+    this.#pending.set(seq, now);
+    const [oldest] = this.#pending.keys();
+    if (this.#pending.size > MAX_PENDING && oldest !== undefined) this.#pending.delete(oldest);
   }
 
   /** Records the answer to a query; see `recordQuery`. Unknown queries are ignored. */
-  answer(seq: number, proof: Proof, version: number): void {
-    const askedAt = this.#pendingQueries.get(seq);
-    if (askedAt !== undefined) this.told(askedAt, proof, version);
+  recordReply(seq: number, proof: FreshnessProof, version: number): void {
+    const askedAt = this.#pending.get(seq);
+    if (askedAt !== undefined) this.acceptProof(askedAt, proof, version);
   }
 
   /**
    * Applies the confirmation of another VM that was queried at `askedAt`.
    * @param version the own configuration; a confirmation for a later one does not apply to it
    */
-  told(askedAt: number, { version: confirmed, ageMs }: Proof, version: number): void {
-    if (confirmed <= version) this.prove(askedAt - ageMs);
+  acceptProof(
+    askedAt: number,
+    { version: confirmed, ageMs }: FreshnessProof,
+    version: number,
+  ): void {
+    if (confirmed <= version) this.confirm(askedAt - ageMs);
   }
 
   /** The confirmation that this VM sends to others; undefined if it has none. */
-  tell(now: number, version: number): Proof | undefined {
+  proofAt(now: number, version: number): FreshnessProof | undefined {
     const ageMs = this.ageMs(now);
     return Number.isFinite(ageMs) ? { version, ageMs } : undefined;
   }
--- a/src/core/routing/position.ts
+++ b/src/core/routing/position.ts
@@ -47,7 +47,7 @@
  * is assigned to earlier eras. Live processes write again within a heartbeat, and those
  * entries certainly belong to the new era.
  */
-export class History {
+export class StoreHistory {
   /** Latest era first. */
   #starts: readonly Position[] = [];
 
@@ -65,7 +65,7 @@
    * Merges starts of eras: adds new eras and keeps the earliest known start of each.
    * @returns whether the latest era changed; false if none was known before
    */
-  learn(starts: readonly Position[]): boolean {
+  apply(starts: readonly Position[]): boolean {
     const before = this.era;
     const first = new Map<number, number>();
     for (const { era, revision } of [...this.#starts, ...starts]) {
--- a/src/core/routing/spread.ts
+++ b/src/core/routing/propagation.ts
@@ -6,8 +6,8 @@
  * probes carry.
  */
 
-import type { Rumour } from '../membership/types';
-import type { RunnerFact } from './directory';
+import type { GossipUpdate } from '../membership/types';
+import type { RunnerRecord } from './directory';
 import type { Position } from './position';
 import { latest, ordinalOf } from './position';
 
@@ -38,25 +38,25 @@
 }
 
 /** Decides which updates one VM announces and from which VM it fetches. */
-export class NewsSpread {
+export class UpdatePropagation {
   /** Address to fetch from as soon as the rate limit allows. */
-  #fetchFrom: string | undefined;
+  #source: string | undefined;
 
   #fetchedAt = -Infinity;
 
   #mismatchSince: number | undefined;
 
   /** Updates that announce a new configuration. */
-  configRumours(version: number): readonly Rumour[] {
+  configUpdates(version: number): readonly GossipUpdate[] {
     this.#mismatchSince = undefined;
     return [{ path: CONFIG_PATH, revision: version }];
   }
 
   /** Updates that announce changed runners. */
-  runnerRumours(
-    records: readonly RunnerFact[],
-    encode: (record: RunnerFact) => string,
-  ): readonly Rumour[] {
+  runnerUpdates(
+    records: readonly RunnerRecord[],
+    encode: (record: RunnerRecord) => string,
+  ): readonly GossipUpdate[] {
     this.#mismatchSince = undefined;
     const revision = ordinalOf(latest(records.map(({ position }) => position)));
     if (records.length > MAX_SINGLE_UPDATES) return [{ path: RUNNERS_PATH, revision }];
@@ -68,36 +68,35 @@
   }
 
   /** Updates that announce the store's eras, given latest first. */
-  eraRumours(starts: readonly Position[]): readonly Rumour[] {
+  eraUpdates(starts: readonly Position[]): readonly GossipUpdate[] {
     this.#mismatchSince = undefined;
     return [{ path: ERA_PATH, revision: starts[0]?.era ?? 0, text: JSON.stringify(starts) }];
   }
 
   /** Handles the announcement of a member that has something newer which is not in the message. */
-  heard({ path, revision }: Rumour, address: string, known: KnownState): void {
+  receive({ path, revision }: GossipUpdate, address: string, known: KnownState): void {
     const own = path === CONFIG_PATH ? known.configVersion : ordinalOf(known.runnersPosition);
-    if ((path === CONFIG_PATH || path === RUNNERS_PATH) && revision > own)
-      { this.#fetchFrom = address; }
+    if ((path === CONFIG_PATH || path === RUNNERS_PATH) && revision > own) this.#source = address;
   }
 
   /** Records that a member's digest differs. */
-  differs(now: number, address: string): void {
+  reportMismatch(now: number, address: string): void {
     this.#mismatchSince ??= now;
-    if (now - this.#mismatchSince >= MISMATCH_MS) this.#fetchFrom ??= address;
+    if (now - this.#mismatchSince >= MISMATCH_MS) this.#source ??= address;
   }
 
   /** Takes the address to fetch from now; undefined if there is none or the rate limit does not allow it yet. */
-  takeDue(now: number): string | undefined {
-    if (this.#fetchFrom === undefined || now < this.dueAt) return undefined;
-    const address = this.#fetchFrom;
-    this.#fetchFrom = undefined;
+  takeFetchTarget(now: number): string | undefined {
+    if (this.#source === undefined || now < this.nextFetchAt) return undefined;
+    const address = this.#source;
+    this.#source = undefined;
     this.#mismatchSince = undefined;
     this.#fetchedAt = now;
     return address;
   }
 
   /** Time of the next fetch; infinite if none is pending. */
-  get dueAt(): number {
-    return this.#fetchFrom === undefined ? Infinity : this.#fetchedAt + FETCH_INTERVAL_MS;
+  get nextFetchAt(): number {
+    return this.#source === undefined ? Infinity : this.#fetchedAt + FETCH_INTERVAL_MS;
   }
 }
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -100,6 +100,6 @@
  * its earlier state. If it were treated as the same instance, the reservations, the
  * ejection and the orders of the ended process would be attributed to it.
  */
-export function startId(listing: string, bornAt: number): string {
+export function instanceId(listing: string, bornAt: number): string {
   return bornAt === 0 ? listing : `${listing}@${bornAt}`;
 }
--- a/src/node/router/gate.ts
+++ b/src/node/router/gate.ts
@@ -1,7 +1,7 @@
 /** Whether a request may run, by its key: asked when it arrives and again before each send to a runner. */
 
 import type { AgeBounds, Credential } from '../../core/customers/identity';
-import { identify, tooOld } from '../../core/customers/identity';
+import { identify, staleConfigFailure } from '../../core/customers/identity';
 import type { Customer } from '../../core/customers/types';
 import { Failure, toFailure } from '../../core/failure';
 import type { ProofSource } from '../../core/routing/freshness';
@@ -48,7 +48,7 @@
     const { table, freshness } = this.#knowledge;
     const ageMs = freshness.ageMs(now);
     const isNews = table?.keyRing !== undefined && ageMs > this.#bounds().finalMs;
-    return isNews ? tooOld(ageMs, detail) : undefined;
+    return isNews ? staleConfigFailure(ageMs, detail) : undefined;
   }
 
   /** Whom this VM is to ask how old its configuration is. */
--- a/src/node/router/owner.ts
+++ b/src/node/router/owner.ts
@@ -8,8 +8,8 @@
 import { planPolicy } from '../../core/memory/policy';
 import type { PlanAction, PlanEvent } from '../../core/memory/types';
 import { Failure, toFailure } from '../../core/failure';
-import { PauseWatch } from '../../core/pause';
-import type { Ration } from '../../core/ratelimits/types';
+import { PauseDetector } from '../../core/pause';
+import type { RateAllowance } from '../../core/ratelimits/types';
 import type { Engine } from '../../core/routing/types';
 import type { Knowledge } from './knowledge';
 import type { Ask, Hold, Note, Ready, Verdict } from './plans';
@@ -24,7 +24,7 @@
   /** Called when what is in place of a service is unknown, to have all VMs tell what they hold. */
   onUnsure(service: string): void;
   /** What the limited runners of a service may still be sent. */
-  rationOf(service: string): Ration;
+  rationOf(service: string): RateAllowance;
 }
 
 interface Plan {
@@ -66,7 +66,7 @@
 
   readonly #timer: NodeJS.Timeout;
 
-  readonly #pauses = new PauseWatch(WAKE_MS);
+  readonly #pauses = new PauseDetector(WAKE_MS);
 
   #leaving = false;
 
--- a/test/core/position.test.ts
+++ b/test/core/position.test.ts
@@ -1,4 +1,4 @@
-import { History, isLater, latest, ordinalOf } from '../../src/core/routing/position';
+import { StoreHistory, isLater, latest, ordinalOf } from '../../src/core/routing/position';
 import { at } from '../fakes/position';
 
 describe('a position in the history of the store', () => {
@@ -17,17 +17,17 @@
 
 describe('the known history of the store', () => {
   test('assigns revisions up to the first one seen of an era to earlier eras', () => {
-    const history = new History();
-    expect(history.learn([at(50, 4)])).toBe(false);
+    const history = new StoreHistory();
+    expect(history.apply([at(50, 4)])).toBe(false);
     expect([history.positionOf(50), history.positionOf(51)]).toEqual([at(50), at(51, 4)]);
   });
 
   /* Another VM read the store earlier after its restore: entries written in between certainly belong to the new era. */
   test('uses the earliest start of an era that any VM has seen', () => {
-    const history = new History();
-    history.learn([at(50, 4)]);
-    expect(history.learn([at(40, 4)])).toBe(false);
-    expect(history.learn([at(60, 4)])).toBe(false);
+    const history = new StoreHistory();
+    history.apply([at(50, 4)]);
+    expect(history.apply([at(40, 4)])).toBe(false);
+    expect(history.apply([at(60, 4)])).toBe(false);
     expect(history.positionOf(45)).toEqual(at(45, 4));
   });
 
@@ -37,10 +37,10 @@
    * the removal of its runner, so the runner came into use again.
    */
   test('assigns an entry from before two restores to the era before both', () => {
-    const history = new History();
-    history.learn([at(10, 1)]);
-    expect(history.learn([at(30, 2)])).toBe(true);
-    expect(history.learn([at(35, 3)])).toBe(true);
+    const history = new StoreHistory();
+    history.apply([at(10, 1)]);
+    expect(history.apply([at(30, 2)])).toBe(true);
+    expect(history.apply([at(35, 3)])).toBe(true);
     expect([20, 32, 36].map((revision) => history.positionOf(revision))).toEqual([
       at(20, 1),
       at(32, 2),
--- a/test/router/front.test.ts
+++ b/test/router/front.test.ts
@@ -4,7 +4,7 @@
 
 import pino from 'pino';
 
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import type { RoutingConfig } from '../../src/core/routing/types';
 import type { FrontContext } from '../../src/node/router/front';
 import { Front } from '../../src/node/router/front';
@@ -71,7 +71,7 @@
 }
 
 describe('the front', () => {
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
   const seen: string[] = [];
   const front = frontOf(knowledge, async (exchange) => {
     seen.push(exchange.request.target);
@@ -120,7 +120,7 @@
   const REQUEST = 'GET /a/ HTTP/1.0\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n';
   /** Longer than the answers of this test take, in milliseconds. */
   const OBSERVED_MS = 300;
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
   const front = frontOf(knowledge, async (exchange) => {
     exchange.head(200, ['content-type', 'text/event-stream']);
     await exchange.write(Buffer.from(EVENT));
--- a/test/router/gate.test.ts
+++ b/test/router/gate.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import type { Customer } from '../../src/core/customers/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import type { RoutingConfig } from '../../src/core/routing/types';
 import { Gate } from '../../src/node/router/gate';
 import { Knowledge } from '../../src/node/router/knowledge';
@@ -17,7 +17,7 @@
 
 /** A gate of a VM that knows a configuration and not how old it can be. */
 function gateOf(customers?: readonly Customer[]): Gate {
-  const knowledge = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  const knowledge = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
   knowledge.learnConfig(0, config(customers), 'test');
   return new Gate(knowledge, () => ({ keyMs: 4700, finalMs: 2000 }));
 }
--- a/test/router/owner.test.ts
+++ b/test/router/owner.test.ts
@@ -1,9 +1,9 @@
 import pino from 'pino';
 
-import { PauseWatch } from '../../src/core/pause';
+import { PauseDetector } from '../../src/core/pause';
 import { unlimited } from '../../src/core/ratelimits/types';
 import type { RoutingConfig } from '../../src/core/routing/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import { Knowledge } from '../../src/node/router/knowledge';
 import { PlanHost } from '../../src/node/router/owner';
 import type { Ask } from '../../src/node/router/plans';
@@ -42,7 +42,7 @@
 
 /** A host that knows one decode runner with room for eleven and enough prefill runners. */
 function hostAt(now: number, onUnsure: (service: string) => void = () => {}): PlanHost {
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
   knowledge.learnConfig(now, config, 'store');
   const runners = [runner('d', 'decode'), ...'12345678'.split('').map((i) => runner(i, 'prefill'))];
   const facts = runners.map((entry) => ({ id: entry.id, position: at(1), runner: entry }));
@@ -98,7 +98,7 @@
 
 describe('a process that watches itself', () => {
   test('notices that it was frozen, suspended with its VM, and nothing else', () => {
-    const watch = new PauseWatch(25);
+    const watch = new PauseDetector(25);
     const ticks = [
       [0, 1000],
       [25, 1025],
