--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -17,7 +17,7 @@
 import { Completions } from './completions';
 import type { RunnerCrash, Suspect } from './types';
 
-/** Number of crashed runners from which a request is refused. Two can be coincidence if runners crash on their own and callers retry; three never were. */
+/** Number of crashed runners from which a request is refused. Two can be coincidence if runners crash on their own and callers retry; three have not been observed in that case. */
 export const CRASH_LIMIT = 3;
 /** Time for which crashes count, in milliseconds: much longer than callers take to retry, and enough for operators to investigate. */
 export const TTL_MS = 600_000;
