--- a/src/node/gateway/fleet.ts
+++ b/src/node/gateway/fleet.ts
@@ -6,8 +6,8 @@
 import type { Member } from '../../core/membership/types';
 import { LEDGER_SHARDS } from '../../core/ledger/shard';
 import { OwnerCache, chooseAddresses } from '../../core/ownership';
-import type { Settings } from '../../core/settings/book';
-import { SettingsBook } from '../../core/settings/book';
+import type { Settings } from '../../core/settings/documents';
+import { SettingsDocuments } from '../../core/settings/documents';
 import { PeerLink } from '../peer/link';
 import type { MemberNotice, ToGateway } from '../peer/messages';
 import { PROTOCOL_VERSION } from '../peer/messages';
@@ -42,7 +42,7 @@
 export class Fleet {
   readonly #options: FleetOptions;
 
-  readonly #book = new SettingsBook();
+  readonly #book = new SettingsDocuments();
 
   readonly #members = new Map<string, Member>();
 
--- a/src/node/scheduler/daemon.ts
+++ b/src/node/scheduler/daemon.ts
@@ -9,7 +9,7 @@
 import { OwnerCache } from '../../core/ownership';
 import type { Member } from '../../core/membership/types';
 import { KeyRegistry } from '../../core/registry/keys';
-import type { StoredDocument } from '../../core/settings/book';
+import type { StoredDocument } from '../../core/settings/documents';
 import { call } from '../../utils/http';
 import type { SchedulerConfig } from '../config';
 import { logOf } from '../log';
--- a/src/node/scheduler/settings.ts
+++ b/src/node/scheduler/settings.ts
@@ -10,8 +10,8 @@
 import type { Member, GossipUpdate } from '../../core/membership/types';
 import { canOwn } from '../../core/membership/types';
 import { ownersOfKey } from '../../core/ownership';
-import type { Settings, StoredDocument } from '../../core/settings/book';
-import { SettingsBook } from '../../core/settings/book';
+import type { Settings, StoredDocument } from '../../core/settings/documents';
+import { SettingsDocuments } from '../../core/settings/documents';
 import { SETTINGS_PREFIX, parseEnvelope, toDocument } from '../../core/settings/envelope';
 import type { Metrics } from '../metrics';
 import type { Platform } from '../platform/client';
@@ -46,7 +46,7 @@
 export class SettingsController {
   readonly #options: SettingsControllerOptions;
 
-  readonly #book = new SettingsBook();
+  readonly #book = new SettingsDocuments();
 
   readonly #stop = new AbortController();
 
