--- a/src/node/router/calls.ts
+++ b/src/node/router/calls.ts
@@ -40,17 +40,17 @@
 
   /** Answers one call; the result of one without an answer is null. Rejects with `peerRejected` if the method is unknown. */
   async answer(vm: string, method: string, params: unknown, push: Push): Promise<unknown> {
-    const { planners: host, reservations: places, sync, quotas, permits } = this.#context;
+    const { planners, reservations, sync, quotas, permits } = this.#context;
     const now = performance.now();
-    const callback = (service: string, verdict: unknown): void =>
+    const reply = (service: string, verdict: unknown): void =>
       push('verdict', { service, verdict });
-    if (method === 'ask') return host.reserve(now, vm, askSchema.parse(params), callback);
-    if (method === 'ready') return host.onPrefilled(now, vm, readySchema.parse(params), callback);
+    if (method === 'ask') return planners.reserve(now, vm, askSchema.parse(params), reply);
+    if (method === 'ready') return planners.onPrefilled(now, vm, readySchema.parse(params), reply);
     if (method === 'facts') return sync.answer(now, params);
     if (method === 'quota') return quotas.onAsk(now, vm, params);
     if (method === 'permit') return permits.onAsk(now, vm, params);
-    if (method === 'note') host.onProgress(now, vm, noteSchema.parse(params));
-    else if (method === 'hold') host.onHoldings(now, vm, holdSchema.parse(params));
+    if (method === 'note') planners.onProgress(now, vm, noteSchema.parse(params));
+    else if (method === 'hold') planners.onHoldings(now, vm, holdSchema.parse(params));
     else if (method === 'quotaJoin') quotas.onJoin(now, vm, params);
     else if (method === 'quotaBack') quotas.onBack(params);
     else if (method === 'permitJoin') permits.onJoin(now, vm, params);
@@ -58,7 +58,7 @@
     else if (method === 'gather') this.#reportHoldings(now, vm, gatherSchema.parse(params).service);
     else if (method === 'verdict') {
       const { service, verdict } = delayedDecisionSchema.parse(params);
-      places.onDecision(service, verdict);
+      reservations.onDecision(service, verdict);
     } else throw new Failure('peerRejected', `found call ${method}, expected a known method`);
     return null;
   }
@@ -72,8 +72,8 @@
 
   /** @param caller name of the VM that asks, or its address if the call came over a link that this VM opened */
   #reportHoldings(now: number, caller: string, service: string): void {
-    const { fleet, reservations: places } = this.#context;
+    const { fleet, reservations } = this.#context;
     const owner = fleet.all.find(({ vm, address }) => vm === caller || address === caller);
-    if (owner) places.reportHoldings(now, service, owner);
+    if (owner) reservations.reportHoldings(now, service, owner);
   }
 }
--- a/src/node/router/frontend.ts
+++ b/src/node/router/frontend.ts
@@ -127,7 +127,7 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<Exchange | undefined> {
-    const { codec, knowledge, authorizer: gate } = this.#context;
+    const { codec, knowledge, authorizer } = this.#context;
     try {
       const limit = knowledge.table?.config.limits.bodyBytes ?? DEFAULT_BODY_BYTES;
       const body = await readBody(req, limit);
@@ -139,7 +139,7 @@
       const table = this.#requireTable();
       const decoded = codec.decode(req, body, table.keyRing !== undefined);
       const route = this.#routeOf(table, decoded);
-      const customer = gate.identify(bootNow(), table, route, decoded.credential);
+      const customer = authorizer.identify(bootNow(), table, route, decoded.credential);
       const request = { ...decoded, customer: customer?.name };
       const { targets } = route;
       const service = pickTarget(targets, Math.random());
--- a/src/node/router/model.ts
+++ b/src/node/router/model.ts
@@ -75,12 +75,12 @@
 
   /** Makes one attempt under one reservation. Returns whether another attempt should follow. */
   async #attempt(exchange: Exchange, engine: Engine, progress: Progress): Promise<boolean> {
-    const { reservations: places, quotas } = this.#context;
+    const { reservations, quotas } = this.#context;
     const { service, signal } = exchange;
     const overQuota = await quotas.cover(exchange);
     if (overQuota) throw overQuota;
     const demand = demandOf(exchange, progress);
-    const grant = await places.reserve(service, demand, signal);
+    const grant = await reservations.reserve(service, demand, signal);
     exchange.trail.push(`place ${Math.round(performance.now() - exchange.arrivedAt)}`);
     let blame: string | undefined;
     try {
@@ -93,11 +93,13 @@
         blame = prefill;
         return this.#mayPrefillAgain(exchange, progress, prefill);
       }
-      let decode = cache ? await places.assign(service, demand.id, cache.ms, signal) : grant.decode;
+      let decode = cache
+        ? await reservations.assign(service, demand.id, cache.ms, signal)
+        : grant.decode;
       let outcome = await this.#decode(exchange, engine, progress, demand.id, decode, cache);
       if (outcome === 'unreachable' && cache) {
         // No decode runner has the request, and the prefill runner still keeps the KV cache.
-        decode = await places.assign(service, demand.id, cache.ms, signal, {
+        decode = await reservations.assign(service, demand.id, cache.ms, signal, {
           ...(decode === undefined ? {} : { unreachable: decode }),
         });
         outcome = await this.#decode(exchange, engine, progress, demand.id, decode, cache);
@@ -108,7 +110,7 @@
       if (outcome === 'failed') return false;
       return this.#mayDecodeAgain(exchange, progress, decode ?? '', outcome);
     } finally {
-      places.reportProgress(service, {
+      reservations.reportProgress(service, {
         id: demand.id,
         kind: 'released',
         ...(blame ? { blame } : {}),
@@ -127,7 +129,7 @@
     progress: Progress,
     id: string,
   ): Promise<KeptCache | undefined> {
-    const { knowledge, takeRetry: mayRepeat, permits } = this.#context;
+    const { knowledge, takeRetry, permits } = this.#context;
     const { service, signal } = exchange;
     const startedAt = performance.now();
     const runner = findRunner(knowledge.runnersOf(startedAt, service, 'prefill'), id);
@@ -138,7 +140,7 @@
     // request at once, where another runner would repeat the whole prefill. With a rate-limited
     // runner the reservation covers one request only.
     const mayAskAgain = cache === 'answerLost' && !permits.isLimited(id);
-    if (mayAskAgain && mayRepeat(performance.now(), service)) {
+    if (mayAskAgain && takeRetry(performance.now(), service)) {
       cache = await this.#prefillOnce(exchange, progress, runner);
     }
     if (typeof cache === 'string') return undefined;
@@ -220,22 +222,22 @@
     progress.sentTo.add(runner.id);
     let answer = await this.#send(exchange, progress, runner, cache);
     if (answer === 'rejected' && cache) {
-      const { reservations: places, takeRetry: mayRepeat } = this.#context;
+      const { reservations, takeRetry } = this.#context;
       const failed = { shedBy: runner.id };
-      const assigned = await places.assign(service, id, cache.ms, exchange.signal, failed);
-      if (assigned === runner.id && mayRepeat(performance.now(), service)) {
+      const assigned = await reservations.assign(service, id, cache.ms, exchange.signal, failed);
+      if (assigned === runner.id && takeRetry(performance.now(), service)) {
         // The KV cache has probably expired; the same runner can still do the prefill locally.
         answer = await this.#send(exchange, progress, runner, undefined);
       }
     }
     if (typeof answer === 'string') return answer;
-    const { reservations: places } = this.#context;
+    const { reservations } = this.#context;
     const relay = new Relay({
       exchange,
       engine,
       stream: progress.stream,
       canResume: () => canResume(exchange, progress),
-      onProgress: (note) => places.reportProgress(service, { id, ...note }),
+      onProgress: (report) => reservations.reportProgress(service, { id, ...report }),
     });
     return relay.forward(answer);
   }
--- a/src/node/router/orders.ts
+++ b/src/node/router/orders.ts
@@ -73,8 +73,8 @@
   #tick(): void {
     const now = performance.now();
     if (this.#busy || now < this.#notBefore || now - this.#startedAt < STARTUP_DELAY_MS) return;
-    const { planners: host, owns } = this.#context;
-    const changes = host.stageChanges(now, owns);
+    const { planners, owns } = this.#context;
+    const changes = planners.stageChanges(now, owns);
     if (changes.length === 0) {
       this.#release();
       return;
@@ -115,7 +115,7 @@
     right: OrderRight,
     change: StageChange & { readonly service: string },
   ): Promise<void> {
-    const { planners: host, runners, vm, knowledge, log } = this.#context;
+    const { planners, runners, vm, knowledge, log } = this.#context;
     const now = performance.now();
     const runner = knowledge.runnersOf(now, change.service).find(({ id }) => id === change.runner);
     if (!runner || this.#right !== right) return;
@@ -126,7 +126,7 @@
       return;
     }
     const outcome = await runners.order(runner, change.role, vm, right.fence);
-    host.onOrderOutcome(performance.now(), change.service, change.runner, outcome);
+    planners.onOrderOutcome(performance.now(), change.service, change.runner, outcome);
     log.info({ ...change, fence: right.fence, outcome }, 'Ordered a stage change.');
   }
 
--- a/src/node/router/plain.ts
+++ b/src/node/router/plain.ts
@@ -37,11 +37,11 @@
 export class PlainHandler {
   readonly #context: PlainContext;
 
-  readonly #choice: PlainBalancer;
+  readonly #balancer: PlainBalancer;
 
   constructor(context: PlainContext) {
     this.#context = context;
-    this.#choice = new PlainBalancer(context);
+    this.#balancer = new PlainBalancer(context);
   }
 
   /** Serves a request to its end; failures become the response. */
@@ -59,7 +59,7 @@
       const refused = await this.#refusalOf(now, exchange);
       lastFailure = refused ?? lastFailure;
       if (refused) break;
-      const runner = await this.#choice.choose(now, exchange, tried);
+      const runner = await this.#balancer.choose(now, exchange, tried);
       if (runner instanceof Failure) lastFailure = runner;
       if (!runner || runner instanceof Failure || exchange.signal.aborted) break;
       if (sentCount > 0 && !this.#context.takeRetry(now, service)) break;
@@ -72,7 +72,7 @@
           route.kind === 'repeatable' &&
           sentCount + 1 < route.attempts;
         exchange.trail.push(`${runner.id} ${reply.status}`);
-        if (!shouldRetry || !this.#choice.hasAlternative(performance.now(), service, tried)) {
+        if (!shouldRetry || !this.#balancer.hasAlternative(performance.now(), service, tried)) {
           forwardAnswer(exchange, answer);
           return;
         }
@@ -104,7 +104,7 @@
     const records = health(exchange.service);
     const now = performance.now();
     records.given(now, runner.id);
-    this.#choice.requestStarted(runner);
+    this.#balancer.requestStarted(runner);
     try {
       const run = runs.begin(now, exchange, runner);
       const answer = await callRunner(exchange, runner, runners, run);
@@ -116,7 +116,7 @@
       else records.failed(performance.now(), runner.id);
       throw error;
     } finally {
-      this.#choice.requestEnded(runner);
+      this.#balancer.requestEnded(runner);
     }
   }
 }
--- a/src/node/router/plannerhost.ts
+++ b/src/node/router/plannerhost.ts
@@ -23,7 +23,7 @@
 import type { OrderOutcome, RunnerClient } from './types';
 
 /** Sends a decision back to the VM that requested it. */
-export type DecisionCallback = (service: string, verdict: Decision) => void;
+export type DecisionCallback = (service: string, decision: Decision) => void;
 
 /** Dependencies of the planners on the rest of the VM. */
 export interface PlannerHostContext {
@@ -68,7 +68,7 @@
 
   readonly #log: Logger;
 
-  readonly #dependencies: PlannerHostContext;
+  readonly #context: PlannerHostContext;
 
   readonly #plans = new Map<string, ServicePlan>();
 
@@ -82,12 +82,12 @@
     knowledge: Knowledge,
     runners: RunnerClient,
     log: Logger,
-    dependencies: PlannerHostContext,
+    context: PlannerHostContext,
   ) {
     this.#knowledge = knowledge;
     this.#runners = runners;
     this.#log = log;
-    this.#dependencies = dependencies;
+    this.#context = context;
     this.#timer = setInterval(() => this.#tick(performance.now()), TICK_MS);
   }
 
@@ -106,40 +106,50 @@
   }
 
   /** Handles a request for a reservation. Returns the decision, or `waiting` if it goes to the callback later. Throws `noOwner` while shutting down. */
-  reserve(now: number, vm: string, ask: ReservationRequest, callback: DecisionCallback): Decision {
+  reserve(
+    now: number,
+    vm: string,
+    request: ReservationRequest,
+    callback: DecisionCallback,
+  ): Decision {
     if (this.#draining) throw new Failure('noOwner', 'this VM is shutting down');
-    const plan = this.#planOf(now, ask.service);
-    this.#recordContact(now, ask.service, plan, vm);
-    plan.callbacks.set(ask.id, callback);
-    const verdicts = this.#handle(now, ask.service, plan, {
+    const plan = this.#planOf(now, request.service);
+    this.#recordContact(now, request.service, plan, vm);
+    plan.callbacks.set(request.id, callback);
+    const decisions = this.#handle(now, request.service, plan, {
       kind: 'asked',
-      demand: fromWireDemand(now, vm, ask),
+      demand: fromWireDemand(now, vm, request),
     });
-    return verdicts.get(ask.id) ?? { state: 'waiting', id: ask.id };
+    return decisions.get(request.id) ?? { state: 'waiting', id: request.id };
   }
 
   /** Handles the end of a prefill: assigns the request to a decode runner, at once or when one has free memory. */
-  onPrefilled(now: number, vm: string, ready: PrefillReport, callback: DecisionCallback): Decision {
-    const { service, id, ms, unreachable, shedBy } = ready;
+  onPrefilled(
+    now: number,
+    vm: string,
+    report: PrefillReport,
+    callback: DecisionCallback,
+  ): Decision {
+    const { service, id, ms, unreachable, shedBy } = report;
     const plan = this.#planOf(now, service);
     this.#recordContact(now, service, plan, vm);
     plan.callbacks.set(id, callback);
-    const verdicts = this.#handle(now, service, plan, {
+    const decisions = this.#handle(now, service, plan, {
       kind: 'prefilled',
       id,
       ms,
       unreachable,
       shedBy,
     });
-    return verdicts.get(id) ?? { state: 'waiting', id };
+    return decisions.get(id) ?? { state: 'waiting', id };
   }
 
   /** Handles the progress of a request that holds a reservation. */
-  onProgress(now: number, vm: string, note: ProgressReport): void {
-    const plan = this.#planOf(now, note.service);
-    this.#recordContact(now, note.service, plan, vm);
-    const { id } = note;
-    const event = match(note)
+  onProgress(now: number, vm: string, report: ProgressReport): void {
+    const plan = this.#planOf(now, report.service);
+    this.#recordContact(now, report.service, plan, vm);
+    const { id } = report;
+    const event = match(report)
       .returnType<PlanEvent>()
       .with({ kind: 'started' }, () => ({ kind: 'started', id }))
       .with({ kind: 'slow' }, () => ({ kind: 'slow', id }))
@@ -150,8 +160,8 @@
       }))
       .with({ kind: 'released' }, ({ blame }) => ({ kind: 'released', id, blame }))
       .exhaustive();
-    if (note.kind === 'released') plan.callbacks.delete(id);
-    this.#handle(now, note.service, plan, event);
+    if (report.kind === 'released') plan.callbacks.delete(id);
+    this.#handle(now, report.service, plan, event);
   }
 
   /** Handles a report of all reservations that a VM holds for a service. */
@@ -226,14 +236,14 @@
   /** Starts the warm-up of a planner and requests reports from all VMs at once: their periodic reports take up to two seconds, in which full runners look free or free ones full. */
   #startWarmUp(now: number, service: string, { planner }: ServicePlan): void {
     planner.startCautiously(now);
-    this.#dependencies.onIncompleteState(service);
+    this.#context.onIncompleteState(service);
   }
 
   #planOf(now: number, service: string): ServicePlan {
     const existing = this.#plans.get(service);
     if (existing) return existing;
     const plan: ServicePlan = {
-      planner: new Planner(planPolicy, undefined, this.#dependencies.rateAllowanceOf(service)),
+      planner: new Planner(planPolicy, undefined, this.#context.rateAllowanceOf(service)),
       callbacks: new Map(),
       lastSeen: new Map(),
       lastSeenAt: now,
@@ -255,23 +265,23 @@
     event: PlanEvent,
   ): ReadonlyMap<string, Decision> {
     const engine = this.#knowledge.table?.service(service)?.engine;
-    const verdicts = new Map<string, Decision>();
-    if (!engine) return verdicts;
+    const decisions = new Map<string, Decision>();
+    if (!engine) return decisions;
     const refreshed = this.#refreshRunners(now, service, engine, plan);
     refreshed.forEach((action) => {
-      verdicts.set(action.id, this.#decide(now, service, plan, action));
+      decisions.set(action.id, this.#decide(now, service, plan, action));
     });
     plan.planner.handle(now, event).forEach((action) => {
-      verdicts.set(action.id, this.#decide(now, service, plan, action));
+      decisions.set(action.id, this.#decide(now, service, plan, action));
     });
     this.#logEjections(service, plan, event);
     const callingRequest = callingRequestOf(event);
-    for (const [id, verdict] of verdicts) {
+    for (const [id, decision] of decisions) {
       const callback = plan.callbacks.get(id);
       plan.callbacks.delete(id);
-      if (id !== callingRequest) callback?.(service, verdict);
+      if (id !== callingRequest) callback?.(service, decision);
     }
-    return verdicts;
+    return decisions;
   }
 
   /** Logs each runner that was ejected, with the event that caused it. */
--- a/src/node/router/relay.ts
+++ b/src/node/router/relay.ts
@@ -36,7 +36,7 @@
   readonly stream: AnswerStream;
   /** Whether another run may continue the stream after a failed one. */
   readonly canResume: () => boolean;
-  readonly onProgress: (note: RelayProgress) => void;
+  readonly onProgress: (progress: RelayProgress) => void;
 }
 
 /** Relays the runs of one request. */
@@ -84,7 +84,7 @@
     { reply, run }: Answer,
     afterEvent: string | undefined,
   ): Promise<RelayOutcome> {
-    const { exchange, engine, stream, onProgress: onNote } = this.#context;
+    const { exchange, engine, stream, onProgress } = this.#context;
     const pace = new PaceMonitor(exchange.route.gapMs);
     let hasStarted = false;
     let isInterrupted = false;
@@ -94,10 +94,10 @@
     for await (const chunk of chunks) {
       const events = stream.push(chunk);
       if (events.length > 0) {
-        if (!hasStarted) onNote({ kind: 'started' });
+        if (!hasStarted) onProgress({ kind: 'started' });
         hasStarted = true;
         run.answered(performance.now());
-        if (pace.observe(performance.now(), stream.events)) onNote({ kind: 'slow' });
+        if (pace.observe(performance.now(), stream.events)) onProgress({ kind: 'slow' });
         this.#sendHead(reply);
         await exchange.write(events);
       }
@@ -111,7 +111,7 @@
     run.completed(performance.now(), part);
     this.#sendHead(reply);
     exchange.end(stream.rest);
-    onNote({ kind: 'finished', outputTokens: stream.events * engine.eventTokens });
+    onProgress({ kind: 'finished', outputTokens: stream.events * engine.eventTokens });
     return 'done';
   }
 
--- a/src/node/router/reservations.ts
+++ b/src/node/router/reservations.ts
@@ -45,9 +45,9 @@
 
   readonly #log: Logger;
 
-  readonly #reservations = new Map<string, HeldReservation>();
+  readonly #holdings = new Map<string, HeldReservation>();
 
-  readonly #pendingDecisions = new Map<string, (verdict: Decision) => void>();
+  readonly #pendingDecisions = new Map<string, (decision: Decision) => void>();
 
   /** The VM to which each service's reservations were last reported. */
   readonly #reportedTo = new Map<string, string>();
@@ -78,13 +78,13 @@
       if (now >= demand.lostAt) break;
       const owner = this.#ownerOf(now, service);
       if (!owner) break;
-      const verdict = await this.#reserveAt(owner, service, demand, signal);
-      if (verdict?.state === 'granted') return this.#add(service, demand, verdict);
-      if (verdict?.state === 'refused') {
-        const { retryAfterMs } = verdict;
+      const decision = await this.#reserveAt(owner, service, demand, signal);
+      if (decision?.state === 'granted') return this.#add(service, demand, decision);
+      if (decision?.state === 'refused') {
+        const { retryAfterMs } = decision;
         throw new Failure('deadlineUnreachable', 'no reservation in time', { retryAfterMs });
       }
-      if (!verdict) {
+      if (!decision) {
         unresponsive += 1;
         this.#fleet.shun(performance.now(), owner.vm);
         this.#log.warn({ request: demand.id, owner: owner.vm }, 'An owner did not answer in time.');
@@ -98,37 +98,37 @@
   }
 
   /** Reports the progress of a request to the owner. The next full report makes up for a lost message. */
-  reportProgress(service: string, note: Omit<ProgressReport, 'service'>): void {
-    const held = this.#reservations.get(note.id);
-    if (note.kind === 'started' && held) held.startedAt = performance.now();
-    if (note.kind === 'finished' || note.kind === 'released') this.#reservations.delete(note.id);
+  reportProgress(service: string, report: Omit<ProgressReport, 'service'>): void {
+    const held = this.#holdings.get(report.id);
+    if (report.kind === 'started' && held) held.startedAt = performance.now();
+    if (report.kind === 'finished' || report.kind === 'released') this.#holdings.delete(report.id);
     const now = performance.now();
     const owner = this.#ownerOf(now, service);
     if (!owner) return;
-    const message: ProgressReport = { service, ...note };
+    const message: ProgressReport = { service, ...report };
     if (owner.vm === this.#vm) this.#planners.onProgress(now, this.#vm, message);
     else this.#send(owner.address, 'note', message);
   }
 
   /** Handles a decision that an owner sends for a waiting request. Releases a grant that nobody waits for. */
-  onDecision(service: string, verdict: Decision): void {
-    const resolve = this.#pendingDecisions.get(verdict.id);
-    if (resolve) resolve(verdict);
-    else if (verdict.state === 'granted' && !this.#reservations.has(verdict.id)) {
-      this.reportProgress(service, { id: verdict.id, kind: 'released' });
+  onDecision(service: string, decision: Decision): void {
+    const resolve = this.#pendingDecisions.get(decision.id);
+    if (resolve) resolve(decision);
+    else if (decision.state === 'granted' && !this.#holdings.has(decision.id)) {
+      this.reportProgress(service, { id: decision.id, kind: 'released' });
     }
   }
 
   /** Reports the reservations of a service to the VM that asked for them, even if this VM takes another one for the owner. */
   reportHoldings(now: number, service: string, owner: Owner): void {
-    const hold: HoldingsReport = {
+    const report: HoldingsReport = {
       service,
-      holdings: [...this.#reservations.values()]
+      holdings: [...this.#holdings.values()]
         .filter((held) => held.service === service)
         .map(({ demand, grant, startedAt }) => toWireHolding(now, demand, grant, startedAt)),
     };
-    if (owner.vm === this.#vm) this.#planners.onHoldings(now, this.#vm, hold);
-    else this.#send(owner.address, 'hold', hold);
+    if (owner.vm === this.#vm) this.#planners.onHoldings(now, this.#vm, report);
+    else this.#send(owner.address, 'hold', report);
   }
 
   #add(
@@ -137,7 +137,7 @@
     { prefill, decode }: Extract<Decision, { readonly state: 'granted' }>,
   ): Grant {
     const grant = { prefill, decode };
-    this.#reservations.set(demand.id, { service, demand, grant, startedAt: undefined });
+    this.#holdings.set(demand.id, { service, demand, grant, startedAt: undefined });
     return grant;
   }
 
@@ -155,18 +155,18 @@
     signal: AbortSignal,
     failed: { readonly unreachable?: string; readonly shedBy?: string } = {},
   ): Promise<string | undefined> {
-    const ready = { service, id, ms, ...failed };
-    const held = this.#reservations.get(id);
+    const report = { service, id, ms, ...failed };
+    const held = this.#holdings.get(id);
     const owner = this.#ownerOf(performance.now(), service);
     if (!held || !owner) return held?.grant.decode;
-    const sink: DecisionCallback = (name, verdict) => this.onDecision(name, verdict);
-    const verdict = await this.#callForDecision(owner, id, signal, (now) =>
+    const callback: DecisionCallback = (name, decision) => this.onDecision(name, decision);
+    const decision = await this.#callForDecision(owner, id, signal, (now) =>
       owner.vm === this.#vm
-        ? this.#planners.onPrefilled(now, this.#vm, ready, sink)
-        : this.#fleet.call(owner.address, 'ready', ready, CALL_TIMEOUT_MS),
+        ? this.#planners.onPrefilled(now, this.#vm, report, callback)
+        : this.#fleet.call(owner.address, 'ready', report, CALL_TIMEOUT_MS),
     );
-    if (verdict?.state === 'refused') return undefined;
-    if (verdict?.state === 'bound') held.grant = { ...held.grant, decode: verdict.decode };
+    if (decision?.state === 'refused') return undefined;
+    if (decision?.state === 'bound') held.grant = { ...held.grant, decode: decision.decode };
     return held.grant.decode;
   }
 
@@ -177,12 +177,12 @@
     demand: LocalDemand,
     signal: AbortSignal,
   ): Promise<Decision | undefined> {
-    const sink: DecisionCallback = (name, verdict) => this.onDecision(name, verdict);
+    const callback: DecisionCallback = (name, decision) => this.onDecision(name, decision);
     return this.#callForDecision(owner, demand.id, signal, (now) => {
-      const ask = { service, ...toWireDemand(now, demand) };
+      const message = { service, ...toWireDemand(now, demand) };
       return owner.vm === this.#vm
-        ? this.#planners.reserve(now, this.#vm, ask, sink)
-        : this.#fleet.call(owner.address, 'ask', ask, CALL_TIMEOUT_MS);
+        ? this.#planners.reserve(now, this.#vm, message, callback)
+        : this.#fleet.call(owner.address, 'ask', message, CALL_TIMEOUT_MS);
     });
   }
 
@@ -197,7 +197,7 @@
     try {
       const first = decisionSchema.parse(await call(performance.now()));
       if (first.state !== 'waiting') return first;
-      return (await later.verdict) ?? first;
+      return (await later.decision) ?? first;
     } catch (error) {
       this.#log.debug({ request: id, owner: owner.vm }, toFailure(error).line);
       return undefined;
@@ -210,9 +210,9 @@
   #awaitDecision(
     id: string,
     signal: AbortSignal,
-  ): { readonly verdict: Promise<Decision | undefined>; readonly stop: () => void } {
+  ): { readonly decision: Promise<Decision | undefined>; readonly stop: () => void } {
     let stop = (): void => {};
-    const verdict = new Promise<Decision | undefined>((resolve) => {
+    const decision = new Promise<Decision | undefined>((resolve) => {
       const onAbort = (): void => resolve(undefined);
       const timer = setTimeout(() => resolve(undefined), CALL_TIMEOUT_MS + RETRY_WAIT_MS);
       signal.addEventListener('abort', onAbort, { once: true });
@@ -224,7 +224,7 @@
         resolve(undefined);
       };
     });
-    return { verdict, stop };
+    return { decision, stop };
   }
 
   #ownerOf(now: number, service: string): Owner | undefined {
@@ -232,7 +232,7 @@
     if (!owner) return undefined;
     if (this.#reportedTo.get(service) !== owner.vm) {
       this.#reportedTo.set(service, owner.vm);
-      this.#log.info({ service, owner: owner.vm, held: this.#reservations.size }, 'Owner changed.');
+      this.#log.info({ service, owner: owner.vm, held: this.#holdings.size }, 'Owner changed.');
       // Reservations are reported before the first request, so that a new owner accounts for them.
       this.reportHoldings(now, service, owner);
     }
@@ -241,7 +241,7 @@
 
   /** Reports all reservations. A service without any is reported empty once, in case the last release was lost. */
   #reportAll(now: number): void {
-    const heldServices = new Set([...this.#reservations.values()].map(({ service }) => service));
+    const heldServices = new Set([...this.#holdings.values()].map(({ service }) => service));
     const services = new Set([...heldServices, ...this.#reportedServices]);
     this.#reportedServices = heldServices;
     for (const service of services) {
--- a/src/node/router/runs.ts
+++ b/src/node/router/runs.ts
@@ -126,8 +126,8 @@
 
   /** The reason why a request must not be sent to a runner; undefined if it may be. */
   refusal(now: number, exchange: Exchange): Failure | undefined {
-    const { authorizer: gate, quarantine } = this.#context;
-    return gate.refusal(bootNow(), exchange) ?? quarantine.refusal(now, exchange.fingerprint);
+    const { authorizer, quarantine } = this.#context;
+    return authorizer.refusal(bootNow(), exchange) ?? quarantine.refusal(now, exchange.fingerprint);
   }
 
   /** Starts a run. Every send goes through here, so that no refused request is sent. Throws the refusal. */
--- a/test/router/authorizer.test.ts
+++ b/test/router/authorizer.test.ts
@@ -15,8 +15,8 @@
   ...(customers ? { customers } : {}),
 });
 
-/** The access check of a VM that has a configuration of unknown age. */
-function gateOf(customers?: readonly Customer[]): Authorizer {
+/** The authorizer of a VM that has a configuration of unknown age. */
+function authorizerOf(customers?: readonly Customer[]): Authorizer {
   const knowledge = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
   knowledge.learnConfig(0, config(customers), 'test');
   return new Authorizer(knowledge, () => ({ keyMs: 4700, finalMs: 2000 }));
@@ -28,10 +28,10 @@
    * in place of every 404, after which callers retry again and again for routes that were removed.
    */
   test('answers that a route does not exist where no keys are required', () => {
-    expect(gateOf().staleRefusal(0, 'a route')).toBeUndefined();
+    expect(authorizerOf().staleRefusal(0, 'a route')).toBeUndefined();
   });
 
   test('refuses to answer that a route does not exist where keys are required', () => {
-    expect(gateOf([]).staleRefusal(0, 'a route')?.codeName).toBe('configOld');
+    expect(authorizerOf([]).staleRefusal(0, 'a route')?.codeName).toBe('configOld');
   });
 });
--- a/test/router/model.test.ts
+++ b/test/router/model.test.ts
@@ -29,21 +29,21 @@
         },
         freeCache: async () => {},
       },
-      places: {
-        ask: async () => ({ prefill: 'p', decode: 'd1' }),
-        bind: async (
+      reservations: {
+        reserve: async () => ({ prefill: 'p', decode: 'd1' }),
+        assign: async (
           _service: string,
           _id: string,
           _ms: number,
           _signal: AbortSignal,
           failed: { readonly unreachable?: string } = {},
         ) => (failed.unreachable === 'd1' ? 'd2' : 'd1'),
-        note: () => {},
+        reportProgress: () => {},
       },
       runs: runsOf(),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
     await new ModelHandler(context).run(exchangeInto(out), streamEngine);
@@ -70,18 +70,18 @@
           return replyOf(200, 'id: 1\n\n');
         },
       },
-      places: {
-        ask: async () => {
+      reservations: {
+        reserve: async () => {
           sent.push('place');
           return { prefill: 'p', decode: 'd' };
         },
-        bind: async () => 'd',
-        note: () => {},
+        assign: async () => 'd',
+        reportProgress: () => {},
       },
       runs: runsOf(),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
     await new ModelHandler(context).run(exchangeInto(out), streamEngine);
@@ -99,18 +99,18 @@
     const context = {
       quotas: noQuotas,
       permits: noPermits,
-      places: {
-        ask: async (_service: string, demand: LocalDemand) => {
+      reservations: {
+        reserve: async (_service: string, demand: LocalDemand) => {
           asked.push(demand);
           throw new Failure('deadlineUnreachable', 'no reservation', { retryAfterMs: 300 });
         },
       },
     } as unknown as ModelContext;
-    const caller = new ModelHandler(context);
+    const handler = new ModelHandler(context);
     const exchanges = [14_000, 12_000].map((deadlineMs) =>
       exchangeInto([], { ...promptRequest, deadlineMs }),
     );
-    for (const exchange of exchanges) await caller.run(exchange, streamEngine);
+    for (const exchange of exchanges) await handler.run(exchange, streamEngine);
     expect(asked.map(({ dueAt }, i) => Math.round(dueAt - (exchanges[i]?.arrivedAt ?? 0)))).toEqual(
       [900, 900],
     );
@@ -135,11 +135,14 @@
           throw new Failure('runnerFailed', 'reset');
         },
       },
-      places: { ask: async () => ({ decode: `d${sent.length + 1}` }), note: () => {} },
+      reservations: {
+        reserve: async () => ({ decode: `d${sent.length + 1}` }),
+        reportProgress: () => {},
+      },
       runs: runsOf(quarantine),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
     await new ModelHandler(context).run(exchange, streamEngine);
     expect(sent).toEqual(['d1']);
@@ -163,18 +166,18 @@
           throw new Failure('runnerFailed', 'reset');
         },
       },
-      places: {
-        ask: async () => {
+      reservations: {
+        reserve: async () => {
           asked += 1;
           if (asked === 1) return { decode: 'd1' };
           throw new Failure('deadlineUnreachable', 'no reservation in time', { retryAfterMs: 300 });
         },
-        note: () => {},
+        reportProgress: () => {},
       },
       runs: runsOf(),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
     await new ModelHandler(context).run(exchange, streamEngine);
     expect(asked).toBe(2);
--- a/test/router/orders.test.ts
+++ b/test/router/orders.test.ts
@@ -22,9 +22,9 @@
     const controller = new OrderController({
       vm: 'vm1',
       knowledge: { runnersOf: () => [runnerOf('p', 'prefill')] },
-      host: {
+      planners: {
         stageChanges: () => [{ service: 's', runner: 'p', role: 'decode' }],
-        ordered: () => {},
+        onOrderOutcome: () => {},
       },
       runners: {
         order: async (_runner: unknown, _role: unknown, _vm: unknown, usedFence: number) => {
--- a/test/router/plain.test.ts
+++ b/test/router/plain.test.ts
@@ -25,7 +25,7 @@
     runs: runsOf(),
     quotas: noQuotas,
     permits: noPermits,
-    mayRepeat: () => true,
+    takeRetry: () => true,
     domain: 'a',
   } as unknown as PlainContext;
   await new PlainHandler(context).run(exchange);
--- a/test/router/plainbalancer.test.ts
+++ b/test/router/plainbalancer.test.ts
@@ -62,9 +62,9 @@
   /* A rate-limited runner is idle in the own failure domain. All VMs of that domain would choose it as the cheapest. */
   test('does not prefer a rate-limited runner for its failure domain', async () => {
     const limited = new LimitedRunners(['near'], refused);
-    const choice = new PlainBalancer(limited.context([near, far]));
+    const balancer = new PlainBalancer(limited.context([near, far]));
     const chosen = await Promise.all(
-      Array.from({ length: 40 }, () => choice.choose(0, exchange, [])),
+      Array.from({ length: 40 }, () => balancer.choose(0, exchange, [])),
     );
     expect(new Set(chosen)).toEqual(new Set([far]));
     expect(limited.asked.length).toBeLessThan(40);
@@ -73,9 +73,9 @@
   test('requests no permit of a runner known to be at its rate limit while there are others', async () => {
     const limited = new LimitedRunners(['near'], refused);
     limited.full.add('near');
-    const choice = new PlainBalancer(limited.context([near, far]));
+    const balancer = new PlainBalancer(limited.context([near, far]));
     for (let i = 0; i < 40; i += 1) {
-      expect(await choice.choose(0, exchange, [])).toBe(far);
+      expect(await balancer.choose(0, exchange, [])).toBe(far);
     }
     expect(limited.asked).toEqual([]);
   });
@@ -83,12 +83,12 @@
   /* All others are idle, so that a runner whose limit was lifted would get no request by which to show it. */
   test('sends a trial request to a rate-limited runner when one is due', async () => {
     const limited = new LimitedRunners(['near'], { granted: true, runner: 'near', waitMs: 0 });
-    const choice = new PlainBalancer(limited.context([near, far]));
+    const balancer = new PlainBalancer(limited.context([near, far]));
     limited.trials.add('near');
-    expect(await choice.choose(0, exchange, [])).toBe(near);
+    expect(await balancer.choose(0, exchange, [])).toBe(near);
     limited.trials.clear();
     limited.full.add('near');
-    expect(await choice.choose(0, exchange, [])).toBe(far);
+    expect(await balancer.choose(0, exchange, [])).toBe(far);
   });
 
   test('requests a permit of any runner where all are rate-limited, and waits up to half of the latency target', async () => {
@@ -97,9 +97,9 @@
       runner: 'far',
       waitMs: 40,
     });
-    const choice = new PlainBalancer(limited.context([near, far]));
+    const balancer = new PlainBalancer(limited.context([near, far]));
     const since = performance.now();
-    expect(await choice.choose(exchange.arrivedAt, exchange, [])).toBe(far);
+    expect(await balancer.choose(exchange.arrivedAt, exchange, [])).toBe(far);
     expect(performance.now() - since).toBeGreaterThanOrEqual(39);
     expect(limited.asked).toEqual([
       { runners: expect.any(Array), mostWaitMs: expect.closeTo(100) },
@@ -109,8 +109,8 @@
 
   test('fails with a retry delay where no permit is granted', async () => {
     const limited = new LimitedRunners(['near', 'far'], refused);
-    const choice = new PlainBalancer(limited.context([near, far]));
-    const chosen = await choice.choose(0, exchange, []);
+    const balancer = new PlainBalancer(limited.context([near, far]));
+    const chosen = await balancer.choose(0, exchange, []);
     expect(chosen).toBeInstanceOf(Failure);
     expect(chosen).toMatchObject({ codeName: 'runnersLimited', retryAfterMs: 700 });
   });
@@ -127,7 +127,7 @@
       runners: { send: async ({ runner }: Dispatch) => replyOf(500, `of ${runner.id}`) },
       runs: runsOf(),
       quotas: noQuotas,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as PlainContext;
     await new PlainHandler(context).run(exchange);
     expect(out).toEqual(['500', 'of near']);
--- a/test/router/plannerhost.test.ts
+++ b/test/router/plannerhost.test.ts
@@ -41,14 +41,14 @@
 });
 
 /** A planner host with one decode runner that has memory for eleven requests, and enough prefill runners. */
-function hostAt(now: number, onUnsure: (service: string) => void = () => {}): PlannerHost {
+function hostAt(now: number, onIncompleteState: (service: string) => void = () => {}): PlannerHost {
   const knowledge = new Knowledge(new History(), log, silentListener);
   knowledge.learnConfig(now, config, 'store');
   const runners = [runner('d', 'decode'), ...'12345678'.split('').map((i) => runner(i, 'prefill'))];
   const facts = runners.map((entry) => ({ id: entry.id, position: at(1), runner: entry }));
   knowledge.learnRunners(now, facts, 'store');
   return new PlannerHost(knowledge, {} as RunnerClient, log, {
-    onIncompleteState: onUnsure,
+    onIncompleteState,
     rateAllowanceOf: () => unlimited,
   });
 }
@@ -88,14 +88,14 @@
    */
   test('requests reports from all VMs when it starts and after a long time without messages', () => {
     const now = performance.now();
-    const unsure: string[] = [];
-    const host = hostAt(now, (service) => unsure.push(service));
+    const incomplete: string[] = [];
+    const host = hostAt(now, (service) => incomplete.push(service));
     host.reserve(now, 'vm2', ask('first'), () => {});
     host.reserve(now + 1000, 'vm2', ask('second'), () => {});
-    expect(unsure).toEqual(['s']);
+    expect(incomplete).toEqual(['s']);
     host.reserve(now + 10_000, 'vm2', ask('third'), () => {});
     host.stop();
-    expect(unsure).toEqual(['s', 's']);
+    expect(incomplete).toEqual(['s', 's']);
   });
 });
 
--- a/test/router/streams.test.ts
+++ b/test/router/streams.test.ts
@@ -41,11 +41,14 @@
         return replies[sent.length - 1];
       },
     },
-    places: { ask: async () => ({ decode: `d${sent.length + 1}` }), note: () => {} },
+    reservations: {
+      reserve: async () => ({ decode: `d${sent.length + 1}` }),
+      reportProgress: () => {},
+    },
     runs: runsOf(),
     quotas: noQuotas,
     permits: noPermits,
-    mayRepeat: () => true,
+    takeRetry: () => true,
   } as unknown as ModelContext;
   await new ModelHandler(context).run(exchange, streamEngine);
   return sent;
