--- a/src/node/router/model.ts
+++ b/src/node/router/model.ts
@@ -44,7 +44,7 @@
   readonly ms: number;
 }
 
-/** Outcome of one send to a decode runner; `unreachable`: nothing was sent, or the runner did not accept it. */
+/** Outcome of one send to a decode runner; `unreachable`: nothing was sent, or the request was misdirected. */
 type Outcome = RelayOutcome | 'rejected' | 'unreachable';
 
 /** Serves model requests, with retries at other runners. */
@@ -183,7 +183,7 @@
     this.#context.runners.freeCache(cache).catch(() => undefined);
   }
 
-  /** Whether another prefill runner may be tried. Throws if the attempts or the retry budget are used up. */
+  /** Whether another prefill runner may be tried; false if the request was aborted. Throws if the attempts or the retry budget are used up. */
   #mayPrefillAgain(exchange: Exchange, progress: Progress, failed: string): boolean {
     const now = performance.now();
     progress.avoid.push(failed);
@@ -287,7 +287,7 @@
     }
   }
 
-  /** Whether the request may be sent to another decode runner. Throws if it may not. */
+  /** Whether the request may be sent to another decode runner; false if it was aborted. Throws if it may not. */
   #mayDecodeAgain(
     exchange: Exchange,
     progress: Progress,
--- a/src/node/router/plain.ts
+++ b/src/node/router/plain.ts
@@ -88,7 +88,7 @@
         if (!lastFailure.code.notRun && route.kind !== 'repeatable') break;
       }
     }
-    // No other runner accepted the request: the caller gets the error response of the first one.
+    // No other runner accepted the request: the caller gets the last error response.
     if (failedAnswer && lastFailure.code.notRun) forwardAnswer(exchange, failedAnswer);
     else exchange.fail(performance.now(), callerFailure(exchange, mayHaveRun, lastFailure));
   }
--- a/src/node/router/plannerhost.ts
+++ b/src/node/router/plannerhost.ts
@@ -33,7 +33,7 @@
   rateAllowanceOf(service: string): Ration;
 }
 
-/** The planner of one service, and when its sources were last summary. */
+/** The planner of one service, and when its sources were last seen. */
 interface ServicePlan {
   readonly planner: Planner;
   /** Callbacks for the decisions of waiting requests, by request id. */
