--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -6,7 +6,7 @@
 
 import { match } from 'ts-pattern';
 
-import type { Ration } from '../ratelimits/types';
+import type { RateAllowance } from '../ratelimits/types';
 import { unlimited } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, PrefillState } from './account';
@@ -53,7 +53,7 @@
 
   readonly #room: Room;
 
-  readonly #ration: Ration;
+  readonly #ration: RateAllowance;
 
   readonly #placed: Placements;
 
@@ -68,7 +68,7 @@
   constructor(
     policy: PlanPolicy,
     costs: CostModel = new LearntCosts(),
-    ration: Ration = unlimited,
+    ration: RateAllowance = unlimited,
   ) {
     this.#policy = policy;
     this.#ration = ration;
--- a/src/core/memory/room.ts
+++ b/src/core/memory/room.ts
@@ -1,6 +1,6 @@
 /** What the account leaves: which runner has room now, which will have it first, and when memory comes free. */
 
-import type { Ration } from '../ratelimits/types';
+import type { RateAllowance } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, MemoryAccount, PrefillState } from './account';
 import { ableOf, endOf, isReading } from './account';
@@ -36,7 +36,7 @@
 
   readonly #costs: Costs;
 
-  readonly #ration: Ration;
+  readonly #ration: RateAllowance;
 
   /** Free tokens at one moment; forgotten with each change of the account. */
   readonly #freeKnown = new Map<DecodeState, number>();
@@ -46,7 +46,7 @@
   /** Until then only runners that are mostly empty by the account count as having room. */
   #cautiousUntil = 0;
 
-  constructor(policy: PlanPolicy, account: MemoryAccount, costs: Costs, ration: Ration) {
+  constructor(policy: PlanPolicy, account: MemoryAccount, costs: Costs, ration: RateAllowance) {
     this.#policy = policy;
     this.#account = account;
     this.#costs = costs;
--- a/src/node/router/authorizer.ts
+++ b/src/node/router/authorizer.ts
@@ -1,7 +1,7 @@
 /** Authenticates requests by their API key: on arrival and again before each send to a runner. */
 
 import type { AgeBounds, Credential } from '../../core/customers/identity';
-import { identify, tooOld } from '../../core/customers/identity';
+import { identify, staleConfigFailure } from '../../core/customers/identity';
 import type { Customer } from '../../core/customers/types';
 import { Failure, toFailure } from '../../core/failure';
 import type { ProofSource } from '../../core/routing/freshness';
@@ -50,7 +50,7 @@
     const { table, freshness } = this.#knowledge;
     const ageMs = freshness.ageMs(now);
     const mayBeStale = table?.keyRing !== undefined && ageMs > this.#bounds().finalMs;
-    return mayBeStale ? tooOld(ageMs, detail) : undefined;
+    return mayBeStale ? staleConfigFailure(ageMs, detail) : undefined;
   }
 
   /** The source from which this VM should confirm that its configuration is current. */
--- a/src/node/router/daemon.ts
+++ b/src/node/router/daemon.ts
@@ -8,7 +8,7 @@
 import { RunnerHealth } from '../../core/cell/health';
 import { toFailure } from '../../core/failure';
 import { RetryWindow } from '../../core/retries';
-import type { History } from '../../core/routing/position';
+import type { StoreHistory } from '../../core/routing/position';
 import { bootNow } from '../../utils/clock';
 import { LazyMap } from '../../utils/lazymap';
 import { logOf } from '../log';
@@ -41,7 +41,7 @@
 /** The system around the router. */
 export interface RouterPorts {
   /** The store's history, which the feed writes and reads too. */
-  readonly history: History;
+  readonly history: StoreHistory;
   readonly feed: Feed;
   readonly runners: RunnerClient;
   readonly ingress: IngressCodec;
@@ -141,7 +141,7 @@
       onDescription: () => this.#describe(),
     });
     const mayRepeat = (now: number, service: string): boolean =>
-      this.#retries.get(service).spend(now, this.#fleet.alive.length);
+      this.#retries.get(service).trySpend(now, this.#fleet.alive.length);
     const { quarantine, rateLimits, permits, quotas, places } = this.#desks;
     this.#runs = new Runs({
       quarantine,
@@ -199,7 +199,7 @@
       onVms: (vms) => this.#fleet.list(vms.filter((entry) => entry.vm !== vm)),
       onSuspects: (suspects, isAll) =>
         this.#desks.quarantine.stored(performance.now(), suspects, isAll),
-      onProof: (askedAt) => this.#knowledge.freshness.storeAnswered(askedAt),
+      onProof: (askedAt) => this.#knowledge.freshness.recordStoreAnswer(askedAt),
       onStore: (up, detail) => this.#desks.news.storeAnswered(performance.now(), up, detail),
     });
     this.#desks.news.start();
@@ -297,7 +297,7 @@
   async #serve(exchange: Exchange): Promise<void> {
     const { service } = exchange;
     const now = performance.now();
-    this.#retries.get(service).first(now);
+    this.#retries.get(service).recordFirst(now);
     const refusal = this.#runs.refusal(now, exchange);
     if (refusal) {
       exchange.fail(now, refusal);
@@ -341,7 +341,7 @@
       })
       .with({ kind: 'runners' }, () => this.#runners.abortLost())
       .with({ kind: 'era' }, ({ cameBack }) => {
-        this.#knowledge.freshness.storeCameBack(bootNow());
+        this.#knowledge.freshness.recordStoreRestore(bootNow());
         if (cameBack) this.#orders?.onStoreRestored(performance.now());
       })
       .exhaustive();
--- a/src/node/router/plain.ts
+++ b/src/node/router/plain.ts
@@ -103,17 +103,17 @@
     const { health, runners, runs } = this.#context;
     const records = health(exchange.service);
     const now = performance.now();
-    records.given(now, runner.id);
+    records.recordDispatch(now, runner.id);
     this.#balancer.requestStarted(runner);
     try {
       const run = runs.begin(now, exchange, runner);
       const answer = await callRunner(exchange, runner, runners, run);
-      records.succeeded(runner.id);
+      records.recordSuccess(runner.id);
       run.completed(performance.now());
       return answer;
     } catch (error) {
-      if (exchange.callerGone) records.inconclusive(runner.id);
-      else records.failed(performance.now(), runner.id);
+      if (exchange.callerGone) records.recordInconclusive(runner.id);
+      else records.recordFailure(performance.now(), runner.id);
       throw error;
     } finally {
       this.#balancer.requestEnded(runner);
--- a/src/node/router/plannerhost.ts
+++ b/src/node/router/plannerhost.ts
@@ -8,8 +8,8 @@
 import { planPolicy } from '../../core/memory/policy';
 import type { PlanAction, PlanEvent } from '../../core/memory/types';
 import { Failure, toFailure } from '../../core/failure';
-import { PauseWatch } from '../../core/pause';
-import type { Ration } from '../../core/ratelimits/types';
+import { PauseDetector } from '../../core/pause';
+import type { RateAllowance } from '../../core/ratelimits/types';
 import type { Engine } from '../../core/routing/types';
 import type { Knowledge } from './knowledge';
 import type {
@@ -30,7 +30,7 @@
   /** Called when the existing reservations of a service are unknown, to request reports from all VMs. */
   onIncompleteState(service: string): void;
   /** The number of requests that rate-limited runners of a service may still receive. */
-  rateAllowanceOf(service: string): Ration;
+  rateAllowanceOf(service: string): RateAllowance;
 }
 
 /** The planner of one service, and when its sources were last seen. */
@@ -74,7 +74,7 @@
 
   readonly #timer: NodeJS.Timeout;
 
-  readonly #pauses = new PauseWatch(TICK_MS);
+  readonly #pauses = new PauseDetector(TICK_MS);
 
   #draining = false;
 
--- a/src/node/router/runs.ts
+++ b/src/node/router/runs.ts
@@ -6,7 +6,7 @@
 import type { Logger } from 'pino';
 
 import type { Failure } from '../../core/failure';
-import { isTelling } from '../../core/quarantine/quarantine';
+import { isAttributable } from '../../core/quarantine/quarantine';
 import type { Runner } from '../../core/routing/types';
 import type { Framing, StreamFault } from '../../core/stream/answer';
 import type { Metrics } from '../metrics';
@@ -96,7 +96,7 @@
     const { quarantine, metrics, log } = this.#context;
     const { id: runner } = this.#runner;
     const answeredAt = this.#answeredAt;
-    const ends = isTelling(now, answeredAt) ? quarantine.ended(now, fingerprint, runner) : 0;
+    const ends = isAttributable(now, answeredAt) ? quarantine.ended(now, fingerprint, runner) : 0;
     metrics.count('runs.broken');
     log.info(
       {
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -2,7 +2,7 @@
 
 import pino from 'pino';
 
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import { Authorizer } from '../../src/node/router/authorizer';
 import { Knowledge } from '../../src/node/router/knowledge';
 import { RouterMetrics } from '../../src/node/router/metrics';
@@ -33,7 +33,7 @@
 export const noQuotas: Pick<QuotaDesk, 'cover'> = { cover: async () => undefined };
 
 function newKnowledge(): Knowledge {
-  return new Knowledge(new History(), log, silentListener);
+  return new Knowledge(new StoreHistory(), log, silentListener);
 }
 
 /** Permits of a VM that knows no rate limit. */
--- a/test/router/plannerhost.test.ts
+++ b/test/router/plannerhost.test.ts
@@ -1,9 +1,9 @@
 import pino from 'pino';
 
-import { PauseWatch } from '../../src/core/pause';
+import { PauseDetector } from '../../src/core/pause';
 import { unlimited } from '../../src/core/ratelimits/types';
 import type { RoutingConfig } from '../../src/core/routing/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import { Knowledge } from '../../src/node/router/knowledge';
 import { PlannerHost } from '../../src/node/router/plannerhost';
 import type { ReservationRequest } from '../../src/node/router/messages';
@@ -42,7 +42,7 @@
 
 /** A planner host with one decode runner that has memory for eleven requests, and enough prefill runners. */
 function hostAt(now: number, onIncompleteState: (service: string) => void = () => {}): PlannerHost {
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
   knowledge.learnConfig(now, config, 'store');
   const runners = [runner('d', 'decode'), ...'12345678'.split('').map((i) => runner(i, 'prefill'))];
   const facts = runners.map((entry) => ({ id: entry.id, position: at(1), runner: entry }));
@@ -101,7 +101,7 @@
 
 describe('pause detection', () => {
   test('detects a stopped process and a suspended VM, and nothing else', () => {
-    const watch = new PauseWatch(25);
+    const watch = new PauseDetector(25);
     const ticks = [
       [0, 1000],
       [25, 1025],
