--- a/src/node/router/endline.ts
+++ b/src/node/router/accesslog.ts
@@ -1,17 +1,20 @@
-/** The log line of a request that has its final answer. */
+/** The access log line of a completed request. */
 
 import type { Exchange } from './exchange';
 
-/** @param ms time from the whole request to the end of its answer */
-export function endLineOf(
+/**
+ * The fields of the log line.
+ * @param ms time from the complete request to the end of its response
+ */
+export function accessLogFields(
   exchange: Exchange,
   ms: number,
   configVersion: number,
 ): Readonly<Record<string, unknown>> {
   const { request, fingerprint, route, service, status, code, trail, callerGone } = exchange;
   const { firstMs = ms, pauseMs } = exchange;
-  const isPaced = route.gapMs === 0 || pauseMs <= route.gapMs;
-  const inTime = code === undefined && firstMs <= route.aimMs && isPaced;
+  const isWithinGap = route.gapMs === 0 || pauseMs <= route.gapMs;
+  const inTime = code === undefined && firstMs <= route.aimMs && isWithinGap;
   return {
     request: request.id,
     fingerprint,
--- a/src/node/router/model.ts
+++ b/src/node/router/model.ts
@@ -1,4 +1,4 @@
-/** The way of a request to a model service: a place, a prefill, then the stream of a decode runner. */
+/** Serves requests to model services: reserves KV-cache memory, runs the prefill, then relays the decode runner's stream. */
 
 import type { CodeName } from '../../core/codes';
 import { Failure, toFailure } from '../../core/failure';
@@ -6,90 +6,100 @@
 import type { Exchange } from './exchange';
 import type { Knowledge } from './knowledge';
 import type { PermitDesk } from './permits';
-import type { Places } from './places';
+import type { ReservationClient } from './reservations';
 import type { Progress } from './progress';
-import { demandOf, mayGoOn, newProgress, refusal, timeUp, verdictOf } from './progress';
+import {
+  demandOf,
+  canResume,
+  newProgress,
+  runnerFullFailure,
+  timeoutFailure,
+  callerFailure,
+} from './progress';
 import type { QuotaDesk } from './quotas';
 import type { Answer, RelayOutcome } from './relay';
 import { Relay } from './relay';
 import type { Runs } from './runs';
 import type { CacheHandle, RunnerClient } from './types';
 
-/** What model requests work with. */
+/** Dependencies of the model request handler. */
 export interface ModelContext {
   readonly knowledge: Knowledge;
   readonly runners: RunnerClient;
-  readonly places: Places;
+  readonly reservations: ReservationClient;
   readonly runs: Runs;
   readonly quotas: Pick<QuotaDesk, 'cover'>;
   readonly permits: Pick<PermitDesk, 'isLimited'>;
-  /** Takes one repeat from the budget of the service. */
-  readonly mayRepeat: (now: number, service: string) => boolean;
+  /** Takes one retry from the service's retry budget; false if the budget is exhausted. */
+  readonly takeRetry: (now: number, service: string) => boolean;
 }
 
-/** A prefill that takes longer than this is given up and done elsewhere, in milliseconds. */
-const PREFILL_LIMIT_MS = 900;
-/** Prefills of one request; only the first is free of the retry budget. */
-const PREFILL_TRIES = 3;
+/** A prefill that takes longer is abandoned and repeated at another runner. */
+const PREFILL_TIMEOUT_MS = 900;
+/** Prefill attempts per request; all but the first are charged to the retry budget. */
+const MAX_PREFILLS = 3;
 
-/** A prompt that lies at a prefill runner, and the time it took to read. */
-interface KeptPrompt extends CacheHandle {
+/** A prefilled prompt whose KV cache is kept at a prefill runner, and how long the prefill took. */
+interface KeptCache extends CacheHandle {
   readonly ms: number;
 }
 
-/** Outcome of one send to a decode runner. */
+/** Outcome of one send to a decode runner; `unreachable`: nothing was sent, or the request was misdirected. */
 type Outcome = RelayOutcome | 'rejected' | 'unreachable';
 
-/** Drives model requests. */
-export class ModelCaller {
+/** Serves model requests, with retries at other runners. */
+export class ModelHandler {
   readonly #context: ModelContext;
 
   constructor(context: ModelContext) {
     this.#context = context;
   }
 
+  /** Serves a request to its end; failures become the response. */
   async run(exchange: Exchange, engine: Engine): Promise<void> {
     const progress = newProgress();
     try {
-      let more = true;
-      while (more && !exchange.signal.aborted) {
-        more = await this.#attempt(exchange, engine, progress);
+      let hasNext = true;
+      while (hasNext && !exchange.signal.aborted) {
+        hasNext = await this.#attempt(exchange, engine, progress);
       }
       if (exchange.signal.aborted && !exchange.callerGone) {
-        exchange.fail(performance.now(), timeUp(progress));
+        exchange.fail(performance.now(), timeoutFailure(progress));
       }
     } catch (error) {
-      const failure = verdictOf(exchange, progress, toFailure(error));
+      const failure = callerFailure(exchange, progress, toFailure(error));
       exchange.trail.push(failure.codeName);
       exchange.fail(performance.now(), failure);
     }
   }
 
-  /** One place and what comes of it; tells whether to try again. */
+  /** Makes one attempt under one reservation. Returns whether another attempt should follow. */
   async #attempt(exchange: Exchange, engine: Engine, progress: Progress): Promise<boolean> {
-    const { places, quotas } = this.#context;
+    const { reservations, quotas } = this.#context;
     const { service, signal } = exchange;
-    const over = await quotas.cover(exchange);
-    if (over) throw over;
+    const overQuota = await quotas.cover(exchange);
+    if (overQuota) throw overQuota;
     const demand = demandOf(exchange, progress);
-    const grant = await places.ask(service, demand, signal);
+    const grant = await reservations.reserve(service, demand, signal);
     exchange.trail.push(`place ${Math.round(performance.now() - exchange.arrivedAt)}`);
     let blame: string | undefined;
     try {
       const { prefill } = grant;
-      const refused = this.#refused(exchange);
+      const refused = this.#recheck(exchange);
       if (refused) throw refused;
       const cache =
         prefill === undefined ? undefined : await this.#prefill(exchange, progress, prefill);
       if (prefill !== undefined && !cache) {
         blame = prefill;
-        return this.#again(exchange, progress, prefill);
+        return this.#mayPrefillAgain(exchange, progress, prefill);
       }
-      let decode = cache ? await places.bind(service, demand.id, cache.ms, signal) : grant.decode;
+      let decode = cache
+        ? await reservations.assign(service, demand.id, cache.ms, signal)
+        : grant.decode;
       let outcome = await this.#decode(exchange, engine, progress, demand.id, decode, cache);
       if (outcome === 'unreachable' && cache) {
-        // Nothing was sent, and what was read still lies at the prefill runner.
-        decode = await places.bind(service, demand.id, cache.ms, signal, {
+        // No decode runner has the request, and the prefill runner still keeps the KV cache.
+        decode = await reservations.assign(service, demand.id, cache.ms, signal, {
           ...(decode === undefined ? {} : { unreachable: decode }),
         });
         outcome = await this.#decode(exchange, engine, progress, demand.id, decode, cache);
@@ -98,42 +108,47 @@
       if (outcome === 'done') return false;
       blame = decode;
       if (outcome === 'failed') return false;
-      return this.#afterDecode(exchange, progress, decode ?? '', outcome);
+      return this.#mayDecodeAgain(exchange, progress, decode ?? '', outcome);
     } finally {
-      places.note(service, { id: demand.id, kind: 'released', ...(blame ? { blame } : {}) });
+      reservations.reportProgress(service, {
+        id: demand.id,
+        kind: 'released',
+        ...(blame ? { blame } : {}),
+      });
     }
   }
 
-  /** Other attempts of this request may have ended their runners meanwhile. */
-  #refused(exchange: Exchange): Failure | undefined {
+  /** The reason why the request must not be sent any more: its key was revoked, or other attempts crashed their runners meanwhile. */
+  #recheck(exchange: Exchange): Failure | undefined {
     return this.#context.runs.refusal(performance.now(), exchange);
   }
 
-  /** Undefined if this runner failed and another may try. */
+  /** Runs the prefill at a runner. Returns undefined if it failed there and another runner may be tried. */
   async #prefill(
     exchange: Exchange,
     progress: Progress,
     id: string,
-  ): Promise<KeptPrompt | undefined> {
-    const { knowledge, mayRepeat, permits } = this.#context;
+  ): Promise<KeptCache | undefined> {
+    const { knowledge, takeRetry, permits } = this.#context;
     const { service, signal } = exchange;
     const startedAt = performance.now();
-    const runner = find(knowledge.runnersOf(startedAt, service, 'prefill'), id);
+    const runner = findRunner(knowledge.runnersOf(startedAt, service, 'prefill'), id);
     if (!runner) return undefined;
     let cache = await this.#prefillOnce(exchange, progress, runner);
     const ms = performance.now() - startedAt;
-    // The runner has read the prompt and still has it: asked again it answers at once, where another
-    // runner would read it all a second time. The place covers one request to a limited runner.
+    // The runner has completed the prefill and still keeps the KV cache: it answers a repeated
+    // request at once, where another runner would repeat the whole prefill. With a rate-limited
+    // runner the reservation covers one request only.
     const mayAskAgain = cache === 'answerLost' && !permits.isLimited(id);
-    if (mayAskAgain && mayRepeat(performance.now(), service)) {
+    if (mayAskAgain && takeRetry(performance.now(), service)) {
       cache = await this.#prefillOnce(exchange, progress, runner);
     }
     if (typeof cache === 'string') return undefined;
-    if (signal.aborted) this.#free(cache);
+    if (signal.aborted) this.#freeCache(cache);
     return { ...cache, ms };
   }
 
-  /** The prompt, or why there is none. */
+  /** The handle of the KV cache, or the code of the failure. */
   async #prefillOnce(
     exchange: Exchange,
     progress: Progress,
@@ -143,8 +158,8 @@
     const { request, signal } = exchange;
     progress.prefills += 1;
     const run = this.#context.runs.begin(now, exchange, runner);
-    const limit = AbortSignal.timeout(PREFILL_LIMIT_MS);
-    const deadlineMs = exchange.leftMs(now);
+    const limit = AbortSignal.timeout(PREFILL_TIMEOUT_MS);
+    const deadlineMs = exchange.remainingMs(now);
     try {
       const cache = await this.#context.runners.prefill({
         runner,
@@ -158,25 +173,25 @@
     } catch (error) {
       const { codeName } = toFailure(error);
       exchange.trail.push(`prefill ${runner.id} ${codeName}`);
-      if (codeName === 'answerLost') run.broke(performance.now());
+      if (codeName === 'answerLost') run.interrupted(performance.now());
       return codeName;
     }
   }
 
-  #free(cache: CacheHandle): void {
-    // A handle that cannot be freed lapses by itself within the time that the engine keeps it.
+  #freeCache(cache: CacheHandle): void {
+    // A handle that cannot be freed expires when the engine stops keeping it.
     this.#context.runners.freeCache(cache).catch(() => undefined);
   }
 
-  /** Whether another prefill runner may try. */
-  #again(exchange: Exchange, progress: Progress, failed: string): boolean {
+  /** Whether another prefill runner may be tried; false if the request was aborted. Throws if the attempts or the retry budget are used up. */
+  #mayPrefillAgain(exchange: Exchange, progress: Progress, failed: string): boolean {
     const now = performance.now();
     progress.avoid.push(failed);
-    const refused = this.#refused(exchange);
+    const refused = this.#recheck(exchange);
     if (refused) throw refused;
-    const may = progress.prefills < PREFILL_TRIES && this.#context.mayRepeat(now, exchange.service);
+    const may = progress.prefills < MAX_PREFILLS && this.#context.takeRetry(now, exchange.service);
     if (may || exchange.signal.aborted) return may;
-    throw refusal('the prefill failed');
+    throw runnerFullFailure('the prefill failed');
   }
 
   async #decode(
@@ -185,46 +200,46 @@
     progress: Progress,
     id: string,
     decode: string | undefined,
-    cache: KeptPrompt | undefined,
+    cache: KeptCache | undefined,
   ): Promise<Outcome> {
     if (decode === undefined) {
-      if (cache) this.#free(cache);
-      throw refusal('no decode runner had room while the prefill was kept');
+      if (cache) this.#freeCache(cache);
+      throw runnerFullFailure('no decode runner had free memory while the KV cache was kept');
     }
     const { knowledge } = this.#context;
     const { service } = exchange;
     const now = performance.now();
-    const runner = find(knowledge.runnersOf(now, service, 'decode'), decode);
+    const runner = findRunner(knowledge.runnersOf(now, service, 'decode'), decode);
     if (!runner || exchange.signal.aborted) {
-      if (cache) this.#free(cache);
+      if (cache) this.#freeCache(cache);
       return 'rejected';
     }
-    const refused = this.#refused(exchange);
+    const refused = this.#recheck(exchange);
     if (refused) {
-      if (cache) this.#free(cache);
+      if (cache) this.#freeCache(cache);
       throw refused;
     }
     progress.sentTo.add(runner.id);
     let answer = await this.#send(exchange, progress, runner, cache);
     if (answer === 'rejected' && cache) {
-      const { places, mayRepeat } = this.#context;
+      const { reservations, takeRetry } = this.#context;
       const failed = { shedBy: runner.id };
-      const again = await places.bind(service, id, cache.ms, exchange.signal, failed);
-      if (again === runner.id && mayRepeat(performance.now(), service)) {
-        // What was read has probably lapsed; the same runner can still read the prompt itself.
+      const assigned = await reservations.assign(service, id, cache.ms, exchange.signal, failed);
+      if (assigned === runner.id && takeRetry(performance.now(), service)) {
+        // The KV cache has probably expired; the same runner can still do the prefill locally.
         answer = await this.#send(exchange, progress, runner, undefined);
       }
     }
     if (typeof answer === 'string') return answer;
-    const { places } = this.#context;
+    const { reservations } = this.#context;
     const relay = new Relay({
       exchange,
       engine,
       stream: progress.stream,
-      mayGoOn: () => mayGoOn(exchange, progress),
-      onNote: (note) => places.note(service, { id, ...note }),
+      canResume: () => canResume(exchange, progress),
+      onProgress: (report) => reservations.reportProgress(service, { id, ...report }),
     });
-    return relay.pass(answer);
+    return relay.forward(answer);
   }
 
   async #send(
@@ -236,7 +251,7 @@
     const { request, signal } = exchange;
     const now = performance.now();
     const run = this.#context.runs.begin(now, exchange, runner);
-    const deadlineMs = exchange.leftMs(now);
+    const deadlineMs = exchange.remainingMs(now);
     const afterEvent = progress.stream.lastId;
     try {
       const reply = await this.#context.runners.decode({
@@ -252,18 +267,18 @@
       if (!reply.notRun) return { reply, run };
       run.notRun();
       reply.body.resume();
-      // A runner that was started anew, or changed its stage, is still listed as it was. What was
-      // read for it lies where it lay, so that another decode runner can take it.
-      const elsewhere =
-        reply.misdirected && this.#context.mayRepeat(performance.now(), exchange.service);
-      if (!elsewhere) return 'rejected';
+      // The listing of a runner that restarted or changed its stage is stale. The prefill runner
+      // still keeps the KV cache, so that another decode runner can fetch it.
+      const canRetryElsewhere =
+        reply.misdirected && this.#context.takeRetry(performance.now(), exchange.service);
+      if (!canRetryElsewhere) return 'rejected';
       progress.sentTo.delete(runner.id);
       return 'unreachable';
     } catch (error) {
       const { codeName } = toFailure(error);
       exchange.trail.push(`decode ${runner.id} ${codeName}`);
       if (codeName !== 'runnerUnreachable') {
-        run.broke(performance.now());
+        run.interrupted(performance.now());
         return 'broken';
       }
       run.notRun();
@@ -272,8 +287,8 @@
     }
   }
 
-  /** Whether the request may go to another decode runner. */
-  #afterDecode(
+  /** Whether the request may be sent to another decode runner; false if it was aborted. Throws if it may not. */
+  #mayDecodeAgain(
     exchange: Exchange,
     progress: Progress,
     decode: string,
@@ -283,16 +298,16 @@
     if (signal.aborted) return false;
     progress.avoid.push(decode);
     const ran = outcome === 'broken';
-    progress.ran ||= ran;
+    progress.mayHaveRun ||= ran;
     const allowed = ran ? route.resumable && progress.stream.canContinue : true;
-    const left = progress.sentTo.size < route.attempts;
-    const again = allowed && left && !this.#refused(exchange);
-    if (again && this.#context.mayRepeat(performance.now(), service)) return true;
-    if (ran) throw new Failure('runnerFailed', `${decode} broke the answer off`);
-    throw refusal(`${decode} turned it away`);
+    const hasAttemptsLeft = progress.sentTo.size < route.attempts;
+    const mayRetry = allowed && hasAttemptsLeft && !this.#recheck(exchange);
+    if (mayRetry && this.#context.takeRetry(performance.now(), service)) return true;
+    if (ran) throw new Failure('runnerFailed', `${decode} ended its response early`);
+    throw runnerFullFailure(`${decode} rejected the request`);
   }
 }
 
-function find(runners: readonly Runner[], id: string): Runner | undefined {
+function findRunner(runners: readonly Runner[], id: string): Runner | undefined {
   return runners.find((runner) => runner.id === id);
 }
--- /dev/null
+++ b/src/node/router/plainbalancer.ts
@@ -0,0 +1,137 @@
+/** Load balancing of plain requests, by the requests in flight and failures of this VM and by the rate limits that runners announce. */
+
+import { setTimeout as pause } from 'node:timers/promises';
+
+import type { RunnerHealth } from '../../core/cell/health';
+import { Failure } from '../../core/failure';
+import type { Runner } from '../../core/routing/types';
+import type { Exchange } from './exchange';
+import type { Knowledge } from './knowledge';
+import type { PermitDesk } from './permits';
+
+/** Dependencies of the balancer. */
+export interface BalancerContext {
+  readonly knowledge: Knowledge;
+  readonly health: (service: string) => RunnerHealth;
+  readonly permits: Pick<PermitDesk, 'isLimited' | 'mayTake' | 'isTrialDue' | 'ask' | 'askTrial'>;
+  readonly domain: string;
+}
+
+/** Extra cost of a runner in another failure domain, or of one with a rate limit, in requests in flight. */
+const REMOTE_COST = 0.5;
+/** Ties are broken at random within this range, in requests in flight, since all VMs would otherwise choose the same runner. */
+const TIE_RANGE = 0.25;
+/** Part of the time left to its latency target for which a request may wait for a permit of a rate-limited runner; the rest is for its run. */
+const MAX_WAIT_PART = 0.5;
+
+/** Counts requests in flight by runner and chooses the runner with the lowest cost. */
+export class PlainBalancer {
+  readonly #context: BalancerContext;
+
+  readonly #inFlight = new Map<string, number>();
+
+  constructor(context: BalancerContext) {
+    this.#context = context;
+  }
+
+  /** Counts a request that is sent to a runner. */
+  requestStarted({ id }: Runner): void {
+    this.#inFlight.set(id, (this.#inFlight.get(id) ?? 0) + 1);
+  }
+
+  /** Ends the count of a request. */
+  requestEnded({ id }: Runner): void {
+    const remaining = (this.#inFlight.get(id) ?? 1) - 1;
+    if (remaining > 0) this.#inFlight.set(id, remaining);
+    else this.#inFlight.delete(id);
+  }
+
+  /** Whether there is an untried runner that may receive a request, by the state of this VM. */
+  hasAlternative(now: number, service: string, tried: readonly string[]): boolean {
+    return this.#candidates(now, service, tried).some((runner) => this.#mayTake(now, runner));
+  }
+
+  /**
+   * Chooses the runner for a request; at a rate-limited runner the request has a permit. Returns a
+   * failure if it cannot run now, and undefined if there is no runner.
+   */
+  async choose(
+    now: number,
+    exchange: Exchange,
+    tried: readonly string[],
+  ): Promise<Runner | Failure | undefined> {
+    const { permits } = this.#context;
+    const candidates = this.#candidates(now, exchange.service, tried);
+    const trial = candidates.find(({ id }) => permits.isTrialDue(now, id));
+    if (trial && (await permits.askTrial(exchange.service, trial.id))) return trial;
+    const best = this.#cheapest(candidates);
+    if (!best || !this.#isLimited(best)) return best;
+    const unlimited = candidates.filter((runner) => !this.#isLimited(runner));
+    if (unlimited.length === 0) return this.#waitForPermit(now, exchange, candidates);
+    const permitted = this.#mayTake(now, best) && (await this.#hasPermit(exchange, best));
+    return permitted ? best : this.#cheapest(unlimited);
+  }
+
+  /** Untried runners that are not ejected; all untried ones if every one of them is. */
+  #candidates(now: number, service: string, tried: readonly string[]): readonly Runner[] {
+    const { knowledge, health } = this.#context;
+    const all = knowledge.runnersOf(now, service).filter(({ id }) => !tried.includes(id));
+    const records = health(service);
+    records.setPoolSize(all.length + tried.length);
+    const allowed = all.filter(({ id }) => records.allows(now, id));
+    return allowed.length > 0 ? allowed : all;
+  }
+
+  #cheapest(runners: readonly Runner[]): Runner | undefined {
+    let best: Runner | undefined;
+    let bestCost = Infinity;
+    for (const runner of runners) {
+      const cost = this.#costOf(runner) + Math.random() * TIE_RANGE;
+      if (cost < bestCost) {
+        best = runner;
+        bestCost = cost;
+      }
+    }
+    return best;
+  }
+
+  #costOf(runner: Runner): number {
+    const isPreferred = runner.domain === this.#context.domain && !this.#isLimited(runner);
+    return (this.#inFlight.get(runner.id) ?? 0) + (isPreferred ? 0 : REMOTE_COST);
+  }
+
+  #isLimited({ id }: Runner): boolean {
+    return this.#context.permits.isLimited(id);
+  }
+
+  #mayTake(now: number, { id }: Runner): boolean {
+    const { permits } = this.#context;
+    return !permits.isLimited(id) || permits.mayTake(now, id);
+  }
+
+  async #hasPermit({ service }: Exchange, { id }: Runner): Promise<boolean> {
+    const permit = await this.#context.permits.ask(service, [id], 0);
+    return permit.granted;
+  }
+
+  /** All runners are rate-limited: waits for the earliest permit, if that is soon enough. */
+  async #waitForPermit(
+    now: number,
+    exchange: Exchange,
+    runners: readonly Runner[],
+  ): Promise<Runner | Failure> {
+    const { service, route, arrivedAt, signal } = exchange;
+    const mostWaitMs = Math.max(0, arrivedAt + route.aimMs - now) * MAX_WAIT_PART;
+    const byCost = [...runners].sort((a, b) => this.#costOf(a) - this.#costOf(b));
+    const ids = byCost.map(({ id }) => id);
+    const permit = await this.#context.permits.ask(service, ids, mostWaitMs);
+    const chosen = permit.granted && runners.find(({ id }) => id === permit.runner);
+    if (chosen) {
+      await pause(permit.waitMs, undefined, { signal }).catch(() => undefined);
+      return chosen;
+    }
+    return new Failure('runnersLimited', `all runners of ${service} are at their rate limits`, {
+      retryAfterMs: permit.granted ? 0 : permit.retryAfterMs,
+    });
+  }
+}
--- a/test/router/model.test.ts
+++ b/test/router/model.test.ts
@@ -1,7 +1,7 @@
 import { Failure } from '../../src/core/failure';
 import type { ModelContext } from '../../src/node/router/model';
-import { ModelCaller } from '../../src/node/router/model';
-import type { OwnDemand } from '../../src/node/router/plans';
+import { ModelHandler } from '../../src/node/router/model';
+import type { LocalDemand } from '../../src/node/router/messages';
 import type { DecodeDispatch, Dispatch } from '../../src/node/router/types';
 import { exchangeInto, promptRequest, replyOf, streamEngine, streamRoute } from '../fakes/exchange';
 import { runnerOf as runner } from '../fakes/runner';
@@ -9,11 +9,11 @@
 
 describe('a model request', () => {
   /*
-   * A decode runner crashed and was started anew at its address; the list still
-   * names its former start. It answers that it is not the one meant. The prompt
-   * was read and is kept: another decode runner takes it, and it is not read again.
+   * A decode runner crashed and restarted at the same address, while the listing still names the
+   * previous instance. It answers that the request was misdirected. The KV cache is kept at the
+   * prefill runner, so another decode runner takes it and the prefill is not repeated.
    */
-  test('goes to another decode runner when the first was started anew', async () => {
+  test('goes to another decode runner when the first one has restarted', async () => {
     const runners = [runner('p', 'prefill'), runner('d1', 'decode'), runner('d2', 'decode')];
     const sent: string[] = [];
     const context = {
@@ -29,34 +29,33 @@
         },
         freeCache: async () => {},
       },
-      places: {
-        ask: async () => ({ prefill: 'p', decode: 'd1' }),
-        bind: async (
+      reservations: {
+        reserve: async () => ({ prefill: 'p', decode: 'd1' }),
+        assign: async (
           _service: string,
           _id: string,
           _ms: number,
           _signal: AbortSignal,
           failed: { readonly unreachable?: string } = {},
         ) => (failed.unreachable === 'd1' ? 'd2' : 'd1'),
-        note: () => {},
+        reportProgress: () => {},
       },
       runs: runsOf(),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
-    await new ModelCaller(context).run(exchangeInto(out), streamEngine);
+    await new ModelHandler(context).run(exchangeInto(out), streamEngine);
     expect(sent).toEqual(['prefill', 'd1 h', 'd2 h']);
     expect(out).toEqual(['200', 'id: 1\n\n']);
   });
 
   /*
-   * The prompt was read and the runner's answer is lost on the way. The runner
-   * still has the prompt; read at another one, it would be read twice, and the
-   * place that the request holds would be given up for it.
+   * The prefill is done and the runner's response is lost. The runner still keeps the KV cache;
+   * another runner would repeat the prefill, and the request would give up its reservation for it.
    */
-  test('asks the same prefill runner again when its answer was lost', async () => {
+  test('retries at the same prefill runner when its response was lost', async () => {
     const sent: string[] = [];
     const context = {
       knowledge: { runnersOf: () => [runner('p', 'prefill'), runner('d', 'decode')] },
@@ -71,57 +70,57 @@
           return replyOf(200, 'id: 1\n\n');
         },
       },
-      places: {
-        ask: async () => {
+      reservations: {
+        reserve: async () => {
           sent.push('place');
           return { prefill: 'p', decode: 'd' };
         },
-        bind: async () => 'd',
-        note: () => {},
+        assign: async () => 'd',
+        reportProgress: () => {},
       },
       runs: runsOf(),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
-    await new ModelCaller(context).run(exchangeInto(out), streamEngine);
+    await new ModelHandler(context).run(exchangeInto(out), streamEngine);
     expect(sent).toEqual(['place', 'prefill p', 'prefill p', 'd h2']);
     expect(out).toEqual(['200', 'id: 1\n\n']);
   });
 
   /*
-   * Callers draw their deadlines by themselves: one waits for 14 s, the next for
-   * 12. Both ask for the first time. The time left was taken for time spent on
-   * earlier tries, so the second looked late before it began and was served last.
+   * Callers choose their own deadlines: one waits for 14 s, the next one for 12 s, and both are
+   * first attempts. Guards against taking the shorter deadline for time spent on earlier attempts,
+   * by which the second request looked late before it began and was served last.
    */
-  test('is due by its aim, whatever its caller will wait', async () => {
-    const asked: OwnDemand[] = [];
+  test('is due by its latency target, whatever the deadline of its caller', async () => {
+    const asked: LocalDemand[] = [];
     const context = {
       quotas: noQuotas,
       permits: noPermits,
-      places: {
-        ask: async (_service: string, demand: OwnDemand) => {
+      reservations: {
+        reserve: async (_service: string, demand: LocalDemand) => {
           asked.push(demand);
-          throw new Failure('deadlineUnreachable', 'no place', { retryAfterMs: 300 });
+          throw new Failure('deadlineUnreachable', 'no reservation', { retryAfterMs: 300 });
         },
       },
     } as unknown as ModelContext;
-    const caller = new ModelCaller(context);
+    const handler = new ModelHandler(context);
     const exchanges = [14_000, 12_000].map((deadlineMs) =>
       exchangeInto([], { ...promptRequest, deadlineMs }),
     );
-    for (const exchange of exchanges) await caller.run(exchange, streamEngine);
+    for (const exchange of exchanges) await handler.run(exchange, streamEngine);
     expect(asked.map(({ dueAt }, i) => Math.round(dueAt - (exchanges[i]?.arrivedAt ?? 0)))).toEqual(
       [900, 900],
     );
   });
 
   /*
-   * A stream that may be resumed has ended its runner, and is the third to do so. It is
-   * not sent on; but it has run, so that its caller is not told that it has not.
+   * A resumable stream crashes its runner, after two others crashed on the same request. It is
+   * quarantined, but it was executed, so that the caller must not be told that it was not.
    */
-  test('is not said not to have run when it is kept from runners after a run', async () => {
+  test('is not reported as not executed when it is quarantined after a run', async () => {
     const quarantine = quarantineOf();
     const out: string[] = [];
     const route = { ...streamRoute, attempts: 3, resumable: true };
@@ -136,23 +135,26 @@
           throw new Failure('runnerFailed', 'reset');
         },
       },
-      places: { ask: async () => ({ decode: `d${sent.length + 1}` }), note: () => {} },
+      reservations: {
+        reserve: async () => ({ decode: `d${sent.length + 1}` }),
+        reportProgress: () => {},
+      },
       runs: runsOf(quarantine),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
-    await new ModelCaller(context).run(exchange, streamEngine);
+    await new ModelHandler(context).run(exchange, streamEngine);
     expect(sent).toEqual(['d1']);
     expect([out[0], exchange.code]).toEqual(['502', 'runnerFailed']);
   });
 
   /*
-   * A stream that may be resumed is cut by its runner before its first event. Asked for
-   * another place, the owner has none in time. The caller is not told that the request
-   * has not run: a runner had begun it.
+   * A resumable stream is cut by its runner before its first event, and the owner has no other
+   * reservation in time. The caller must not be told that the request was not executed, since a
+   * runner had started it.
    */
-  test('is not said not to have run when no second place is found after a run', async () => {
+  test('is not reported as not executed when there is no second reservation after a run', async () => {
     const out: string[] = [];
     const route = { ...streamRoute, attempts: 2, resumable: true };
     const exchange = exchangeInto(out, promptRequest, route);
@@ -164,20 +166,20 @@
           throw new Failure('runnerFailed', 'reset');
         },
       },
-      places: {
-        ask: async () => {
+      reservations: {
+        reserve: async () => {
           asked += 1;
           if (asked === 1) return { decode: 'd1' };
-          throw new Failure('deadlineUnreachable', 'no place in time', { retryAfterMs: 300 });
+          throw new Failure('deadlineUnreachable', 'no reservation in time', { retryAfterMs: 300 });
         },
-        note: () => {},
+        reportProgress: () => {},
       },
       runs: runsOf(),
       quotas: noQuotas,
       permits: noPermits,
-      mayRepeat: () => true,
+      takeRetry: () => true,
     } as unknown as ModelContext;
-    await new ModelCaller(context).run(exchange, streamEngine);
+    await new ModelHandler(context).run(exchange, streamEngine);
     expect(asked).toBe(2);
     expect([out[0], exchange.code]).toEqual(['502', 'runnerFailed']);
   });
