--- a/src/core/fair.ts
+++ b/src/core/fair.ts
@@ -1,15 +1,15 @@
 /**
- * Shares of groups in what is given out one after the other, after start-time fair
- * queueing (Goyal, Vin, Cheng 1996).
+ * Fair shares of groups in a sequence of grants by start-time fair queueing (Goyal, Vin, Cheng
+ * 1996).
  *
- * Each group has a virtual time that grows by cost / weight with each of its entries;
- * the group with the least goes first. A group that was idle starts at the present
- * virtual time less a bounded credit: bursts of a group within its share go before a
- * group that floods, and nobody saves up a claim to starve others.
+ * Each group has a virtual time that grows by cost / weight with each of its entries; the group
+ * with the smallest one goes first. A group that was idle starts at the current virtual time minus
+ * a bounded credit: bursts of a group within its share go before a group that floods, and no group
+ * can accumulate a claim that starves the others.
  */
 
-/** Groups remembered while they are idle. */
-const IDLE_LIMIT = 4096;
+/** Largest number of idle groups whose virtual times are kept. */
+const MAX_IDLE_GROUPS = 4096;
 
 /** Virtual times of groups. */
 export class FairShares {
@@ -24,15 +24,15 @@
   #virtual = 0;
 
   /**
-   * @param weightOf share of a group against the others
-   * @param credit cost that a group may catch up after it was idle or below its share
+   * @param weightOf share of a group relative to the others
+   * @param credit cost that a group may catch up on after it was idle or below its share
    */
   constructor(weightOf: (group: string) => number, credit: number) {
     this.#weightOf = weightOf;
     this.#credit = credit;
   }
 
-  /** Virtual time at which the next entry of a group starts; a group that was away has at most its credit. */
+  /** Virtual start time of the next entry of a group; an idle group has at most its credit. */
   tagOf(group: string): number {
     const tag = this.#tags.get(group) ?? -Infinity;
     if (this.#waiting.has(group)) return tag;
@@ -44,23 +44,26 @@
     return cost / this.#weightOf(group);
   }
 
-  /** A group has entries that wait from now on: its claim grows no more by waiting. */
+  /** Marks a group as having waiting entries; while they wait, its credit does not grow. */
   enter(group: string): void {
     this.#tags.set(group, this.tagOf(group));
     this.#waiting.add(group);
   }
 
-  /** An entry of a group is taken. */
+  /** Charges a group for an entry that was taken. */
   charge(group: string, cost: number): void {
     const tag = this.tagOf(group);
     this.#virtual = Math.max(this.#virtual, tag);
     this.#tags.set(group, tag + this.stepOf(group, cost));
   }
 
-  /** A group has no more entries that wait. Its time is kept while it is ahead, so that leaving and coming back gains nothing. */
+  /**
+   * Marks a group as having no more waiting entries. Its virtual time is kept while it is ahead, so
+   * that leaving and returning gains nothing.
+   */
   leave(group: string): void {
     this.#waiting.delete(group);
-    if (this.#tags.size - this.#waiting.size > IDLE_LIMIT) this.#forgetIdle();
+    if (this.#tags.size - this.#waiting.size > MAX_IDLE_GROUPS) this.#forgetIdle();
   }
 
   #forgetIdle(): void {
--- a/src/core/memory/account.ts
+++ b/src/core/memory/account.ts
@@ -1,10 +1,10 @@
 /**
- * Exact account of the KV cache that was given out on each decode runner, and of
- * the prompts given to each prefill runner.
+ * Exact account of the KV cache memory reserved on each decode runner and of the prompts queued at
+ * each prefill runner.
  *
- * Runners admit by memory long before their slots are full. A request that comes
- * to a full runner is turned away after its prompt was read for nothing, and one
- * that outgrows the memory pushes another out in the middle of its stream.
+ * Memory runs out long before the slots of a runner do. A full decode runner rejects a request
+ * after its prompt was prefilled, which wastes that prefill, and a request that outgrows the memory
+ * preempts another one in the middle of its stream.
  */
 
 import type { Engine, Runner } from '../routing/types';
@@ -16,114 +16,144 @@
 import { FULL_TRUST } from './trust';
 import type { Demand } from './types';
 
-/** A request in its place on a decode runner. */
+/** Memory allocated to a request on a decode runner. */
 export interface Holder {
   readonly demand: Demand;
   readonly grantedAt: number;
-  /** Output tokens that are expected of it. */
+  /** Expected number of output tokens. */
   expectedTokens: number;
-  /** By how many tokens that is usually off. */
+  /** Usual error of that estimate, in tokens. */
   readonly deviationTokens: number;
-  /** When decoding began. */
+  /** When decoding began; undefined if it has not. */
   startedAt: number | undefined;
-  /** Whether the decode runner reads the prompt itself. */
+  /** Whether the decode runner prefills the prompt itself. */
   readonly direct: boolean;
 }
 
-/** A decode runner and what it holds. */
+/** A decode runner and its allocations. */
 export interface DecodeState {
   readonly runner: Runner;
+  /** Total KV cache memory, in tokens. */
+  /** Total KV cache memory, in tokens. */
   readonly memoryTokens: number;
+  /** Allocations by request id. */
+  /** Allocations by request id. */
   readonly holders: Map<string, Holder>;
-  /** Tokens in use there that this account does not know of, from reports. */
+  /** Tokens that the runner reports as used and that this account does not explain. */
   foreignTokens: number;
-  /** Tokens given back a moment ago, which a late report may still count. */
+  /** Tokens freed recently, which a delayed report may still include. */
   readonly ended: { readonly at: number; readonly tokens: number }[];
-  /** No work until then, while it changes its stage. */
+  /** The runner gets no work before this time, since it is changing its stage. */
   avoidUntil: number;
+  /** Failure score by the results of its requests. */
   trust: Trust;
-  /** Measured time of a token against that of the engine; 1.3 is a runner slower by 30 %. */
+  /** Measured time of a token relative to the engine's usual time; 1.3 is 30 % slower. */
   slowness: number;
+  /** Token time by the runner's reports. */
+  /** Token time by the runner's reports. */
   readonly pace: ReportedPace;
 }
 
-/** A prompt that a prefill runner works on. */
+/** A prompt queued or running at a prefill runner. */
 export interface PendingPrompt {
   readonly tokens: number;
+  /** When the prompt was queued. */
   readonly givenAt: number;
-  /** Tokens that the runner had to read before it. */
+  /** Prompt tokens that were queued at the runner before this one. */
   readonly aheadTokens: number;
 }
 
-/** A prefill runner and the prompts given to it. */
+/** A prefill runner and its pending prompts. */
 export interface PrefillState {
   readonly runner: Runner;
+  /** Pending prompts by request id. */
   readonly pending: Map<string, PendingPrompt>;
-  /** Measured time against expected time; 1.3 is a runner slower by 30 %. */
+  /** Measured prefill time relative to the expected time; 1.3 is 30 % slower. */
   slowness: number;
+  /** The runner gets no work before this time, since it is changing its stage. */
   avoidUntil: number;
   trust: Trust;
 }
 
-/** A report that still counts a request that has ended looks back at most this far, in milliseconds. */
+/** Time for which a report may still include a request that has ended, in milliseconds. */
 const REPORT_LAG_MS = 1500;
-/** Tokens by which report and account may differ for rounding and for requests on their way. */
+/**
+ * Tolerated difference between report and account, in tokens: block rounding and requests in
+ * transit.
+ */
 const REPORT_SLACK_TOKENS = 1500;
 
-/** Time after which a prompt that a decode runner reads itself was read or never will be, in milliseconds: three times that of the largest. */
-const READ_LIMIT_MS = 1200;
+/**
+ * Time after which a local prefill is done or has failed, in milliseconds: three times that of the
+ * largest prompt.
+ */
+const LOCAL_PREFILL_LIMIT_MS = 1200;
 
-/** Whether the decode runner of a request reads its prompt itself at the moment. */
-function isBeingRead(now: number, { direct, startedAt, grantedAt }: Holder): boolean {
-  return direct && startedAt === undefined && now - grantedAt < READ_LIMIT_MS;
+/** Whether the decode runner of an allocation is prefilling its prompt at the moment. */
+function isInLocalPrefill(now: number, { direct, startedAt, grantedAt }: Holder): boolean {
+  return direct && startedAt === undefined && now - grantedAt < LOCAL_PREFILL_LIMIT_MS;
 }
 
-/** Whether a decode runner reads a prompt itself at the moment. */
+/** Whether a decode runner is running a local prefill at the moment. */
 export function isReading(now: number, { holders }: DecodeState): boolean {
-  return [...holders.values()].some((holder) => isBeingRead(now, holder));
+  return [...holders.values()].some((allocation) => isInLocalPrefill(now, allocation));
 }
 
-/** Time for which the streams of a decode runner show that it read a prompt itself, in milliseconds: the events over which their pace is taken. */
-const READ_SHOWS_MS = 800;
+/**
+ * Time for which a finished local prefill still slows the measured pace of the other streams on
+ * that runner, in milliseconds: the number of events over which the pace is measured.
+ */
+const LOCAL_PREFILL_EFFECT_MS = 800;
 
-/** Whether a decode runner's streams are slow because it reads a prompt itself, or did a moment ago. */
+/** Whether a current or recent local prefill explains slow streams on a decode runner. */
 export function slowedByRead(now: number, { holders }: DecodeState): boolean {
-  return [...holders.values()].some((holder) => {
-    const { direct, startedAt } = holder;
-    const wasReading = direct && startedAt !== undefined && now - startedAt < READ_SHOWS_MS;
-    return wasReading || isBeingRead(now, holder);
+  return [...holders.values()].some((allocation) => {
+    const { direct, startedAt } = allocation;
+    const hadLocalPrefill =
+      direct && startedAt !== undefined && now - startedAt < LOCAL_PREFILL_EFFECT_MS;
+    return hadLocalPrefill || isInLocalPrefill(now, allocation);
   });
 }
 
-/** When a request will probably give its memory back. */
-export function endOf(now: number, holder: Holder, tokenMs: number): number {
-  const { expectedTokens, startedAt, grantedAt } = holder;
+/** Expected time at which an allocation is freed. */
+export function endOf(now: number, allocation: Holder, tokenMs: number): number {
+  const { expectedTokens, startedAt, grantedAt } = allocation;
   const from = startedAt ?? grantedAt;
   return Math.max(now + tokenMs, from + expectedTokens * tokenMs);
 }
 
-/** By how many tokens the outputs of all are usually off together; single ones are off in both ways. */
-function deviationOf(holders: Iterable<Holder>): number {
+/**
+ * Usual error of the summed output estimates, in tokens; errors of single requests partly cancel
+ * out.
+ */
+function deviationOf(allocations: Iterable<Holder>): number {
   let squared = 0;
-  for (const { deviationTokens } of holders) squared += deviationTokens * deviationTokens;
+  for (const { deviationTokens } of allocations) squared += deviationTokens * deviationTokens;
   return Math.sqrt(squared);
 }
 
-/** Runners of one stage that may get work: those that are not changing and, unless too many are not, trusted. */
+/**
+ * Runners of one stage that may get work: those that are not changing their stage and are not
+ * ejected. If too many are ejected, the ejected ones are included.
+ */
 export function ableOf<T extends DecodeState | PrefillState>(
   now: number,
   states: Iterable<T>,
   { distrustedPart }: TrustRules,
 ): readonly T[] {
-  const steady = [...states].filter(({ avoidUntil }) => now >= avoidUntil);
-  const trusted = steady.filter(({ trust }) => now >= trust.avoidUntil);
-  return trusted.length >= steady.length * (1 - distrustedPart) ? trusted : steady;
+  const notSwitching = [...states].filter(({ avoidUntil }) => now >= avoidUntil);
+  const notEjected = notSwitching.filter(({ trust }) => now >= trust.avoidUntil);
+  return notEjected.length >= notSwitching.length * (1 - distrustedPart)
+    ? notEjected
+    : notSwitching;
 }
 
-/** All runners of one service. */
+/** The account of all runners of one service. */
 export class MemoryAccount {
+  /** Decode runners by id. */
   readonly decode = new Map<string, DecodeState>();
 
+  /** Prefill runners by id. */
   readonly prefill = new Map<string, PrefillState>();
 
   readonly #rules: MemoryRules;
@@ -140,7 +170,7 @@
     return this.#costs.tokenMs * slowness;
   }
 
-  /** Tokens that may still be given out at a runner. */
+  /** Tokens that can still be reserved at a runner. */
   freeTokens(now: number, state: DecodeState): number {
     if (now < state.avoidUntil) return 0;
     const { fill, deviations, peak } = this.#rules;
@@ -149,14 +179,17 @@
     return Math.max(0, state.memoryTokens * fill - state.foreignTokens - taken - margin);
   }
 
-  /** Runners that get no work for now because of how their requests went. */
+  /** Runners that are ejected at the moment because their requests failed or were slow. */
   distrusted(now: number): readonly string[] {
     return [...this.prefill.values(), ...this.decode.values()]
       .filter(({ trust }) => now < trust.avoidUntil)
       .map(({ runner }) => runner.id);
   }
 
-  /** Takes over the runners that may get work; the account of others is dropped, since nothing more is given to them. */
+  /**
+   * Sets the runners that may get work. The accounts of all others are dropped, since they get no
+   * more requests.
+   */
   setRunners(engine: Engine, runners: readonly Runner[]): void {
     const listed = new Map(runners.map(({ id, role }) => [id, role]));
     for (const runner of runners) {
@@ -189,21 +222,25 @@
     }
   }
 
-  /** Compares a runner's own word with the account; what is not explained is somebody else's. */
+  /**
+   * Compares a runner's report with the account. Memory that the account does not explain belongs
+   * to requests of other planners or clients.
+   */
   report(now: number, id: string, usedTokens: number): void {
     const state = this.decode.get(id);
     if (!state) return;
     while ((state.ended[0]?.at ?? Infinity) < now - REPORT_LAG_MS) state.ended.shift();
-    let known = REPORT_SLACK_TOKENS;
-    for (const { tokens } of state.ended) known += tokens;
+    let explained = REPORT_SLACK_TOKENS;
+    for (const { tokens } of state.ended) explained += tokens;
     const tokenMs = this.tokenMs(state);
-    for (const holder of state.holders.values()) known += peakTokens(now, holder, tokenMs);
-    state.foreignTokens = Math.max(0, usedTokens - known);
+    for (const entry of state.holders.values()) explained += peakTokens(now, entry, tokenMs);
+    state.foreignTokens = Math.max(0, usedTokens - explained);
   }
 
   /**
-   * A request that somebody else placed has become known. Where the runner's last
-   * report must have counted it already, it is no longer unexplained there.
+   * Adjusts the unexplained memory after a reservation of another planner has become known. If the
+   * runner's last report must already have included the request, its tokens are no longer
+   * unexplained.
    */
   explain(now: number, id: string, request: string): void {
     const state = this.decode.get(id);
@@ -213,12 +250,12 @@
     state.foreignTokens = Math.max(0, state.foreignTokens - tokens);
   }
 
-  /** Takes a request off its decode runner. */
+  /** Frees the allocation of a request on its decode runner. */
   leave(now: number, runner: string, id: string): void {
     const state = this.decode.get(runner);
-    const holder = state?.holders.get(id);
-    if (!state || !holder) return;
+    const allocation = state?.holders.get(id);
+    if (!state || !allocation) return;
     state.holders.delete(id);
-    state.ended.push({ at: now, tokens: peakTokens(now, holder, this.tokenMs(state)) });
+    state.ended.push({ at: now, tokens: peakTokens(now, allocation, this.tokenMs(state)) });
   }
 }
--- a/src/core/memory/ahead.ts
+++ b/src/core/memory/ahead.ts
@@ -1,26 +1,29 @@
-/** Prefills that start before there is memory for them, so that none of it waits idle for a prefill. */
+/**
+ * Prefills that start before decode memory is free for them, so that no memory idles while it waits
+ * for a prefill.
+ */
 
 import type { AheadRules } from './policy';
 
-/** Time for which a finished prefill may wait for memory, in milliseconds. */
+/** Time for which a finished prefill may wait for decode memory, in milliseconds. */
 export function waitableMs({ keepPart }: AheadRules, keepMs: number): number {
   return keepMs * keepPart;
 }
 
 /**
- * How many prefills may be under way ahead of the memory for them: a part of the
- * requests that should end while a prefill runs and is kept.
- * @param holders requests that hold decode memory
- * @param readMs time of a usual prefill, in milliseconds
- * @param residenceMs time for which a usual request holds its place, in milliseconds
+ * Largest number of prefills without decode memory: a share of the requests that are expected to
+ * end while a prefill runs and is kept.
+ * @param allocations number of requests that hold decode memory
+ * @param prefillMs time of a usual prefill, in milliseconds
+ * @param residenceMs time for which a usual request holds its reservation, in milliseconds
  */
 export function allowedAhead(
   rules: AheadRules,
-  holders: number,
-  readMs: number,
+  allocations: number,
+  prefillMs: number,
   residenceMs: number,
   keepMs: number,
 ): number {
-  const horizonMs = readMs + waitableMs(rules, keepMs);
-  return Math.floor((rules.part * holders * horizonMs) / residenceMs);
+  const horizonMs = prefillMs + waitableMs(rules, keepMs);
+  return Math.floor((rules.part * allocations * horizonMs) / residenceMs);
 }
--- a/src/core/memory/balance.ts
+++ b/src/core/memory/balance.ts
@@ -1,9 +1,9 @@
 /**
- * How many runners of a service should prefill and how many decode.
+ * Number of runners of a service that prefill and that decode.
  *
- * Deployments start with a fixed share of prefill runners. Where prompts are read
- * much faster than decode runners give memory back, most of them idle while
- * requests are refused for want of decode memory.
+ * Deployments start with a fixed share of prefill runners. Where prompts are prefilled much faster
+ * than decode memory is freed, most prefill runners idle while requests are refused for lack of
+ * decode memory.
  */
 
 import type { Engine } from '../routing/types';
@@ -11,28 +11,28 @@
 import { DIRECT_READ_COST } from './cost';
 import type { StageRules } from './policy';
 
-/** A change of what a runner does. */
+/** A change of a runner's stage. */
 export interface StageChange {
   readonly runner: string;
   readonly role: 'prefill' | 'decode';
 }
 
-/** Sizes and times of the service's requests, as measured. */
+/** Measured sizes and times of the service's requests. */
 export interface Workload {
   readonly promptTokens: number;
-  /** Time that a prefill runner works on a prompt token, in milliseconds. */
+  /** Time of a prefill runner per prompt token, in milliseconds. */
   readonly readTokenMs: number;
   readonly outputTokens: number;
-  /** Time that a request holds decode memory, in milliseconds. */
+  /** Time for which a request holds decode memory, in milliseconds. */
   readonly residenceMs: number;
 }
 
-/** Time for which a runner that is no longer listed may come back, in milliseconds. */
+/** Time for which a runner that is no longer listed may still return, in milliseconds. */
 const RETURN_MS = 9000;
 
 /**
- * Requests in a millisecond that so many runners of each stage can serve. What
- * the prefill runners cannot read, the decode runners read between their tokens.
+ * Requests per millisecond that a number of runners of each stage can serve. Decode runners prefill
+ * what the prefill runners cannot.
  */
 export function servedRate(
   { headroom }: StageRules,
@@ -50,7 +50,10 @@
   return (decode + prefillRate * readMs) / (decodeMs + readMs);
 }
 
-/** Prefill runners with which most requests are served; in a tie more of them, since they take bursts better. */
+/**
+ * Number of prefill runners that serves the most requests; among equal ones the largest, since
+ * prefill runners absorb bursts better.
+ */
 export function wantedPrefill(
   rules: StageRules,
   engine: Engine,
@@ -68,64 +71,78 @@
   return best;
 }
 
-/** Time after a change of stage in which the runner lists itself anew, in milliseconds. */
-const LISTED_MS = 2500;
-/** Time in which an order that got no answer may still be carried out, in milliseconds. */
-const UNSURE_MS = 13_000;
+/** Time after a stage change until the runner is listed again, in milliseconds. */
+const RELISTING_MS = 2500;
+/** Time for which an unanswered order may still be carried out, in milliseconds. */
+const UNANSWERED_ORDER_MS = 13_000;
 
-/** Decides on changes, one after the other; at once before the first work, patiently after. */
+/**
+ * Decides on stage changes, one after the other: at once while the service is idle at the start,
+ * later only after the need has lasted for some time.
+ */
 export class StageBalance {
   readonly #rules: StageRules;
 
-  /** Since when the wanted number differs from what is there, and by what sign. */
-  #since: { readonly at: number; readonly sign: number } | undefined;
+  /**
+   * Since when the wanted number of prefill runners differs from the actual one, and the sign of
+   * the difference.
+   */
+  #imbalance: { readonly at: number; readonly sign: number } | undefined;
 
-  /** Since when the number of runners is the same. */
-  #steady: { readonly at: number; readonly runners: number } | undefined;
+  /** Since when the number of runners has been constant. */
+  #steadySince: { readonly at: number; readonly runners: number } | undefined;
 
-  /** When each runner was there last, and in which stage. */
-  readonly #seen = new Map<string, { readonly at: number; readonly role: StageChange['role'] }>();
+  /** When each runner was last listed, and in which stage. */
+  readonly #lastListed = new Map<
+    string,
+    { readonly at: number; readonly role: StageChange['role'] }
+  >();
 
-  /** Runners that were told to change, and until when no further change is considered. */
+  /**
+   * Runners with an order to change their stage, and until when no further change is considered.
+   */
   readonly #changing = new Map<string, number>();
 
   constructor(rules: StageRules) {
     this.#rules = rules;
   }
 
-  /** A runner took an order, or may have; gives the time until which that is under way. */
+  /**
+   * Records that a runner accepted an order, or may have; returns the time until which the change
+   * is in progress.
+   */
   ordered(now: number, runner: string, accepted: boolean, engine: Engine | undefined): number {
-    const until = now + (accepted ? (engine?.switchMs ?? 0) + LISTED_MS : UNSURE_MS);
+    const until = now + (accepted ? (engine?.switchMs ?? 0) + RELISTING_MS : UNANSWERED_ORDER_MS);
     this.#changing.set(runner, until);
     return until;
   }
 
-  /** Takes note of the runners there are, and counts those that were there a moment ago. */
-  #lostRunners(
+  /** Records the listed runners, and counts those that were listed recently but are missing now. */
+  #countLost(
     now: number,
     prefill: readonly PrefillState[],
     decode: readonly DecodeState[],
   ): StageCounts {
-    for (const { runner } of prefill) this.#seen.set(runner.id, { at: now, role: 'prefill' });
-    for (const { runner } of decode) this.#seen.set(runner.id, { at: now, role: 'decode' });
+    for (const { runner } of prefill) this.#lastListed.set(runner.id, { at: now, role: 'prefill' });
+    for (const { runner } of decode) this.#lastListed.set(runner.id, { at: now, role: 'decode' });
     const lost = { prefill: 0, decode: 0 };
-    for (const [id, { at, role }] of this.#seen) {
-      if (now - at > RETURN_MS) this.#seen.delete(id);
+    for (const [id, { at, role }] of this.#lastListed) {
+      if (now - at > RETURN_MS) this.#lastListed.delete(id);
       else if (at < now) lost[role] += 1;
     }
     return lost;
   }
 
-  /** Changes to make now. */
+  /** Stage changes to order now. */
   consider(
     now: number,
     engine: Engine,
     prefill: readonly PrefillState[],
     decode: readonly DecodeState[],
     workload: Workload,
-    idle: boolean,
+    isIdle: boolean,
   ): readonly StageChange[] {
-    // An order to a runner that has left or started anew is over with it.
+    // An order to a runner that has left or restarted is void.
     const listed = new Set([...prefill, ...decode].map(({ runner }) => runner.id));
     for (const [id, until] of this.#changing) {
       if (now >= until || !listed.has(id)) this.#changing.delete(id);
@@ -138,34 +155,35 @@
       worthwhileSurplus(this.#rules, engine, prefills, decodes, slowness, workload);
     const surplus = surplusOf(prefill.length, decode.length);
     const sign = Math.sign(surplus);
-    const lost = this.#lostRunners(now, prefill, decode);
-    const lasting = Math.sign(
+    const lost = this.#countLost(now, prefill, decode);
+    const lastingSign = Math.sign(
       surplusOf(prefill.length + lost.prefill, decode.length + lost.decode),
     );
-    if (runners !== this.#steady?.runners) {
-      this.#steady = { at: now, runners };
-      this.#since = undefined;
+    if (runners !== this.#steadySince?.runners) {
+      this.#steadySince = { at: now, runners };
+      this.#imbalance = undefined;
     }
-    if (sign !== this.#since?.sign) this.#since = { at: now, sign };
-    if (sign === 0 || now - this.#steady.at < steadyMs) return [];
-    // An excess that the return of lost runners would not end costs decode memory until it is mended.
-    const excessMs = lasting > 0 ? steadyMs : this.#rules.excessMs;
-    const patienceMs = sign > 0 ? excessMs : lackMs;
-    if (!idle && now - this.#since.at < patienceMs) return [];
-    // One at a time beside work: what each brings shows before the next.
-    if (sign > 0) return idlest(prefill, idle ? surplus : 1);
-    const [least] = [...decode].sort((a, b) => a.holders.size - b.holders.size);
-    return least ? [{ runner: least.runner.id, role: 'prefill' }] : [];
+    if (sign !== this.#imbalance?.sign) this.#imbalance = { at: now, sign };
+    if (sign === 0 || now - this.#steadySince.at < steadyMs) return [];
+    // An excess that remains even if lost runners return costs decode memory until it is corrected.
+    const excessMs = lastingSign > 0 ? steadyMs : this.#rules.excessMs;
+    const requiredMs = sign > 0 ? excessMs : lackMs;
+    if (!isIdle && now - this.#imbalance.at < requiredMs) return [];
+    // While requests run, changes are ordered one at a time, so that the effect of each is visible
+    // before the next.
+    if (sign > 0) return changeIdlestToDecode(prefill, isIdle ? surplus : 1);
+    const [leastLoaded] = [...decode].sort((a, b) => a.holders.size - b.holders.size);
+    return leastLoaded ? [{ runner: leastLoaded.runner.id, role: 'prefill' }] : [];
   }
 }
 
-/** Runners of each stage. */
+/** Number of runners of each stage. */
 interface StageCounts {
   readonly prefill: number;
   readonly decode: number;
 }
 
-/** Prefill runners above the wanted number; 0 if a change would not bring enough. */
+/** Number of prefill runners above the optimum; 0 if a change would not gain enough. */
 function worthwhileSurplus(
   rules: StageRules,
   engine: Engine,
@@ -185,8 +203,11 @@
   return values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length) || 1;
 }
 
-/** Prefill runners with the least to do. */
-function idlest(prefill: readonly PrefillState[], count: number): readonly StageChange[] {
+/** The prefill runners with the fewest pending prompts. */
+function changeIdlestToDecode(
+  prefill: readonly PrefillState[],
+  count: number,
+): readonly StageChange[] {
   return [...prefill]
     .sort((a, b) => a.pending.size - b.pending.size || (a.runner.id < b.runner.id ? -1 : 1))
     .slice(0, count)
--- a/src/core/memory/cost.ts
+++ b/src/core/memory/cost.ts
@@ -1,7 +1,7 @@
 /**
- * Times of an engine's work, as measured: reading prompts, the way to the first
- * event, output tokens. Engines differ by tens of times; rules on the figures of
- * one engine were wrong by seven times on the next, for growth, ends and waits.
+ * Measured times of an engine's work: prefill, first event, output tokens. Engines differ by an
+ * order of magnitude; with fixed figures of one engine, estimates of growth, ends and waits were
+ * off by a factor of seven on another.
  */
 
 import type { PendingPrompt, PrefillState } from './account';
@@ -9,91 +9,107 @@
 
 /** Times of an engine whose runners have slowness 1. */
 export interface Costs {
-  /** Milliseconds of every prefill beside its tokens. */
+  /** Fixed time of each prefill, in milliseconds. */
   readonly readBaseMs: number;
-  /** Milliseconds of a prefill runner's work for each prompt token. */
+  /** Time of a prefill runner per prompt token, in milliseconds. */
   readonly readTokenMs: number;
-  /** Time from the end of the prefill to the first event, in milliseconds: the move, and a step for each token of an event. */
+  /**
+   * Time from the end of the prefill to the first event, in milliseconds: the transfer of the KV
+   * cache and a step for each token of an event.
+   */
   readonly firstEventMs: number;
-  /** Milliseconds of an output token on a decode runner. */
+  /** Time of an output token on a decode runner, in milliseconds. */
   readonly tokenMs: number;
-  /** The least that `tokenMs` may be by what was measured. */
+  /** Lower bound of `tokenMs` by its measured error. */
   readonly leastTokenMs: number;
 }
 
-/** Figures that decide until something was measured: those of a mid-sized engine. */
-const START_READ_BASE_MS = 70;
-const START_READ_TOKEN_MS = 0.018;
-const START_FIRST_EVENT_MS = 100;
-const START_TOKEN_MS = 7;
-/** Prompt tokens that a decode runner reads between two of its token steps: the usual size of a piece in engines of this kind. */
-const PIECE_TOKENS = 512;
-/** A decode runner reads a prompt at half the speed of a prefill runner. */
+/** Initial values until the first measurement: those of a mid-sized engine. */
+const INITIAL_PREFILL_BASE_MS = 70;
+const INITIAL_PREFILL_TOKEN_MS = 0.018;
+const INITIAL_FIRST_EVENT_MS = 100;
+const INITIAL_TOKEN_MS = 7;
+/**
+ * Prompt tokens that a decode runner prefills between two token steps: the usual chunk size of
+ * chunked prefill.
+ */
+const CHUNK_TOKENS = 512;
+/**
+ * Cost of a local prefill relative to a prefill runner: a decode runner prefills at half the speed.
+ */
 export const DIRECT_READ_COST = 2;
-/** A prompt counts as overdue after this many times the time that it should take, and not before a time in milliseconds. */
-const OVERDUE_TIMES = 2;
 /**
- * On engines that read fast a queue of two prompts took longer than that: all
- * were overdue, none was counted, and the runner got more and more of them until
- * every prefill ran into its time limit.
+ * A prompt is overdue after this multiple of its expected time, but not before `MIN_OVERDUE_MS`.
  */
-const OVERDUE_LEAST_MS = 600;
+const OVERDUE_FACTOR = 2;
+/**
+ * Lower bound of the overdue limit, in milliseconds. On engines with fast prefills, a queue of two
+ * prompts exceeded the multiple: all were overdue, none was counted, and the runner got more of
+ * them until every prefill ran into its timeout.
+ */
+const MIN_OVERDUE_MS = 600;
 /** Weight of one measurement of a runner's slowness. */
-const STEP = 0.15;
-/** Bounds of one measurement, so that a single stray one moves little. */
-const SLOWNESS_LEAST = 0.3;
-const SLOWNESS_MOST = 8;
-/** How measured times begin and how long they last: the first replaces the start value, some fifty are remembered. */
-const TIMES = { startWeight: 0, leastStep: 0.02 };
-/** Sizes at which the start figures count as measured, in prompt tokens, and what each counts as. */
-const START_SIZES: readonly number[] = [1000, 9000];
-const START_WEIGHT = 0.1;
-/** What is kept of a measured prefill with each further one. */
-const READ_KEPT = 0.98;
-
-/** Time that a runner of that slowness is busy with a prompt, in milliseconds. */
+const SLOWNESS_WEIGHT = 0.15;
+/** Bounds of one measurement, so that a single outlier has little effect. */
+const MIN_SLOWNESS = 0.3;
+const MAX_SLOWNESS = 8;
+/** The first measurement replaces the initial value; after that, the mean covers some fifty. */
+const ESTIMATE_OPTIONS = { startWeight: 0, leastStep: 0.02 };
+/**
+ * Prompt sizes, in tokens, for which the initial values count as measurements, and the weight of
+ * each.
+ */
+const INITIAL_SIZES_TOKENS: readonly number[] = [1000, 9000];
+const INITIAL_SIZE_WEIGHT = 0.1;
+/** Decay of older prefill measurements with each further one. */
+const PREFILL_DECAY = 0.98;
+
+/** Time that a prompt occupies a runner of the given slowness, in milliseconds. */
 export function workMs({ readTokenMs }: Costs, tokens: number, slowness = 1): number {
   return tokens * readTokenMs * slowness;
 }
 
-/** Time of a prompt on an idle runner, in milliseconds. */
+/** Time of a prefill on an idle runner, in milliseconds. */
 export function prefillMs(costs: Costs, tokens: number, slowness = 1): number {
   return costs.readBaseMs + workMs(costs, tokens, slowness);
 }
 
-/** Time for which a request of such a size holds its place, in milliseconds. */
+/** Time for which a request of the given size holds its reservation, in milliseconds. */
 export function residenceMs(costs: Costs, promptTokens: number, outputTokens: number): number {
   return prefillMs(costs, promptTokens) + costs.firstEventMs + outputTokens * costs.tokenMs;
 }
 
 /**
- * Time between two events of an answer at a decode runner that reads a prompt
- * itself, in milliseconds. A piece is read before each token; where an event
- * holds many tokens, all pieces of a prompt fall between two events, and up to
- * ten answers at a time had a pause over their limit.
+ * Time between two events of a stream on a decode runner that runs a local prefill, in
+ * milliseconds. A chunk is prefilled before each token; where an event holds many tokens, all
+ * chunks of a prompt fall between two events, and up to ten streams at a time exceeded their
+ * allowed pause.
  */
 export function pauseOfRead(costs: Costs, promptTokens: number, eventTokens: number): number {
-  const tokens = Math.min(promptTokens, eventTokens * PIECE_TOKENS);
+  const tokens = Math.min(promptTokens, eventTokens * CHUNK_TOKENS);
   return eventTokens * costs.tokenMs + DIRECT_READ_COST * workMs(costs, tokens);
 }
 
-/** Time that a prompt should take on a runner of slowness 1 with what lay before it, in milliseconds. */
+/**
+ * Expected time of a prompt on a runner of slowness 1, including the tokens queued before it, in
+ * milliseconds.
+ */
 export function expectedReadMs(costs: Costs, { tokens, aheadTokens }: PendingPrompt): number {
   return prefillMs(costs, tokens + aheadTokens);
 }
 
-/** Prompt tokens that a runner has still to read. Those of a prompt that is long overdue are not counted. */
+/** Prompt tokens that a runner has yet to prefill; long overdue prompts are not counted. */
 function pendingTokens(costs: Costs, now: number, { pending, slowness }: PrefillState): number {
   let tokens = 0;
   for (const entry of pending.values()) {
     const usualMs = expectedReadMs(costs, entry) * Math.max(1, slowness);
-    const limitMs = Math.max(OVERDUE_LEAST_MS, OVERDUE_TIMES * usualMs);
+    const limitMs = Math.max(MIN_OVERDUE_MS, OVERDUE_FACTOR * usualMs);
     if (now < entry.givenAt + limitMs) tokens += entry.tokens;
   }
   return tokens;
 }
 
-/** Gives a runner a prompt. */
+/** Adds a prompt to a runner's pending ones. */
 export function addPending(
   costs: Costs,
   now: number,
@@ -106,29 +122,33 @@
 }
 
 /**
- * Time until a runner has read what it was given, in milliseconds. A prompt that
- * is long overdue is not counted: its answer was lost or its VM stands still, and
- * counted for as long as nobody says so, it kept the one prefill runner without
- * work for three seconds while eleven requests waited.
+ * Time until a runner has prefilled its pending prompts, in milliseconds. A long overdue prompt is
+ * not counted: its answer was lost or its VM is paused. Counted until that was reported, one kept
+ * the only prefill runner without work for three seconds while eleven requests waited.
  */
 export function backlogMs(costs: Costs, now: number, state: PrefillState): number {
   return workMs(costs, pendingTokens(costs, now, state), state.slowness);
 }
 
-/** What a runner's slowness becomes by work that took `ms` where `expectedMs` had been expected of slowness 1. */
+/**
+ * Updates a runner's slowness after work that took `ms`, where `expectedMs` is the time at slowness
+ * 1.
+ */
 export function learntSlowness(slowness: number, expectedMs: number, ms: number): number {
-  const measured = Math.min(SLOWNESS_MOST, Math.max(SLOWNESS_LEAST, ms / expectedMs));
-  return slowness + STEP * (measured - slowness);
+  const measured = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, ms / expectedMs));
+  return slowness + SLOWNESS_WEIGHT * (measured - slowness);
 }
 
-/** Time of a prefill beside its tokens and for each of them, in milliseconds. */
-interface ReadTimes {
+/** Fixed time of a prefill and time per token, in milliseconds. */
+interface PrefillTimes {
   readonly baseMs: number;
   readonly tokenMs: number;
 }
 
-/** Line through measured prefills by their tokens; old ones fade. */
-class ReadLine {
+/**
+ * Linear regression of prefill times on prompt tokens, with exponential decay of old measurements.
+ */
+class PrefillRegression {
   #weight = 0;
 
   #tokens = 0;
@@ -139,25 +159,29 @@
 
   #product = 0;
 
-  /** Milliseconds beside the tokens and for each of them; neither is negative. */
-  line: ReadTimes = { baseMs: START_READ_BASE_MS, tokenMs: START_READ_TOKEN_MS };
+  /** Fixed time and time per token, in milliseconds; neither is negative. */
+  line: PrefillTimes = { baseMs: INITIAL_PREFILL_BASE_MS, tokenMs: INITIAL_PREFILL_TOKEN_MS };
 
   constructor() {
-    for (const tokens of START_SIZES) {
-      this.add(tokens, START_READ_BASE_MS + START_READ_TOKEN_MS * tokens, START_WEIGHT);
+    for (const tokens of INITIAL_SIZES_TOKENS) {
+      this.add(
+        tokens,
+        INITIAL_PREFILL_BASE_MS + INITIAL_PREFILL_TOKEN_MS * tokens,
+        INITIAL_SIZE_WEIGHT,
+      );
     }
   }
 
   add(tokens: number, ms: number, weight = 1): void {
-    this.#weight = this.#weight * READ_KEPT + weight;
-    this.#tokens = this.#tokens * READ_KEPT + weight * tokens;
-    this.#ms = this.#ms * READ_KEPT + weight * ms;
-    this.#tokensSquared = this.#tokensSquared * READ_KEPT + weight * tokens * tokens;
-    this.#product = this.#product * READ_KEPT + weight * tokens * ms;
+    this.#weight = this.#weight * PREFILL_DECAY + weight;
+    this.#tokens = this.#tokens * PREFILL_DECAY + weight * tokens;
+    this.#ms = this.#ms * PREFILL_DECAY + weight * ms;
+    this.#tokensSquared = this.#tokensSquared * PREFILL_DECAY + weight * tokens * tokens;
+    this.#product = this.#product * PREFILL_DECAY + weight * tokens * ms;
     this.line = this.#fit();
   }
 
-  #fit(): ReadTimes {
+  #fit(): PrefillTimes {
     const tokens = this.#tokens / this.#weight;
     const ms = this.#ms / this.#weight;
     const spread = this.#tokensSquared / this.#weight - tokens * tokens;
@@ -167,30 +191,33 @@
   }
 }
 
-/** Takes measurements of the times of one engine. */
+/** Costs that are updated by measurements. */
 export interface CostModel extends Costs {
-  /** A prompt was read in `ms` by a runner that had no other. */
+  /** Records that an idle runner prefilled a prompt in `ms`. */
   read(tokens: number, ms: number): void;
-  /** The first event came `ms` after the prompt was read and a decode runner had room. */
+  /**
+   * Records that the first event came `ms` after both the prefill and the assignment of a decode
+   * runner.
+   */
   began(ms: number): void;
-  /** A request made tokens at `ms` for each. */
+  /** Records a token time of a request. */
   made(ms: number): void;
 }
 
-/** Learns the times of one engine from what is measured. */
+/** Costs of one engine, measured while it runs. */
 export class LearntCosts implements CostModel {
-  readonly #reads = new ReadLine();
+  readonly #prefills = new PrefillRegression();
 
-  readonly #firstEvent = new Estimate(START_FIRST_EVENT_MS, TIMES);
+  readonly #firstEvent = new Estimate(INITIAL_FIRST_EVENT_MS, ESTIMATE_OPTIONS);
 
-  readonly #token = new Estimate(START_TOKEN_MS, TIMES);
+  readonly #token = new Estimate(INITIAL_TOKEN_MS, ESTIMATE_OPTIONS);
 
   get readBaseMs(): number {
-    return this.#reads.line.baseMs;
+    return this.#prefills.line.baseMs;
   }
 
   get readTokenMs(): number {
-    return this.#reads.line.tokenMs;
+    return this.#prefills.line.tokenMs;
   }
 
   get firstEventMs(): number {
@@ -206,7 +233,7 @@
   }
 
   read(tokens: number, ms: number): void {
-    this.#reads.add(tokens, ms);
+    this.#prefills.add(tokens, ms);
   }
 
   began(ms: number): void {
@@ -214,7 +241,8 @@
   }
 
   made(ms: number): void {
-    // Notes of a start and an end that arrive together tell nothing, and growth is counted by this figure.
+    // A start and an end that arrive in the same packet carry no information; a token time of 0
+    // would make the expected growth infinite.
     if (ms > 0) this.#token.add(ms);
   }
 }
--- a/src/core/memory/estimate.ts
+++ b/src/core/memory/estimate.ts
@@ -1,14 +1,20 @@
-/** Means of measurements that follow the first ones at once and later ones slowly, and how far they may be off. */
+/**
+ * Running means that follow the first measurements quickly and later ones slowly, with their
+ * standard error.
+ */
 
-/** How an estimate begins and how long it remembers. */
+/** Initial weight and decay of an estimate. */
 export interface EstimateOptions {
-  /** Measurements that the start value counts as. */
+  /** Number of measurements that the initial value counts as. */
   readonly startWeight: number;
-  /** Least weight of one measurement: it is forgotten after about as many as its inverse. */
+  /**
+   * Smallest weight of one measurement; its inverse is about the number of measurements that the
+   * mean covers.
+   */
   readonly leastStep: number;
 }
 
-/** An estimate of one figure. */
+/** Running mean of one quantity. */
 export class Estimate {
   readonly #options: EstimateOptions;
 
@@ -19,13 +25,17 @@
 
   #count = 0;
 
-  /** @param start decides until something was measured; it may be off by all of itself */
+  /**
+   * @param start value before the first measurement; its initial error is as large as the value
+   *   itself
+   */
   constructor(start: number, options: EstimateOptions) {
     this.#value = start;
     this.#variance = start * start;
     this.#options = options;
   }
 
+  /** Current value. */
   get value(): number {
     return this.#value;
   }
@@ -33,19 +43,20 @@
   /** Standard error of the value. */
   get error(): number {
     const { startWeight, leastStep } = this.#options;
-    const most = 1 / leastStep;
-    const count = Math.max(1, Math.min(most, startWeight + this.#count));
+    const maxCount = 1 / leastStep;
+    const count = Math.max(1, Math.min(maxCount, startWeight + this.#count));
     return Math.sqrt(this.#variance / count);
   }
 
+  /** Adds a measurement. */
   add(measured: number): void {
     const { startWeight, leastStep } = this.#options;
     this.#count += 1;
     const step = Math.max(leastStep, 1 / (startWeight + this.#count));
-    const off = measured - this.#value;
-    this.#value += step * off;
-    // One measurement alone says nothing of how far it is off.
-    const squared = step === 1 ? measured * measured : off * off;
+    const deviation = measured - this.#value;
+    this.#value += step * deviation;
+    // A single measurement carries no information about its deviation.
+    const squared = step === 1 ? measured * measured : deviation * deviation;
     this.#variance += step * (squared - this.#variance);
   }
 }
--- a/src/core/memory/flow.ts
+++ b/src/core/memory/flow.ts
@@ -1,60 +1,69 @@
-/** Rates of one service: how fast memory is asked for and how fast it comes free. */
+/**
+ * Rate at which first attempts of one service request memory, and the usual sizes of its requests.
+ */
 
 import { Estimate } from './estimate';
 
-/** Time over which a rate is averaged, in milliseconds: bursts of some seconds must show, single requests must not. */
+/**
+ * Time over which a rate is averaged, in milliseconds: bursts of a few seconds are visible, single
+ * requests are not.
+ */
 const WINDOW_MS = 1500;
-/** Sizes before any request was seen, in tokens. */
-const START_PROMPT_TOKENS = 5000;
-const START_OUTPUT_TOKENS = 500;
-/** How sizes are learnt: the first request replaces the start value, some thirty are remembered. */
-const SIZES = { startWeight: 0, leastStep: 0.03 };
-/** Least part of the memory's flow that is counted on for those who wait beyond their aim: bursts end. */
-const LEAST_SPARE = 0.12;
-
-/** What requests of a service are like. */
+/** Sizes before the first request, in tokens. */
+const INITIAL_PROMPT_TOKENS = 5000;
+const INITIAL_OUTPUT_TOKENS = 500;
+/** The first request replaces the initial value; after that, the mean covers some thirty. */
+const SIZE_OPTIONS = { startWeight: 0, leastStep: 0.03 };
+/**
+ * Smallest share of the freed memory that is expected to be left for late requests, since bursts
+ * end.
+ */
+const MIN_SPARE_SHARE = 0.12;
+
+/** Usual sizes of a service's requests, in tokens. */
 export interface RequestSizes {
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** Flow of tokens. */
+/** Rate of requested tokens and request sizes of one service. */
 export class TokenFlow {
-  readonly #promptTokens = new Estimate(START_PROMPT_TOKENS, SIZES);
+  readonly #promptTokens = new Estimate(INITIAL_PROMPT_TOKENS, SIZE_OPTIONS);
 
-  readonly #outputTokens = new Estimate(START_OUTPUT_TOKENS, SIZES);
+  readonly #outputTokens = new Estimate(INITIAL_OUTPUT_TOKENS, SIZE_OPTIONS);
 
-  #askedPerMs = 0;
+  #requestedPerMs = 0;
 
-  #askedAt = 0;
+  #updatedAt = 0;
 
-  /** Notes that a first attempt asked for that many tokens. */
+  /** Records that a first attempt requested a number of tokens. */
   asked(now: number, tokens: number): void {
-    this.#fade(now);
-    this.#askedPerMs += tokens / WINDOW_MS;
+    this.#decay(now);
+    this.#requestedPerMs += tokens / WINDOW_MS;
   }
 
-  /** Notes the size of a request, its output as expected. */
+  /** Records the size of a request, with its expected output. */
   sized(promptTokens: number, outputTokens: number): void {
     this.#promptTokens.add(promptTokens);
     this.#outputTokens.add(outputTokens);
   }
 
+  /** Usual sizes of the requests. */
   get sizes(): RequestSizes {
     return { promptTokens: this.#promptTokens.value, outputTokens: this.#outputTokens.value };
   }
 
   /**
-   * Tokens in a millisecond that first attempts leave to the others.
-   * @param capacity tokens that come free in a millisecond when all memory is in use
+   * Tokens per millisecond that are not used by first attempts.
+   * @param capacity tokens freed per millisecond when all memory is in use
    */
   spare(now: number, capacity: number): number {
-    this.#fade(now);
-    return Math.max(LEAST_SPARE * capacity, capacity - this.#askedPerMs);
+    this.#decay(now);
+    return Math.max(MIN_SPARE_SHARE * capacity, capacity - this.#requestedPerMs);
   }
 
-  #fade(now: number): void {
-    this.#askedPerMs *= Math.exp(-Math.max(0, now - this.#askedAt) / WINDOW_MS);
-    this.#askedAt = now;
+  #decay(now: number): void {
+    this.#requestedPerMs *= Math.exp(-Math.max(0, now - this.#updatedAt) / WINDOW_MS);
+    this.#updatedAt = now;
   }
 }
--- a/src/core/memory/growth.ts
+++ b/src/core/memory/growth.ts
@@ -1,56 +1,58 @@
-/** How the memory of requests grows while they decode. */
+/** Growth of the memory of requests while they decode. */
 
 import type { Holder } from './account';
 
-/** Memory is taken in blocks of this many tokens. */
+/** Number of tokens in a block, the unit of memory allocation. */
 const BLOCK_TOKENS = 16;
 
-/** Tokens with the rest of the last block. */
+/** Rounds a number of tokens up to whole blocks. */
 export function inBlocks(tokens: number): number {
   return Math.ceil(tokens / BLOCK_TOKENS) * BLOCK_TOKENS;
 }
 
-/** Output tokens made so far, as expected. */
+/** Expected number of output tokens generated so far. */
 export function madeTokens(now: number, startedAt: number | undefined, tokenMs: number): number {
   return startedAt === undefined ? 0 : (now - startedAt) / tokenMs;
 }
 
-/** Tokens that a request takes at its end, as expected now. */
-export function peakTokens(now: number, holder: Holder, tokenMs: number): number {
-  const { demand, expectedTokens, startedAt } = holder;
-  const made = madeTokens(now, startedAt, tokenMs);
-  // A request that has outgrown its estimate goes on for about as long again as it overran.
-  const output = made <= expectedTokens ? expectedTokens : made + (made - expectedTokens);
+/** Tokens that a request is expected to take at its end. */
+export function peakTokens(now: number, allocation: Holder, tokenMs: number): number {
+  const { demand, expectedTokens, startedAt } = allocation;
+  const generated = madeTokens(now, startedAt, tokenMs);
+  // A request that has exceeded its estimate is expected to continue for as long again as it has
+  // overrun.
+  const output =
+    generated <= expectedTokens ? expectedTokens : generated + (generated - expectedTokens);
   return inBlocks(demand.promptTokens + Math.min(demand.maxOutputTokens, output));
 }
 
-/** How much memory the requests of one runner count for. */
+/** Estimate of the memory that the requests of one runner will take. */
 export interface PeakEstimate {
   /**
-   * Tokens that the requests will hold at once at most.
-   * @param tokenMs time of an output token there, in milliseconds
+   * Largest number of tokens that the requests will hold at the same time.
+   * @param tokenMs time of an output token on the runner, in milliseconds
    */
-  of(now: number, holders: Iterable<Holder>, tokenMs: number): number;
+  of(now: number, allocations: Iterable<Holder>, tokenMs: number): number;
 }
 
 /**
- * Most tokens that requests will hold at once, as expected now. They do not all
- * reach their end together: whenever one ends, those that go on have grown by
- * what it still made. Counting each at its full length left 4 % of the memory
- * unused; on stand-in engines in an overload none is pushed out this way either.
+ * Expected peak of the memory held by all requests together. Requests do not all reach their full
+ * length at once: when one ends, the others have grown only by what it still had to generate.
+ * Counting each at its full length left 4 % of the memory unused; with this estimate, no request is
+ * preempted in an overload on stand-in engines either.
  */
 export class ComingPeak implements PeakEstimate {
-  of(now: number, holders: Iterable<Holder>, tokenMs: number): number {
-    const entries = [...holders].map((holder) => {
-      const held = holder.demand.promptTokens + madeTokens(now, holder.startedAt, tokenMs);
-      return { held, left: Math.max(0, peakTokens(now, holder, tokenMs) - held) };
+  of(now: number, allocations: Iterable<Holder>, tokenMs: number): number {
+    const entries = [...allocations].map((allocation) => {
+      const held = allocation.demand.promptTokens + madeTokens(now, allocation.startedAt, tokenMs);
+      return { held, remaining: Math.max(0, peakTokens(now, allocation, tokenMs) - held) };
     });
-    entries.sort((a, b) => b.left - a.left);
+    entries.sort((a, b) => b.remaining - a.remaining);
     let held = 0;
     let peak = 0;
     entries.forEach((entry, index) => {
       held += entry.held;
-      peak = Math.max(peak, held + (index + 1) * entry.left);
+      peak = Math.max(peak, held + (index + 1) * entry.remaining);
     });
     return peak;
   }
--- a/src/core/memory/learning.ts
+++ b/src/core/memory/learning.ts
@@ -1,4 +1,7 @@
-/** What a planner learns of its requests and runners: times, sizes, lengths, and what follows from them. */
+/**
+ * Statistics of a service's requests and runners: times, sizes, output lengths, and estimates
+ * derived from them.
+ */
 
 import type { DecodeState, PendingPrompt, PrefillState } from './account';
 import type { CostModel } from './cost';
@@ -9,16 +12,22 @@
 import type { LengthRules } from './policy';
 import type { Demand, ReportedRun } from './types';
 
-/** Events of which an answer must have more for its pace to be learnt: the last one is part of one. */
-const LEAST_EVENTS = 3;
-
-/** Work of a runner took `ms` where `expectedMs` are expected of slowness 1. */
-function noteTime(runner: DecodeState | PrefillState, expectedMs: number, ms: number): void {
+/**
+ * Number of events that an answer must exceed for its pace to be measured, since its last event is
+ * not full.
+ */
+const MIN_EVENTS = 3;
+
+/**
+ * Updates a runner's slowness after work that took `ms`, where `expectedMs` is the time at slowness
+ * 1.
+ */
+function updateSlowness(runner: DecodeState | PrefillState, expectedMs: number, ms: number): void {
   const state = runner;
   state.slowness = learntSlowness(state.slowness, expectedMs, ms);
 }
 
-/** Learns from what happens to the requests of one service. */
+/** Statistics of one service's requests and runners. */
 export class Learning {
   readonly #costs: CostModel;
 
@@ -31,62 +40,66 @@
     this.#costs = costs;
   }
 
-  /** A request waits for a place; `first` unless its caller asked before. */
+  /** Records a request for a reservation; `first` is false if it is a repeated attempt. */
   asked(now: number, demand: Demand, first: boolean): void {
     this.#flow.sized(demand.promptTokens, this.#lengths.expect(demand));
     if (first) this.#flow.asked(now, this.sizeOf(demand));
   }
 
-  /** A prompt was read in `ms`. */
+  /** Records a prefill that took `ms`. */
   prefilled(prefill: PrefillState, pending: PendingPrompt, ms: number): void {
     if (pending.aheadTokens === 0) this.#costs.read(pending.tokens, ms);
-    noteTime(prefill, expectedReadMs(this.#costs, pending), ms);
+    updateSlowness(prefill, expectedReadMs(this.#costs, pending), ms);
   }
 
   /**
-   * A prompt was given up: it has taken at least as long as it lay there. Learnt from
-   * those that are read in time alone, a runner that falls behind looks as fast as ever.
+   * Records a prefill that was abandoned: it would have taken at least as long as it has been
+   * pending. If only prefills that finish in time were measured, a runner that falls behind would
+   * still look fast.
    */
   givenUp(now: number, prefill: PrefillState, pending: PendingPrompt): void {
     const ms = now - pending.givenAt;
     const expectedMs = expectedReadMs(this.#costs, pending);
-    if (ms > expectedMs) noteTime(prefill, expectedMs, ms);
+    if (ms > expectedMs) updateSlowness(prefill, expectedMs, ms);
   }
 
-  /** The first event came `ms` after the prompt was read and a decode runner was bound. */
+  /**
+   * Records that the first event came `ms` after both the prefill and the assignment of a decode
+   * runner.
+   */
   began(ms: number): void {
     this.#costs.began(ms);
   }
 
-  /** A request made all of its output. */
+  /** Records the output length of a finished request. */
   finished(demand: Demand, outputTokens: number): void {
     this.#lengths.learn(demand, outputTokens);
   }
 
-  /** A request made its output in `ms` after its first event. */
+  /** Records a stream whose output took `ms` after its first event. */
   streamed(decode: DecodeState, outputTokens: number, eventTokens: number, ms: number): void {
     const tokens = outputTokens - eventTokens;
-    if (tokens >= LEAST_EVENTS * eventTokens) this.#paced(decode, ms / tokens);
+    if (tokens >= MIN_EVENTS * eventTokens) this.#recordTokenTime(decode, ms / tokens);
   }
 
-  /** A runner told what it runs. */
+  /** Records a runner's report of its running requests. */
   reported(now: number, decode: DecodeState, runs: readonly ReportedRun[]): void {
     const ms = decode.pace.next(now, runs);
-    if (ms !== undefined) this.#paced(decode, ms);
+    if (ms !== undefined) this.#recordTokenTime(decode, ms);
   }
 
-  /** A token took so long at a decode runner, in milliseconds. */
-  #paced(decode: DecodeState, ms: number): void {
+  /** Records a measured token time of a decode runner, in milliseconds. */
+  #recordTokenTime(decode: DecodeState, ms: number): void {
     this.#costs.made(ms);
-    noteTime(decode, this.#costs.tokenMs, ms);
+    updateSlowness(decode, this.#costs.tokenMs, ms);
   }
 
-  /** Output tokens that are expected of a request. */
+  /** Expected output tokens of a request. */
   expect(demand: Demand): number {
     return this.#lengths.expect(demand);
   }
 
-  /** By how many tokens that is usually off. */
+  /** Usual error of that estimate, in tokens. */
   deviation(demand: Demand): number {
     return this.#lengths.deviation(demand);
   }
@@ -96,17 +109,21 @@
     return demand.promptTokens + this.#lengths.expect(demand);
   }
 
+  /** Usual sizes of the requests. */
   get sizes(): RequestSizes {
     return this.#flow.sizes;
   }
 
-  /** What one ending request gives back: a larger one would wait for several ends at one runner. */
+  /**
+   * Tokens that one ending request usually frees. A larger request would have to wait for several
+   * ends on one runner.
+   */
   get usualSize(): number {
     const { promptTokens, outputTokens } = this.#flow.sizes;
     return promptTokens + outputTokens;
   }
 
-  /** Time for which a usual request holds its place, in milliseconds. */
+  /** Time for which a usual request holds its reservation, in milliseconds. */
   get residenceMs(): number {
     const { promptTokens, outputTokens } = this.#flow.sizes;
     return residenceMs(this.#costs, promptTokens, outputTokens);
@@ -118,8 +135,8 @@
   }
 
   /**
-   * Tokens in a millisecond that first attempts leave to the others.
-   * @param capacity tokens that come free in a millisecond when all memory is in use
+   * Tokens per millisecond that are not used by first attempts.
+   * @param capacity tokens freed per millisecond when all memory is in use
    */
   spare(now: number, capacity: number): number {
     return this.#flow.spare(now, capacity);
--- a/src/core/memory/lengths.ts
+++ b/src/core/memory/lengths.ts
@@ -1,68 +1,69 @@
-/** How many output tokens a request will probably make, learnt from those that finished. */
+/** Expected number of output tokens of a request, learned from finished requests. */
 
 import { Estimate } from './estimate';
 import type { LengthRules } from './policy';
 import type { Demand } from './types';
 
-/** Share of the most output that is expected before anything was learnt. */
-const START_SHARE = 0.4;
+/** Expected output before the first measurement, as a share of the output limit. */
+const INITIAL_SHARE = 0.4;
 /**
- * How the share is learnt: the start value counts as ten requests, since the
- * first to finish are those with the shortest outputs.
+ * The initial value counts as ten requests, since the first to finish are those with the shortest
+ * outputs.
  */
-const SHARE = { startWeight: 10, leastStep: 0.02 };
-/** How the errors of the hint's weights are learnt. */
-const ERRORS = { startWeight: 1, leastStep: 0.02 };
-/** Error of each weight that is expected before anything was learnt, as a part of the most output. */
-const START_ERROR = 0.25;
+const SHARE_OPTIONS = { startWeight: 10, leastStep: 0.02 };
+/** Running mean of the errors of the hint weights. */
+const ERROR_OPTIONS = { startWeight: 1, leastStep: 0.02 };
+/** Initial error of each weight, as a share of the output limit. */
+const INITIAL_ERROR = 0.25;
 
-/** A weight of the hint and its mean squared error, as a part of the most output. */
-interface Weighed {
+/** A weight of the hint and its mean squared error, as a share of the output limit. */
+interface HintWeight {
   readonly weight: number;
   readonly squaredError: Estimate;
 }
 
-/** Expected output of requests. */
+/** Estimates of output lengths. */
 export class OutputLengths {
-  readonly #share = new Estimate(START_SHARE, SHARE);
+  readonly #share = new Estimate(INITIAL_SHARE, SHARE_OPTIONS);
 
-  readonly #weights: readonly Weighed[];
+  readonly #weights: readonly HintWeight[];
 
   constructor({ hintWeights }: LengthRules) {
     this.#weights = hintWeights.map((weight) => ({
       weight,
-      squaredError: new Estimate(START_ERROR ** 2, ERRORS),
+      squaredError: new Estimate(INITIAL_ERROR ** 2, ERROR_OPTIONS),
     }));
   }
 
-  /** Expected output tokens. */
+  /** Expected output tokens of a request. */
   expect(demand: Demand): number {
-    return this.#mix(demand, this.#best.weight);
+    return this.#weighted(demand, this.#best.weight);
   }
 
-  /** By how many tokens an expectation is usually off, as a root of the mean square. */
+  /** Usual error of an estimate in tokens, as the root mean square. */
   deviation({ maxOutputTokens }: Demand): number {
     return Math.sqrt(this.#best.squaredError.value) * maxOutputTokens;
   }
 
+  /** Records the output length of a finished request. */
   learn(demand: Demand, outputTokens: number): void {
-    const most = Math.max(1, demand.maxOutputTokens);
+    const limit = Math.max(1, demand.maxOutputTokens);
     if (demand.hintTokens !== undefined) {
       for (const { weight, squaredError } of this.#weights) {
-        const error = (this.#mix(demand, weight) - outputTokens) / most;
+        const error = (this.#weighted(demand, weight) - outputTokens) / limit;
         squaredError.add(error * error);
       }
     }
-    this.#share.add(Math.min(1, outputTokens / most));
+    this.#share.add(Math.min(1, outputTokens / limit));
   }
 
-  get #best(): Weighed {
-    return this.#weights.reduce((best, each) =>
-      each.squaredError.value < best.squaredError.value ? each : best,
+  get #best(): HintWeight {
+    return this.#weights.reduce((best, candidate) =>
+      candidate.squaredError.value < best.squaredError.value ? candidate : best,
     );
   }
 
-  #mix({ maxOutputTokens, hintTokens }: Demand, weight: number): number {
+  #weighted({ maxOutputTokens, hintTokens }: Demand, weight: number): number {
     const usual = this.#share.value * maxOutputTokens;
     const hint = Math.min(maxOutputTokens, hintTokens ?? usual);
     return Math.min(maxOutputTokens, weight * hint + (1 - weight) * usual);
--- a/src/core/memory/pace.ts
+++ b/src/core/memory/pace.ts
@@ -1,37 +1,48 @@
-/** Pace of a runner's answers, seen from what it reports of them. */
+/** Token time of a runner, measured from its reports of running requests. */
 
 import type { ReportedRun } from './types';
 
-/** Least time between two reports that are compared, in milliseconds: a report is as of some moment before. */
-const LEAST_MS = 500;
-/** Longest time: the pace may have changed meanwhile. */
-const MOST_MS = 3000;
+/**
+ * Shortest time between two compared reports, in milliseconds: the exact time of a report is not
+ * known.
+ */
+const MIN_SPAN_MS = 500;
+/**
+ * Longest time between two compared reports, in milliseconds: the pace may have changed in between.
+ */
+const MAX_SPAN_MS = 3000;
 
-interface Seen {
+interface Snapshot {
   readonly at: number;
   readonly tokens: ReadonlyMap<string, number>;
 }
 
-/** The last report of one runner. */
+/** Compares each report of one runner with the previous one. */
 export class ReportedPace {
-  #seen: Seen | undefined;
+  #previous: Snapshot | undefined;
 
-  /** Milliseconds for each token between this report and the last; undefined if they cannot be compared. */
+  /**
+   * Milliseconds per token between this report and the previous one; undefined if they cannot be
+   * compared.
+   */
   next(now: number, runs: readonly ReportedRun[]): number | undefined {
-    const before = this.#seen;
-    this.#seen = { at: now, tokens: new Map(runs.map(({ request, tokens }) => [request, tokens])) };
-    const spanMs = now - (before?.at ?? now);
-    if (!before || spanMs < LEAST_MS || spanMs > MOST_MS) return undefined;
-    let made = 0;
+    const previous = this.#previous;
+    this.#previous = {
+      at: now,
+      tokens: new Map(runs.map(({ request, tokens }) => [request, tokens])),
+    };
+    const spanMs = now - (previous?.at ?? now);
+    if (!previous || spanMs < MIN_SPAN_MS || spanMs > MAX_SPAN_MS) return undefined;
+    let generated = 0;
     let compared = 0;
     for (const { request, tokens } of runs) {
-      const had = before.tokens.get(request);
-      // A request that has fewer than before was pushed out and read again.
-      if (had !== undefined && tokens > had) {
-        made += tokens - had;
+      const previousTokens = previous.tokens.get(request);
+      // A request with fewer tokens than before was preempted and prefilled again.
+      if (previousTokens !== undefined && tokens > previousTokens) {
+        generated += tokens - previousTokens;
         compared += 1;
       }
     }
-    return made === 0 ? undefined : (spanMs * compared) / made;
+    return generated === 0 ? undefined : (spanMs * compared) / generated;
   }
 }
--- a/src/core/memory/placements.ts
+++ b/src/core/memory/placements.ts
@@ -1,4 +1,4 @@
-/** Requests that were given a place, from the grant to their end. */
+/** Reservations of requests, from the grant to the end of the request. */
 
 import type { Holder, MemoryAccount, PrefillState } from './account';
 import type { Costs } from './cost';
@@ -6,67 +6,73 @@
 import type { Learning } from './learning';
 import type { Demand, Grant, Holding } from './types';
 
-/** A request and its place. */
+/** The reservation of a request. */
 export interface Placed {
   demand: Demand;
   grant: Grant;
   readonly grantedAt: number;
-  /** When the prefill was done. */
+  /** When the prefill was done; undefined if it is not. */
   readyAt: number | undefined;
-  /** Whether a decode runner keeps memory for it. */
+  /** Whether memory is allocated on a decode runner. */
   bound: boolean;
-  /** When it was told its decode runner after the prefill. */
+  /** When the decode runner was assigned after the prefill. */
   boundAt: number | undefined;
 }
 
-/** Time after which a VM surely knows of a grant, in milliseconds. */
-const GRANT_TRAVEL_MS = 1000;
+/** Time after which a VM has received a grant, in milliseconds. */
+const GRANT_DELIVERY_MS = 1000;
 
-/** All placed requests of one service; keeps the account of its runners in step. */
+/** All reservations of one service; keeps the account of its runners consistent with them. */
 export class Placements {
   readonly #account: MemoryAccount;
 
-  readonly #learning: Learning;
+  readonly #stats: Learning;
 
   readonly #costs: Costs;
 
   readonly #onChange: () => void;
 
-  readonly #placed = new Map<string, Placed>();
+  readonly #reservations = new Map<string, Placed>();
 
   /** @param onChange called when the account has changed */
-  constructor(account: MemoryAccount, learning: Learning, costs: Costs, onChange: () => void) {
+  constructor(account: MemoryAccount, stats: Learning, costs: Costs, onChange: () => void) {
     this.#account = account;
-    this.#learning = learning;
+    this.#stats = stats;
     this.#costs = costs;
     this.#onChange = onChange;
   }
 
+  /** Number of reservations. */
   get size(): number {
-    return this.#placed.size;
+    return this.#reservations.size;
   }
 
+  /** All reservations by request id. */
   get entries(): Iterable<[string, Placed]> {
-    return this.#placed;
+    return this.#reservations;
   }
 
-  /** Requests whose prefill runs or is kept and that have no decode memory yet. */
+  /** Number of reservations whose prefill runs or is kept and that have no decode memory yet. */
   get unbound(): number {
     let count = 0;
-    for (const { bound } of this.#placed.values()) if (!bound) count += 1;
+    for (const { bound } of this.#reservations.values()) if (!bound) count += 1;
     return count;
   }
 
+  /** The reservation of a request; undefined if it has none. */
   get(id: string): Placed | undefined {
-    return this.#placed.get(id);
+    return this.#reservations.get(id);
   }
 
-  /** Whether a request of a VM is placed. */
+  /** Whether a request of a VM has a reservation. */
   holdsFor(vm: string): boolean {
-    return [...this.#placed.values()].some(({ demand }) => demand.vm === vm);
+    return [...this.#reservations.values()].some(({ demand }) => demand.vm === vm);
   }
 
-  /** @param bound whether a decode runner keeps memory for it from now on */
+  /**
+   * Adds a reservation.
+   * @param bound whether memory is allocated on the decode runner from now on
+   */
   add(
     now: number,
     demand: Demand,
@@ -75,73 +81,82 @@
     startedAt: number | undefined,
   ): void {
     const readyAt = startedAt === undefined ? undefined : now;
-    const placed: Placed = { demand, grant, grantedAt: now, readyAt, bound, boundAt: undefined };
-    this.#placed.set(demand.id, placed);
-    if (bound) this.#reserve(now, placed, startedAt);
+    const reservation: Placed = {
+      demand,
+      grant,
+      grantedAt: now,
+      readyAt,
+      bound,
+      boundAt: undefined,
+    };
+    this.#reservations.set(demand.id, reservation);
+    if (bound) this.#allocate(now, reservation, startedAt);
     if (readyAt !== undefined) return;
     const state = this.prefillOf(grant);
     if (state) addPending(this.#costs, now, state, demand.id, demand.promptTokens);
   }
 
-  /** A prefilled request gets memory at a decode runner. */
+  /** Assigns a decode runner to a prefilled request and allocates memory there. */
   bind(now: number, request: Placed, decode: string): void {
-    const placed = request;
-    placed.bound = true;
-    placed.boundAt = now;
-    placed.grant = { ...placed.grant, decode };
-    this.#reserve(now, placed, undefined);
+    const reservation = request;
+    reservation.bound = true;
+    reservation.boundAt = now;
+    reservation.grant = { ...reservation.grant, decode };
+    this.#allocate(now, reservation, undefined);
   }
 
+  /** Releases a reservation and the memory allocated for it; does nothing if there is none. */
   leave(now: number, id: string): void {
-    const placed = this.#placed.get(id);
-    if (!placed) return;
+    const reservation = this.#reservations.get(id);
+    if (!reservation) return;
     this.#onChange();
-    this.#placed.delete(id);
-    this.prefillOf(placed.grant)?.pending.delete(id);
-    this.#account.leave(now, placed.grant.decode, id);
+    this.#reservations.delete(id);
+    this.prefillOf(reservation.grant)?.pending.delete(id);
+    this.#account.leave(now, reservation.grant.decode, id);
   }
 
-  /** Forgets the requests of a VM that is gone. */
+  /** Releases the reservations of a VM that is gone. */
   dropVm(now: number, vm: string): void {
-    for (const [id, { demand }] of this.#placed) if (demand.vm === vm) this.leave(now, id);
+    for (const [id, { demand }] of this.#reservations) if (demand.vm === vm) this.leave(now, id);
   }
 
   /**
-   * What a VM says it holds replaces what is counted for it: a planner that was
-   * frozen or cut off would go on counting requests that have long ended.
-   * @returns what was not known here
+   * Replaces the reservations counted for a VM by those that it reports: a planner that was paused
+   * or partitioned would go on counting requests that have long ended.
+   * @returns holdings that were not known here
    */
   adopt(now: number, vm: string, holdings: readonly Holding[]): readonly Holding[] {
     const held = new Set(holdings.map(({ demand }) => demand.id));
-    for (const [id, placed] of this.#placed) {
-      const settled = now - placed.grantedAt > GRANT_TRAVEL_MS;
-      if (placed.demand.vm === vm && settled && !held.has(id)) this.leave(now, id);
+    for (const [id, reservation] of this.#reservations) {
+      const isDelivered = now - reservation.grantedAt > GRANT_DELIVERY_MS;
+      if (reservation.demand.vm === vm && isDelivered && !held.has(id)) this.leave(now, id);
     }
-    const fresh = holdings.filter(({ demand }) => !this.#placed.has(demand.id));
-    for (const { demand, grant, startedAt } of fresh) {
+    const unknown = holdings.filter(({ demand }) => !this.#reservations.has(demand.id));
+    for (const { demand, grant, startedAt } of unknown) {
       this.add(now, demand, grant, true, startedAt);
       this.#account.explain(now, grant.decode, demand.id);
     }
-    return fresh;
+    return unknown;
   }
 
+  /** The prefill runner of a grant; undefined for a local prefill or a runner that is gone. */
   prefillOf({ prefill }: Grant): PrefillState | undefined {
     return prefill === undefined ? undefined : this.#account.prefill.get(prefill);
   }
 
-  /** A request's place on its decode runner. */
+  /** The allocation of a request on its decode runner. */
   holderOf(id: string): Holder | undefined {
-    const placed = this.#placed.get(id);
-    return placed && this.#account.decode.get(placed.grant.decode)?.holders.get(id);
+    const reservation = this.#reservations.get(id);
+    return reservation && this.#account.decode.get(reservation.grant.decode)?.holders.get(id);
   }
 
-  #reserve(now: number, { demand, grant }: Placed, startedAt: number | undefined): void {
+  #allocate(now: number, { demand, grant }: Placed, startedAt: number | undefined): void {
     this.#onChange();
     this.#account.decode.get(grant.decode)?.holders.set(demand.id, {
       demand,
       grantedAt: now,
-      expectedTokens: this.#learning.expect(demand),
-      deviationTokens: this.#learning.deviation(demand),
+      expectedTokens: this.#stats.expect(demand),
+      deviationTokens: this.#stats.deviation(demand),
       startedAt,
       direct: grant.prefill === undefined,
     });
--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -1,7 +1,7 @@
 /**
- * Plans one model service: which request starts next, where it is prefilled and
- * where it decodes. One VM plans a service at a time, so that its account is
- * exact. No sockets, timers or clock: events come in, decisions go out.
+ * Plans one model service: which request starts next, where it is prefilled and where it decodes.
+ * One VM plans a service at a time, so that its memory account is exact. The planner has no
+ * sockets, timers or clock: it takes events and returns actions.
  */
 
 import { match } from 'ts-pattern';
@@ -28,11 +28,16 @@
 import { EarlierTries } from './tries';
 import type { Demand, Holding, MemoryReport, PlanAction, PlanEvent } from './types';
 
-/** When a caller may come back whose prefill found no memory, in milliseconds. */
-const RETRY_UNBOUND_MS = 300;
-/** Part of a decode runner's memory that must be free by the account for a refusal there to mean a lapsed prefill. */
-const LAPSED_SPARE = 0.1;
-/** When a caller may come back whose decode runner was full, in milliseconds. */
+/**
+ * Retry-After of a request that was prefilled but found no decode memory in time, in milliseconds.
+ */
+const RETRY_UNASSIGNED_MS = 300;
+/**
+ * Free share of a decode runner's memory above which a rejection there is taken to mean that the
+ * kept prefill has expired.
+ */
+const EXPIRED_PREFILL_FREE_SHARE = 0.1;
+/** Retry-After of a request whose decode runner was full, in milliseconds. */
 const RETRY_FULL_MS = 1000;
 
 /** Planner of one service. */
@@ -43,358 +48,395 @@
 
   readonly #account: MemoryAccount;
 
-  readonly #learning: Learning;
+  readonly #stats: Learning;
 
-  readonly #tries = new EarlierTries();
+  readonly #attempts = new EarlierTries();
 
   readonly #stages: Stages;
 
-  readonly #waiting: WaitingQueue;
+  readonly #queue: WaitingQueue;
 
-  readonly #room: Room;
+  readonly #capacity: Room;
 
-  readonly #ration: Ration;
+  readonly #allowance: Ration;
 
-  readonly #placed: Placements;
+  readonly #reservations: Placements;
 
   #engine: Engine | undefined;
 
-  readonly #returnTimes: ReturnTimes;
+  readonly #retryTimes: ReturnTimes;
 
-  readonly #distrusted: string[] = [];
+  readonly #ejected: string[] = [];
 
   #actions: PlanAction[] = [];
 
   constructor(
     policy: PlanPolicy,
     costs: CostModel = new LearntCosts(),
-    ration: Ration = unlimited,
+    allowance: Ration = unlimited,
   ) {
     this.#policy = policy;
-    this.#ration = ration;
+    this.#allowance = allowance;
     this.#costs = costs;
-    this.#returnTimes = new ReturnTimes(policy.refusal);
-    this.#learning = new Learning(policy.lengths, costs);
+    this.#retryTimes = new ReturnTimes(policy.refusal);
+    this.#stats = new Learning(policy.lengths, costs);
     this.#account = new MemoryAccount(policy.memory, costs);
-    this.#stages = new Stages(policy.stages, this.#account, this.#learning, costs);
-    this.#waiting = new WaitingQueue(costs, policy.order.turns(), (demand) =>
-      this.#learning.sizeOf(demand),
+    this.#stages = new Stages(policy.stages, this.#account, this.#stats, costs);
+    this.#queue = new WaitingQueue(costs, policy.order.turns(), (demand) =>
+      this.#stats.sizeOf(demand),
+    );
+    this.#capacity = new Room(policy, this.#account, costs, allowance);
+    this.#reservations = new Placements(this.#account, this.#stats, costs, () =>
+      this.#capacity.changed(),
     );
-    this.#room = new Room(policy, this.#account, costs, ration);
-    this.#placed = new Placements(this.#account, this.#learning, costs, () => this.#room.changed());
   }
 
-  /** What is known of the engine's times. */
+  /** Measured times of the engine. */
   get costs(): Costs {
     return this.#costs;
   }
 
+  /** Number of waiting requests. */
+  /** Number of waiting requests. */
   get waiting(): number {
-    return this.#waiting.size;
+    return this.#queue.size;
   }
 
+  /** Number of reservations. */
+  /** Number of reservations. */
   get placed(): number {
-    return this.#placed.size;
+    return this.#reservations.size;
   }
 
-  /** Whether a VM has requests here, waiting or placed. */
+  /** Whether a VM has waiting requests or reservations here. */
   holdsFor(vm: string): boolean {
-    if (this.#waiting.holdsFor(vm)) return true;
-    return this.#placed.holdsFor(vm);
+    if (this.#queue.holdsFor(vm)) return true;
+    return this.#reservations.holdsFor(vm);
   }
 
-  /** The inputs of a decision. */
+  /** Current load as logged with each decision. */
   load(now: number): PlanLoad {
-    return this.#room.load(now);
+    return this.#capacity.load(now);
   }
 
-  /** Runners that get no work for now because of how their requests went. */
+  /** Runners that are ejected at the moment because their requests failed or were slow. */
   distrusted(now: number): readonly string[] {
     return this.#account.distrusted(now);
   }
 
-  /** Runners that were distrusted since this was asked last. */
+  /** Returns the runners that were ejected since the last call. */
   takeDistrusted(): readonly string[] {
-    return this.#distrusted.splice(0);
+    return this.#ejected.splice(0);
   }
 
-  /** The account may lack what other VMs hold: holds back until they had time to tell. */
+  /**
+   * Starts the warm-up: until the other VMs had time to report their reservations, the account may
+   * be incomplete and less memory is reserved.
+   */
   startCautiously(now: number): void {
-    this.#room.beCautious(now);
+    this.#capacity.beCautious(now);
   }
 
-  /** Changes of runners' stages that would serve more requests; none while one is under way. */
+  /** Stage changes that would serve more requests; empty while one is in progress. */
   stageChanges(now: number): readonly StageChange[] {
-    const isIdle = this.#placed.size === 0 && this.#waiting.size === 0;
+    const isIdle = this.#reservations.size === 0 && this.#queue.size === 0;
     return this.#engine ? this.#stages.changes(now, this.#engine, isIdle) : [];
   }
 
-  /** A runner took an order, or may have: it gets no new work until it is listed in its new stage. */
+  /**
+   * Records that a runner accepted an order, or may have. It gets no new work until it is listed in
+   * its new stage.
+   */
   ordered(now: number, runner: string, accepted: boolean): void {
     this.#stages.ordered(now, runner, accepted, this.#engine);
   }
 
+  /** Handles an event at a time in milliseconds, and returns all decisions that follow from it. */
+  /** Handles an event at a time in milliseconds, and returns all decisions that follow from it. */
   handle(now: number, event: PlanEvent): readonly PlanAction[] {
     this.#actions = [];
-    this.#room.changed();
+    this.#capacity.changed();
     match(event)
-      .with({ kind: 'asked' }, ({ demand }) => this.#ask(now, demand))
+      .with({ kind: 'asked' }, ({ demand }) => this.#handleDemand(now, demand))
       .with({ kind: 'prefilled' }, ({ id, ms, unreachable, shedBy }) => {
-        this.#unbind(now, id, unreachable);
-        this.#shed(now, id, shedBy);
-        this.#prefilled(now, id, ms);
+        this.#unassign(now, id, unreachable);
+        this.#handleRejection(now, id, shedBy);
+        this.#recordPrefill(now, id, ms);
       })
-      .with({ kind: 'started' }, ({ id }) => this.#started(now, id))
-      .with({ kind: 'finished' }, ({ id, outputTokens }) => this.#finished(now, id, outputTokens))
-      .with({ kind: 'slow' }, ({ id }) => this.#slow(now, id))
+      .with({ kind: 'started' }, ({ id }) => this.#recordStart(now, id))
+      .with({ kind: 'finished' }, ({ id, outputTokens }) =>
+        this.#recordFinish(now, id, outputTokens),
+      )
+      .with({ kind: 'slow' }, ({ id }) => this.#handleSlowStream(now, id))
       .with({ kind: 'released' }, ({ id, blame }) => this.#release(now, id, blame))
-      .with({ kind: 'told' }, ({ vm, holdings }) => this.#adopt(now, vm, holdings))
-      .with({ kind: 'vmLost' }, ({ vm }) => this.#vmLost(now, vm))
-      .with({ kind: 'reported' }, ({ report }) => this.#reported(now, report))
+      .with({ kind: 'told' }, ({ vm, holdings }) => this.#reconcile(now, vm, holdings))
+      .with({ kind: 'vmLost' }, ({ vm }) => this.#dropVm(now, vm))
+      .with({ kind: 'reported' }, ({ report }) => this.#recordReport(now, report))
       .with({ kind: 'runners' }, ({ engine, runners }) => {
         this.#engine = engine;
         this.#account.setRunners(engine, runners);
       })
       .with({ kind: 'woke' }, () => {})
       .exhaustive();
-    this.#pump(now);
+    this.#schedule(now);
     return this.#actions;
   }
 
-  /** Asking again is safe: a gateway does so when it has not heard for a while. */
-  #ask(now: number, demand: Demand): void {
-    const placed = this.#placed.get(demand.id);
-    if (placed) this.#actions.push({ kind: 'grant', id: demand.id, grant: placed.grant });
-    else if (!this.#waiting.has(demand.id)) this.#enqueue(now, demand);
+  /**
+   * Repeated requests for the same id are safe: gateways send them again when no answer arrives in
+   * time.
+   */
+  #handleDemand(now: number, demand: Demand): void {
+    const reservation = this.#reservations.get(demand.id);
+    if (reservation) this.#actions.push({ kind: 'grant', id: demand.id, grant: reservation.grant });
+    else if (!this.#queue.has(demand.id)) this.#enqueue(now, demand);
   }
 
-  #enqueue(now: number, asked: Demand): void {
-    const demand = this.#tries.note(now, asked);
-    this.#waiting.add(demand);
-    this.#learning.asked(now, demand, !demand.returned);
+  #enqueue(now: number, received: Demand): void {
+    const demand = this.#attempts.note(now, received);
+    this.#queue.add(demand);
+    this.#stats.asked(now, demand, !demand.returned);
   }
 
-  /** Takes a request off a decode runner that was not reached, so that another is bound. */
-  #unbind(now: number, id: string, unreachable: string | undefined): void {
-    const placed = this.#placed.get(id);
+  /**
+   * Cancels the assignment to a decode runner that could not be reached, so that another one is
+   * assigned.
+   */
+  #unassign(now: number, id: string, unreachable: string | undefined): void {
+    const reservation = this.#reservations.get(id);
     const state = this.#account.decode.get(unreachable ?? '');
-    if (state) this.#distrust(now, state);
-    if (!placed?.bound || placed.grant.decode !== unreachable) return;
+    if (state) this.#recordFailure(now, state);
+    if (!reservation?.bound || reservation.grant.decode !== unreachable) return;
     this.#account.leave(now, unreachable, id);
-    placed.bound = false;
-    placed.demand = { ...placed.demand, avoid: [...placed.demand.avoid, unreachable] };
+    reservation.bound = false;
+    reservation.demand = {
+      ...reservation.demand,
+      avoid: [...reservation.demand.avoid, unreachable],
+    };
   }
 
   /**
-   * A bound request was turned away: by the account there was room, so what was
-   * read for it has probably lapsed and the same runner may read it itself; or
-   * the runner is fuller than the account knows, and the caller has to come back.
+   * Handles the rejection of an assigned request. If the account shows free memory at the runner,
+   * the kept prefill has probably expired, and the same runner may prefill the prompt itself.
+   * Otherwise the runner is fuller than the account shows, and the caller has to retry later.
    */
-  #shed(now: number, id: string, shedBy: string | undefined): void {
-    const placed = this.#placed.get(id);
+  #handleRejection(now: number, id: string, shedBy: string | undefined): void {
+    const reservation = this.#reservations.get(id);
     const state = this.#account.decode.get(shedBy ?? '');
-    if (!placed || !state) return;
-    const hasRoom = this.#room.free(now, state) >= state.memoryTokens * LAPSED_SPARE;
-    if (hasRoom && this.#ration.waitMs(now, state.runner.id) === 0) {
-      // The same runner is sent to once more.
-      this.#ration.take(now, state.runner.id);
-      const prefill = this.#placed.prefillOf(placed.grant);
-      if (prefill) this.#distrust(now, prefill);
+    if (!reservation || !state) return;
+    const hasFreeMemory =
+      this.#capacity.free(now, state) >= state.memoryTokens * EXPIRED_PREFILL_FREE_SHARE;
+    if (hasFreeMemory && this.#allowance.waitMs(now, state.runner.id) === 0) {
+      // The request is sent to the same runner a second time, which its rate limit counts as well.
+      this.#allowance.take(now, state.runner.id);
+      const prefill = this.#reservations.prefillOf(reservation.grant);
+      if (prefill) this.#recordFailure(now, prefill);
       return;
     }
-    state.foreignTokens += this.#learning.sizeOf(placed.demand);
-    this.#placed.leave(now, id);
+    state.foreignTokens += this.#stats.sizeOf(reservation.demand);
+    this.#reservations.leave(now, id);
     this.#actions.push({ kind: 'refuse', id, retryAfterMs: RETRY_FULL_MS });
   }
 
-  #prefilled(now: number, id: string, ms: number): void {
-    const placed = this.#placed.get(id);
-    if (!placed) return;
-    if (placed.bound) {
-      this.#actions.push({ kind: 'bind', id, decode: placed.grant.decode });
-      placed.boundAt = now;
+  #recordPrefill(now: number, id: string, ms: number): void {
+    const reservation = this.#reservations.get(id);
+    if (!reservation) return;
+    if (reservation.bound) {
+      this.#actions.push({ kind: 'bind', id, decode: reservation.grant.decode });
+      reservation.boundAt = now;
     }
-    if (placed.readyAt !== undefined) return;
-    placed.readyAt = now;
-    const state = this.#placed.prefillOf(placed.grant);
+    if (reservation.readyAt !== undefined) return;
+    reservation.readyAt = now;
+    const state = this.#reservations.prefillOf(reservation.grant);
     const pending = state?.pending.get(id);
     if (!state || !pending) return;
     state.pending.delete(id);
-    this.#learning.prefilled(state, pending, ms);
+    this.#stats.prefilled(state, pending, ms);
   }
 
-  #started(now: number, id: string): void {
-    const holder = this.#placed.holderOf(id);
-    if (!holder || holder.startedAt !== undefined) return;
-    holder.startedAt = now;
-    const boundAt = this.#placed.get(id)?.boundAt;
-    if (boundAt !== undefined) this.#learning.began(now - boundAt);
+  #recordStart(now: number, id: string): void {
+    const allocation = this.#reservations.holderOf(id);
+    if (!allocation || allocation.startedAt !== undefined) return;
+    allocation.startedAt = now;
+    const boundAt = this.#reservations.get(id)?.boundAt;
+    if (boundAt !== undefined) this.#stats.began(now - boundAt);
   }
 
-  #finished(now: number, id: string, outputTokens: number): void {
-    const placed = this.#placed.get(id);
-    if (!placed) return;
-    this.#tries.answered(placed.demand);
-    this.#learning.finished(placed.demand, outputTokens);
-    const decode = this.#account.decode.get(placed.grant.decode);
+  #recordFinish(now: number, id: string, outputTokens: number): void {
+    const reservation = this.#reservations.get(id);
+    if (!reservation) return;
+    this.#attempts.answered(reservation.demand);
+    this.#stats.finished(reservation.demand, outputTokens);
+    const decode = this.#account.decode.get(reservation.grant.decode);
     if (decode) decode.trust = afterSuccess(this.#policy.trust, decode.trust);
-    this.#learnPace(now, placed, id, outputTokens);
-    const prefill = this.#placed.prefillOf(placed.grant);
+    this.#recordPace(now, reservation, id, outputTokens);
+    const prefill = this.#reservations.prefillOf(reservation.grant);
     if (prefill) prefill.trust = afterSuccess(this.#policy.trust, prefill.trust);
-    this.#placed.leave(now, id);
+    this.#reservations.leave(now, id);
   }
 
-  #reported(now: number, { runner, usedTokens, runs = [] }: MemoryReport): void {
+  #recordReport(now: number, { runner, usedTokens, runs = [] }: MemoryReport): void {
     const decode = this.#account.decode.get(runner);
-    if (decode) this.#learning.reported(now, decode, runs);
+    if (decode) this.#stats.reported(now, decode, runs);
     this.#account.report(now, runner, usedTokens);
   }
 
-  /** What a finished request tells of the time of its tokens. */
-  #learnPace(now: number, { grant }: Placed, id: string, outputTokens: number): void {
+  /** Measures the time of a token from a finished request. */
+  #recordPace(now: number, { grant }: Placed, id: string, outputTokens: number): void {
     const decode = this.#account.decode.get(grant.decode);
     const startedAt = decode?.holders.get(id)?.startedAt;
     if (!decode || startedAt === undefined || !this.#engine) return;
-    this.#learning.streamed(decode, outputTokens, this.#engine.eventTokens, now - startedAt);
+    this.#stats.streamed(decode, outputTokens, this.#engine.eventTokens, now - startedAt);
   }
 
-  #slow(now: number, id: string): void {
-    const decode = this.#account.decode.get(this.#placed.get(id)?.grant.decode ?? '');
-    if (decode && !slowedByRead(now, decode)) this.#distrust(now, decode);
+  #handleSlowStream(now: number, id: string): void {
+    const decode = this.#account.decode.get(this.#reservations.get(id)?.grant.decode ?? '');
+    if (decode && !slowedByRead(now, decode)) this.#recordFailure(now, decode);
   }
 
-  /** A request went badly at a runner. */
-  #distrust(now: number, state: DecodeState | PrefillState): void {
+  /** Records a failed or slow request of a runner, which may eject it. */
+  #recordFailure(now: number, state: DecodeState | PrefillState): void {
     const runner = state;
     const before = runner.trust;
     runner.trust = afterFailure(this.#policy.trust, now, before);
-    if (runner.trust !== before) this.#distrusted.push(runner.runner.id);
+    if (runner.trust !== before) this.#ejected.push(runner.runner.id);
   }
 
   #release(now: number, id: string, blame: string | undefined): void {
-    this.#waiting.delete(id);
-    const placed = this.#placed.get(id);
+    this.#queue.delete(id);
+    const reservation = this.#reservations.get(id);
     const prefill = this.#account.prefill.get(blame ?? '');
     const pending = prefill?.pending.get(id);
-    if (prefill && pending) this.#learning.givenUp(now, prefill, pending);
-    if (placed) this.#placed.leave(now, id);
+    if (prefill && pending) this.#stats.givenUp(now, prefill, pending);
+    if (reservation) this.#reservations.leave(now, id);
     if (blame === undefined) return;
     const state = this.#account.decode.get(blame) ?? this.#account.prefill.get(blame);
-    if (state) this.#distrust(now, state);
+    if (state) this.#recordFailure(now, state);
   }
 
-  /** What a VM says it holds replaces what is counted for it. */
-  #adopt(now: number, vm: string, holdings: readonly Holding[]): void {
-    for (const { demand } of this.#placed.adopt(now, vm, holdings)) this.#waiting.delete(demand.id);
+  /** Replaces the reservations counted for a VM by those that the VM reports. */
+  #reconcile(now: number, vm: string, held: readonly Holding[]): void {
+    for (const { demand } of this.#reservations.adopt(now, vm, held)) this.#queue.delete(demand.id);
   }
 
-  #vmLost(now: number, vm: string): void {
-    this.#waiting.dropVm(vm);
-    this.#placed.dropVm(now, vm);
+  #dropVm(now: number, vm: string): void {
+    this.#queue.dropVm(vm);
+    this.#reservations.dropVm(now, vm);
   }
 
-  /** Starts what can start, in order, and refuses what cannot be served. */
-  #pump(now: number): void {
-    this.#bindReady(now);
-    if (this.#waiting.size === 0) return;
-    const order = this.#waiting.order(now);
-    let ahead = this.#allowedAhead();
-    let largest = this.#room.largest(now);
+  /**
+   * Starts waiting requests in scheduling order as far as capacity allows, and refuses those that
+   * cannot be served in time.
+   */
+  #schedule(now: number): void {
+    this.#assignPrefilled(now);
+    if (this.#queue.size === 0) return;
+    const order = this.#queue.order(now);
+    let prefillsLeft = this.#allowedPrefillsAhead();
+    let largest = this.#capacity.largest(now);
     for (const demand of order) {
-      const decode = this.#mayHave(now, demand, largest)
+      const decode = this.#fitsLargest(now, demand, largest)
         ? this.#findDecode(now, demand)
         : undefined;
-      const mayLead = ahead > 0 && this.#learning.sizeOf(demand) <= this.#learning.usualSize;
-      const chosen = decode ?? (mayLead ? this.#room.soonest(now, demand) : undefined);
-      const prefill = chosen && this.#room.findPrefill(now, demand, chosen.runner.domain);
-      const reader = decode && !prefill ? this.#findReader(now, demand) : undefined;
-      const place = prefill ? chosen : reader;
-      if (place) {
+      const mayPrefillAhead =
+        prefillsLeft > 0 && this.#stats.sizeOf(demand) <= this.#stats.usualSize;
+      const candidate =
+        decode ?? (mayPrefillAhead ? this.#capacity.soonest(now, demand) : undefined);
+      const prefill = candidate && this.#capacity.findPrefill(now, demand, candidate.runner.domain);
+      const localPrefill = decode && !prefill ? this.#findLocalPrefill(now, demand) : undefined;
+      const target = prefill ? candidate : localPrefill;
+      if (target) {
         const bound = decode !== undefined;
-        if (!bound) ahead -= 1;
-        const grant = { prefill: prefill?.runner.id, decode: place.runner.id };
-        this.#waiting.place(demand);
-        if (prefill) this.#ration.take(now, prefill.runner.id);
-        if (bound) this.#ration.take(now, place.runner.id);
-        this.#placed.add(now, demand, grant, bound, undefined);
+        if (!bound) prefillsLeft -= 1;
+        const grant = { prefill: prefill?.runner.id, decode: target.runner.id };
+        this.#queue.place(demand);
+        if (prefill) this.#allowance.take(now, prefill.runner.id);
+        if (bound) this.#allowance.take(now, target.runner.id);
+        this.#reservations.add(now, demand, grant, bound, undefined);
         this.#actions.push({ kind: 'grant', id: demand.id, grant });
-        largest = this.#room.largest(now);
+        largest = this.#capacity.largest(now);
       }
     }
-    this.#refuseHopeless(now, order);
+    this.#refuseUnservable(now, order);
   }
 
-  /** Whether a request may have the most room that one decode runner has. */
-  #mayHave(now: number, demand: Demand, largest: number): boolean {
-    const spare =
+  /** Whether the largest free memory of any one decode runner is enough for a request. */
+  #fitsLargest(now: number, demand: Demand, largest: number): boolean {
+    const requiredFreeTokens =
       sparePart(this.#policy.order, this.#costs, now, demand) * (this.#engine?.memoryTokens ?? 0);
-    return this.#learning.sizeOf(demand) + spare <= largest;
+    return this.#stats.sizeOf(demand) + requiredFreeTokens <= largest;
   }
 
-  /** Prefilled requests get memory before any other, since what was read for them lapses. */
-  #bindReady(now: number): void {
+  /**
+   * Assigns decode runners to prefilled requests. They get memory before all others, since their
+   * kept prefills expire.
+   */
+  #assignPrefilled(now: number): void {
     const keepMs = waitableMs(this.#policy.ahead, this.#engine?.keepMs ?? 0);
-    for (const [id, placed] of this.#placed.entries) {
-      if (!placed.bound && placed.readyAt !== undefined) {
-        const decode = this.#findDecode(now, placed.demand);
+    for (const [id, reservation] of this.#reservations.entries) {
+      if (!reservation.bound && reservation.readyAt !== undefined) {
+        const decode = this.#findDecode(now, reservation.demand);
         if (decode) {
-          this.#ration.take(now, decode.runner.id);
-          this.#placed.bind(now, placed, decode.runner.id);
+          this.#allowance.take(now, decode.runner.id);
+          this.#reservations.bind(now, reservation, decode.runner.id);
           this.#actions.push({ kind: 'bind', id, decode: decode.runner.id });
-        } else if (now - placed.readyAt > keepMs) {
-          this.#placed.leave(now, id);
-          this.#actions.push({ kind: 'refuse', id, retryAfterMs: RETRY_UNBOUND_MS });
+        } else if (now - reservation.readyAt > keepMs) {
+          this.#reservations.leave(now, id);
+          this.#actions.push({ kind: 'refuse', id, retryAfterMs: RETRY_UNASSIGNED_MS });
         }
       }
     }
   }
 
-  /** Prefills that may start now ahead of the memory for them. */
-  #allowedAhead(): number {
-    let holders = 0;
-    for (const state of this.#account.decode.values()) holders += state.holders.size;
-    const ahead = this.#placed.unbound;
-    const { readMs, residenceMs } = this.#learning;
+  /** Number of prefills that may start now before decode memory is free for them. */
+  #allowedPrefillsAhead(): number {
+    let allocations = 0;
+    for (const state of this.#account.decode.values()) allocations += state.holders.size;
+    const unassigned = this.#reservations.unbound;
+    const { readMs, residenceMs } = this.#stats;
     const keepMs = this.#engine?.keepMs ?? 0;
-    return allowedAhead(this.#policy.ahead, holders, readMs, residenceMs, keepMs) - ahead;
+    return allowedAhead(this.#policy.ahead, allocations, readMs, residenceMs, keepMs) - unassigned;
   }
 
-  /** Refuses what cannot be served while its caller waits. */
-  #refuseHopeless(now: number, order: readonly Demand[]): void {
-    const { usualSize, residenceMs } = this.#learning;
-    const left = order.filter(({ id }) => this.#waiting.has(id));
-    const hopeless = hopelessOf(this.#policy.refusal, now, left, {
-      sizeOf: (demand) => this.#learning.sizeOf(demand),
+  /** Refuses requests that cannot be served before their callers disconnect. */
+  #refuseUnservable(now: number, order: readonly Demand[]): void {
+    const { usualSize, residenceMs } = this.#stats;
+    const stillWaiting = order.filter(({ id }) => this.#queue.has(id));
+    const unservable = hopelessOf(this.#policy.refusal, now, stillWaiting, {
+      sizeOf: (demand) => this.#stats.sizeOf(demand),
       leastMs: (demand) => leastMs(this.#costs, demand),
-      spare: this.#learning.spare(now, this.#room.capacity(usualSize, residenceMs)),
-      releases: this.#room.releases(now, usualSize),
-      readMs: this.#room.readMs(now),
+      spare: this.#stats.spare(now, this.#capacity.capacity(usualSize, residenceMs)),
+      releases: this.#capacity.releases(now, usualSize),
+      readMs: this.#capacity.readMs(now),
     });
-    for (const wait of hopeless) {
-      const { id } = wait.demand;
-      this.#waiting.delete(id);
+    for (const request of unservable) {
+      const { id } = request.demand;
+      this.#queue.delete(id);
       this.#actions.push({
         kind: 'refuse',
         id,
-        retryAfterMs: this.#returnTimes.next(now, wait),
+        retryAfterMs: this.#retryTimes.next(now, request),
       });
     }
   }
 
+  /**
+   * The decode runner with the most free memory that fits a request; undefined if there is none.
+   */
   #findDecode(now: number, demand: Demand): DecodeState | undefined {
-    return this.#room.findDecode(
+    return this.#capacity.findDecode(
       now,
       demand,
-      this.#learning.sizeOf(demand),
+      this.#stats.sizeOf(demand),
       this.#engine?.slots ?? 0,
     );
   }
 
-  /** The decode runner that reads a prompt itself because no prefill runner can. */
-  #findReader(now: number, demand: Demand): DecodeState | undefined {
+  /** The decode runner that prefills a prompt itself because no prefill runner can. */
+  #findLocalPrefill(now: number, demand: Demand): DecodeState | undefined {
     return (
       this.#engine &&
-      this.#room.findReader(now, demand, this.#learning.sizeOf(demand), this.#engine)
+      this.#capacity.findReader(now, demand, this.#stats.sizeOf(demand), this.#engine)
     );
   }
 }
--- a/src/core/memory/policy.ts
+++ b/src/core/memory/policy.ts
@@ -1,8 +1,7 @@
 /**
- * The rules of a planner that were weighed against others, and their figures.
- * A planner is given them by whoever makes it, so that one of them can be
- * changed or left out without a change of the code that follows it. Figures of
- * the engine are not here: they are measured.
+ * Tunable rules of a planner and their values. They are passed to the planner, so that a rule can
+ * be changed or left out without a change of the code that applies it. Times of the engine are not
+ * here: they are measured at run time.
  */
 
 import type { PeakEstimate } from './growth';
@@ -10,95 +9,112 @@
 import type { Turns } from './turns';
 import { FairTurns } from './turns';
 
-/** How decode memory is given out. */
+/** How decode memory is reserved. */
 export interface MemoryRules {
-  /** Part of a runner's memory that is given out. */
+  /** Share of a runner's memory that may be reserved. */
   readonly fill: number;
-  /** Memory kept free for outputs that grow over their estimate, as a multiple of what they are usually off together. */
+  /**
+   * Memory kept free for outputs that exceed their estimate, as a multiple of the usual error of
+   * the summed estimates.
+   */
   readonly deviations: number;
-  /** What the requests of a runner count for. */
+  /** Estimates the peak memory of a runner's requests. */
   readonly peak: PeakEstimate;
 }
 
-/** Prefills ahead of the memory for them. */
+/** Prefills that start before decode memory is free for them. */
 export interface AheadRules {
-  /** Part of the time that a prefill is kept in which it may wait for memory. */
+  /** Share of the time that a finished prefill is kept for which it may wait for memory. */
   readonly keepPart: number;
-  /** Part of the requests that should end by then for which prefills may start; 0 for none. */
+  /** Share of the requests expected to end by then for which prefills may start; 0 for none. */
   readonly part: number;
 }
 
-/** Who of the waiting requests goes first. */
+/** Scheduling order of the waiting requests. */
 export interface OrderRules {
-  /** Part of a decode runner's memory that a request leaves free which is late anyway. */
+  /** Share of a decode runner's memory that a late request must leave free. */
   readonly lateSpare: number;
-  /** Who of those that can meet their aim goes first; for one planner. */
+  /** Creates the order of the requests that can still meet their deadline; one for each planner. */
   readonly turns: () => Turns;
 }
 
-/** Who is refused, and when they may come back. */
+/** Which requests are refused, and when their callers may retry. */
 export interface RefusalRules {
-  /** Part of the estimated wait that must fit before the caller of a last try leaves. */
+  /**
+   * Factor on the estimated wait of a last attempt before it is compared with the time until the
+   * caller disconnects.
+   */
   readonly lastTryDoubt: number;
   /** Shortest Retry-After, in milliseconds. */
   readonly leastMs: number;
   /** Longest Retry-After, in milliseconds. */
   readonly mostMs: number;
-  /** Longest step between the times of two refused callers, in milliseconds. */
+  /** Longest step between the retry times of two refused callers, in milliseconds. */
   readonly stepMs: number;
 }
 
-/** Where prompts are read. */
+/** Where prompts are prefilled. */
 export interface ReadingRules {
-  /** By how much a prefill in another failure domain may be sooner and still not be preferred, in milliseconds. */
+  /** Time added to the cost of a prefill in another failure domain, in milliseconds. */
   readonly farMs: number;
-  /** Prompts that may wait at a prefill runner, in milliseconds of its work. */
+  /** Largest backlog at which a prefill runner still gets prompts, in milliseconds of its work. */
   readonly backlogLimitMs: number;
-  /** Part of a decode runner's memory that must stay free beside a prompt that it reads itself; 1 if none may. */
+  /**
+   * Share of a decode runner's memory that must stay free beside a local prefill; 1 disables local
+   * prefills.
+   */
   readonly directSpare: number;
-  /** Part of the longest pause of an answer that it may come to by a decode runner's own reading. */
+  /**
+   * Share of the allowed pause between events that a local prefill may cause in the other streams.
+   */
   readonly pausePart: number;
 }
 
 /** How many runners prefill and how many decode. */
 export interface StageRules {
-  /** Prefill capacity kept beyond the need, as a part. */
+  /** Factor by which prefill capacity exceeds the need. */
   readonly headroom: number;
-  /** By how much a change must raise the requests served, as a part; infinite if none is ordered. */
+  /**
+   * Smallest gain in served requests that justifies a stage change, as a share; infinite disables
+   * changes.
+   */
   readonly leastGain: number;
-  /** Rates that differ by less than this part count as the same. */
+  /** Rates that differ by less than this share count as equal. */
   readonly tiePart: number;
-  /** Time for which the number of runners must be the same, in milliseconds. */
+  /** Time for which the number of runners must have been constant, in milliseconds. */
   readonly steadyMs: number;
-  /** Time for which an excess of prefill runners must last that the return of lost ones would end, in milliseconds. */
+  /**
+   * Time for which an excess of prefill runners must last if the return of lost runners would end
+   * it, in milliseconds.
+   */
   readonly excessMs: number;
-  /** Time for which a lack of prefill runners must last, in milliseconds. */
+  /** Time for which a shortage of prefill runners must last, in milliseconds. */
   readonly lackMs: number;
 }
 
-/** How long failures keep work off a runner. */
+/** How long failing runners are ejected. */
 export interface TrustRules {
-  /** Time without work after the first failure, in milliseconds; doubles with each further one. */
+  /** Ejection time after the first failure, in milliseconds; doubles with each further one. */
   readonly firstMs: number;
-  /** Longest time without work, in milliseconds: then one request tries again. */
+  /** Longest ejection time, in milliseconds; after it, the runner gets requests again. */
   readonly limitMs: number;
-  /** What a good end leaves of the strikes. */
+  /** Factor on the failure score with each success. */
   readonly goodEnd: number;
-  /** Most runners of a stage that may be without work at once, as a part. */
+  /** Largest share of a stage's runners that may be ejected at once. */
   readonly distrustedPart: number;
 }
 
-/** How outputs are estimated. */
+/** How output lengths are estimated. */
 export interface LengthRules {
-  /** Weights of the caller's own guess that are weighed against each other. */
+  /** Weights of the caller's length hint; the one with the smallest error is used. */
   readonly hintWeights: readonly number[];
 }
 
-/** How a planner begins that may lack a part of the account. */
+/** Warm-up of a planner whose account may be incomplete after taking over. */
 export interface CautionRules {
-  /** Time in which all VMs should have told what they hold, in milliseconds. */
+  /** Time in which all VMs should have reported their reservations, in milliseconds. */
   readonly ms: number;
-  /** Part of a decode runner's memory that must be free by the account for it to get work until then. */
+  /** Share of a decode runner's memory that must be free for it to get work during the warm-up. */
   readonly freePart: number;
 }
 
@@ -116,27 +132,27 @@
 }
 
 const memory: MemoryRules = {
-  // The rest covers requests on their way and rounding to blocks.
+  // The rest covers requests in transit and rounding to blocks.
   fill: 0.99,
-  // A fixed part of 3 % was right where an output is a tenth of its request; where it is half of it,
-  // requests were pushed out and read again, and their answers paused: with this margin the worth of
-  // bursts on stand-in engines of that kind is 0.84, with the part 0.73.
+  // A fixed share of 3 % fits outputs that are a tenth of their request. Where an output is half of
+  // it, requests were preempted and prefilled again, and their answers paused: on stand-in engines
+  // of that kind, bursts score a goodput of 0.84 with this margin and 0.73 with the fixed share.
   deviations: 1.5,
   peak: new ComingPeak(),
 };
 
 const ahead: AheadRules = {
-  // The rest covers messages and the move.
+  // The rest covers messages and the transfer of the KV cache.
   keepPart: 0.6,
-  // Without it memory lies idle for the time of each prefill, some 7 % of it. Ends are only expected,
-  // so it is far below all of them.
+  // Without prefills ahead of memory, some 7 % of the memory idles while prefills run. Ends are
+  // only estimated, so the share is far below 1.
   part: 0.25,
 };
 
 const order: OrderRules = {
-  // A late request holds its memory as long as one in time: given the last room, late ones make those
-  // late that come next. In an overload by a third this and their last place in the queue raise the
-  // requests served in time from 72 to 85 % of all.
+  // A late request holds its memory as long as one in time, and using the last free memory for it
+  // delays the requests that follow. In an overload by a third, this reserve and their last place
+  // in the queue raise the share of requests served in time from 72 to 85 %.
   lateSpare: 0.1,
   turns: () => new FairTurns(),
 };
@@ -146,33 +162,33 @@
   lastTryDoubt: 0.5,
   leastMs: 300,
   mostMs: 4500,
-  // In a heavy burst the times go round instead of reaching beyond what callers wait.
+  // In a heavy burst the retry times wrap around instead of exceeding the time that callers wait.
   stepMs: 230,
 };
 
 const reading: ReadingRules = {
   farMs: 20,
-  // Enough that a prefill runner never idles.
+  // Large enough that a prefill runner never idles.
   backlogLimitMs: 120,
   directSpare: 0.15,
   pausePart: 0.75,
 };
 
 const stages: StageRules = {
-  // A burst of prompts comes first to the prefill runners.
+  // A burst of prompts reaches the prefill runners first.
   headroom: 1.2,
-  // A change takes a runner away for some ten seconds; one that was ordered for less, right before a
-  // burst, left a quarter of the decode memory unused while requests were refused.
+  // A change takes a runner out of service for some ten seconds. One made for a smaller gain right
+  // before a burst left a quarter of the decode memory unused while requests were refused.
   leastGain: 0.1,
-  // Rates are measured, and count on decode runners to read what prefill runners cannot. With 0.03 six
-  // runners were left with one that prefills, which bound in each burst: the worth of a day with
-  // trouble fell from 0.77 to 0.66.
+  // Rates are estimates and assume that decode runners prefill what prefill runners cannot. With
+  // 0.03, six runners were left with one prefill runner, the bottleneck in each burst: the goodput
+  // of a day with faults fell from 0.77 to 0.66.
   tiePart: 0.08,
   // Runners register one after the other.
   steadyMs: 2500,
-  // Lost runners are usually back sooner than a change takes.
+  // Lost runners usually return sooner than a change takes.
   excessMs: 9000,
-  // A lack of prefill runners costs more.
+  // A shortage of prefill runners costs more than an excess.
   lackMs: 4000,
 };
 
@@ -180,7 +196,7 @@
   firstMs: 400,
   limitMs: 6000,
   goodEnd: 0.5,
-  // What fails everywhere is not the runners' fault.
+  // A failure that affects most runners is not caused by the runners.
   distrustedPart: 0.5,
 };
 
@@ -188,7 +204,7 @@
 
 const caution: CautionRules = { ms: 500, freePart: 0.5 };
 
-/** The rules in force. */
+/** The policy in use. */
 export const planPolicy: PlanPolicy = {
   memory,
   ahead,
--- a/src/core/memory/queue.ts
+++ b/src/core/memory/queue.ts
@@ -1,4 +1,4 @@
-/** Requests that wait for a place, and who of them goes first. */
+/** Requests that wait for a reservation, and their scheduling order. */
 
 import type { Costs } from './cost';
 import { prefillMs } from './cost';
@@ -6,12 +6,12 @@
 import type { Turn, Turns } from './turns';
 import type { Demand } from './types';
 
-/** Least time from a grant to the first event, in milliseconds. */
+/** Shortest time from a grant to the first event, in milliseconds. */
 export function leastMs(costs: Costs, { promptTokens }: Demand): number {
   return prefillMs(costs, promptTokens) + costs.firstEventMs;
 }
 
-/** Part of a decode runner's memory that a request has to leave free. */
+/** Share of a decode runner's memory that must stay free beside a request. */
 export function sparePart(
   { lateSpare }: OrderRules,
   costs: Costs,
@@ -30,22 +30,24 @@
 
   readonly #costs: Costs;
 
-  readonly #turns: Turns;
+  readonly #queueOrder: Turns;
 
-  /** Requests that wait, by customer. */
+  /** Number of waiting requests by customer. */
   readonly #counts = new Map<string | undefined, number>();
 
   /** @param sizeOf tokens of memory that a request will take */
-  constructor(costs: Costs, turns: Turns, sizeOf: (demand: Demand) => number) {
+  constructor(costs: Costs, queueOrder: Turns, sizeOf: (demand: Demand) => number) {
     this.#costs = costs;
-    this.#turns = turns;
+    this.#queueOrder = queueOrder;
     this.#sizeOf = sizeOf;
   }
 
+  /** Number of waiting requests. */
   get size(): number {
     return this.#demands.size;
   }
 
+  /** Whether a request waits. */
   has(id: string): boolean {
     return this.#demands.has(id);
   }
@@ -55,13 +57,17 @@
     return [...this.#demands.values()].some((demand) => demand.vm === vm);
   }
 
+  /** Adds a request. */
   add(demand: Demand): void {
     const count = this.#counts.get(demand.customer) ?? 0;
-    if (count === 0) this.#turns.entered(demand);
+    if (count === 0) this.#queueOrder.entered(demand);
     this.#counts.set(demand.customer, count + 1);
     this.#demands.set(demand.id, demand);
   }
 
+  /**
+   * Removes a request without a charge to its customer's share; does nothing if it does not wait.
+   */
   delete(id: string): void {
     const demand = this.#demands.get(id);
     if (!demand) return;
@@ -70,25 +76,25 @@
     if (count > 0) this.#counts.set(demand.customer, count);
     else {
       this.#counts.delete(demand.customer);
-      this.#turns.left(demand);
+      this.#queueOrder.left(demand);
     }
   }
 
-  /** A request has a place: it waits no more, and its customer had its turn. */
+  /** Removes a request that got a reservation and charges its customer's share. */
   place(demand: Demand): void {
-    this.#turns.placed(this.#turnOf(demand));
+    this.#queueOrder.placed(this.#entryOf(demand));
     this.delete(demand.id);
   }
 
-  /** Forgets the requests of a VM that is gone. */
+  /** Removes the requests of a VM that is gone. */
   dropVm(vm: string): void {
     for (const [id, demand] of this.#demands) if (demand.vm === vm) this.delete(id);
   }
 
   /**
-   * Those whose callers would see a pause in the middle of an answer, then those that can
-   * still meet their aim, then the others: they take what is left, and whose caller leaves
-   * first goes first.
+   * All waiting requests in scheduling order: first those that resume an interrupted answer, since
+   * their callers see a pause; then those that can still meet their deadline; then late ones, which
+   * get the remaining capacity, ordered by when their callers disconnect.
    */
   order(now: number): readonly Demand[] {
     const all = [...this.#demands.values()];
@@ -96,16 +102,16 @@
     const others = all.filter((demand) => !demand.resuming);
     const inTime = others.filter((demand) => this.#isInTime(now, demand));
     const late = others.filter((demand) => !this.#isInTime(now, demand));
-    const turns = this.#turns.order(inTime.map((demand) => this.#turnOf(demand)));
+    const ordered = this.#queueOrder.order(inTime.map((demand) => this.#entryOf(demand)));
     late.sort((a, b) => a.lostAt - b.lostAt);
-    return [...resuming, ...turns.map(({ demand }) => demand), ...late];
+    return [...resuming, ...ordered.map(({ demand }) => demand), ...late];
   }
 
   #isInTime(now: number, demand: Demand): boolean {
     return now + leastMs(this.#costs, demand) <= demand.dueAt;
   }
 
-  #turnOf(demand: Demand): Turn {
+  #entryOf(demand: Demand): Turn {
     const size = this.#sizeOf(demand);
     const heldMs =
       leastMs(this.#costs, demand) + (size - demand.promptTokens) * this.#costs.tokenMs;
--- a/src/core/memory/refusal.ts
+++ b/src/core/memory/refusal.ts
@@ -1,40 +1,43 @@
-/** Who among the waiting requests is refused, and when their callers may come back. */
+/** Which waiting requests are refused, and when their callers may retry. */
 
 import type { RefusalRules } from './policy';
 import type { Release } from './room';
 import { waitFor } from './room';
 import type { Demand } from './types';
 
-/** What is expected of the runners. */
+/** Expected capacity of the runners. */
 export interface Outlook {
   /** Tokens of memory that a request will take. */
   readonly sizeOf: (demand: Demand) => number;
-  /** Least time from a grant to the first event, in milliseconds. */
+  /** Shortest time from a grant to the first event, in milliseconds. */
   readonly leastMs: (demand: Demand) => number;
-  /** Tokens in a millisecond that first attempts leave to the others. */
+  /** Tokens per millisecond that are not used by first attempts. */
   readonly spare: number;
   readonly releases: readonly Release[];
-  /** Time until so many tokens of prompts will have been read, in milliseconds. */
+  /** Time until a number of prompt tokens will have been prefilled, in milliseconds. */
   readonly readMs: (tokens: number) => number;
 }
 
-/** A request that cannot be served while its caller waits. */
+/** A request that cannot be served before its caller disconnects. */
 export interface HopelessWait {
   readonly demand: Demand;
-  /** Time until its turn would come, in milliseconds. */
+  /** Expected time until it could start, in milliseconds. */
   readonly waitMs: number;
-  /** Time that its turn takes of what is left over for late requests, in milliseconds. */
+  /** Time that its memory takes of the capacity left over for late requests, in milliseconds. */
   readonly turnMs: number;
 }
 
-/** A request whose caller leaves sooner than this after its first event could come is not started, in milliseconds. */
-const LOST_MARGIN_MS = 250;
 /**
- * Finds what cannot be served while its caller waits, as soon as that is known.
- * A request that would miss its aim waits only if memory is likely to be left
- * over for it. One whose caller came back has no further try, so it waits also
- * for less likely room.
- * @param order waiting requests, who goes first in front
+ * A request is not started if its caller would disconnect sooner than this after the first possible
+ * event, in milliseconds.
+ */
+const DISCONNECT_MARGIN_MS = 250;
+/**
+ * Finds the requests that cannot be served before their callers disconnect, as early as that is
+ * known. A request that would miss its deadline keeps waiting only if capacity for it is likely to
+ * be left over. A returning caller has no further attempt, so its request also waits for less
+ * likely capacity.
+ * @param order waiting requests in scheduling order
  */
 export function hopelessOf(
   { lastTryDoubt }: RefusalRules,
@@ -43,27 +46,27 @@
   { sizeOf, leastMs, spare, releases, readMs }: Outlook,
 ): readonly HopelessWait[] {
   const found: HopelessWait[] = [];
-  let ahead = 0;
-  let late = 0;
+  let tokensAhead = 0;
+  let lateTokens = 0;
   for (const demand of order) {
     const size = sizeOf(demand);
-    ahead += size;
-    const waitMs = Math.max(waitFor(now, releases, ahead), readMs(ahead));
-    const inTime = now + waitMs + leastMs(demand) <= demand.dueAt;
-    const lateMs = waitMs + (late + size) / spare;
-    const lastAt = demand.lostAt - LOST_MARGIN_MS - leastMs(demand);
+    tokensAhead += size;
+    const waitMs = Math.max(waitFor(now, releases, tokensAhead), readMs(tokensAhead));
+    const isInTime = now + waitMs + leastMs(demand) <= demand.dueAt;
+    const lateMs = waitMs + (lateTokens + size) / spare;
+    const latestStartAt = demand.lostAt - DISCONNECT_MARGIN_MS - leastMs(demand);
     const likelyMs = demand.returned ? lateMs * lastTryDoubt : lateMs;
-    const keep = now + (demand.resuming ? 0 : likelyMs) <= lastAt;
-    if (!inTime && keep) late += size;
-    if (!inTime && !keep) {
-      ahead -= size;
+    const keepsWaiting = now + (demand.resuming ? 0 : likelyMs) <= latestStartAt;
+    if (!isInTime && keepsWaiting) lateTokens += size;
+    if (!isInTime && !keepsWaiting) {
+      tokensAhead -= size;
       found.push({ demand, waitMs: lateMs, turnMs: size / spare });
     }
   }
   return found;
 }
 
-/** Times at which refused callers may come back: one after the other, so that they do not all come at once. */
+/** Retry times of refused callers, spread over time so that they do not all retry at once. */
 export class ReturnTimes {
   readonly #rules: RefusalRules;
 
@@ -73,7 +76,7 @@
     this.#rules = rules;
   }
 
-  /** Retry-After of the next one, in milliseconds. */
+  /** Retry-After of the next refused request, in milliseconds. */
   next(now: number, { waitMs, turnMs }: HopelessWait): number {
     const { leastMs, mostMs, stepMs } = this.#rules;
     const earliest = now + Math.min(waitMs, mostMs / 2);
--- a/src/core/memory/room.ts
+++ b/src/core/memory/room.ts
@@ -1,4 +1,7 @@
-/** What the account leaves: which runner has room now, which will have it first, and when memory comes free. */
+/**
+ * Free capacity by the account: which runner has free memory now, which is likely to have some
+ * first, and when memory will be freed.
+ */
 
 import type { Ration } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
@@ -9,26 +12,31 @@
 import type { PlanPolicy } from './policy';
 import type { Demand } from './types';
 
-/** What is logged with each decision. */
+/** Load of a service as logged with each decision. */
 export interface PlanLoad {
-  /** Part of all decode memory that is given out. */
+  /** Reserved share of all decode memory. */
   readonly memory: number;
-  /** By runner, of the first ones: requests, part of its memory, tokens of others. */
+  /**
+   * For the first decode runners: number of requests, reserved share of the memory, unexplained
+   * tokens.
+   */
   readonly decode: readonly string[];
-  /** By runner, of the first ones: backlog in milliseconds. */
+  /** For the first prefill runners: backlog in milliseconds. */
   readonly prefill: readonly number[];
 }
 
-/** Tokens that are free by a time. */
+/** Total number of tokens expected to be free at a time. */
 export interface Release {
   readonly at: number;
   readonly tokens: number;
 }
 
-/** Runners whose load is logged one by one; in a large service they would fill the log. */
-const LOAD_RUNNERS = 6;
+/**
+ * Largest number of runners of a stage whose load is logged; a large service would fill the log.
+ */
+const MAX_LOGGED_RUNNERS = 6;
 
-/** A view of an account at one moment. */
+/** View of the account's free capacity at one moment. */
 export class Room {
   readonly #policy: PlanPolicy;
 
@@ -36,70 +44,82 @@
 
   readonly #costs: Costs;
 
-  readonly #ration: Ration;
+  readonly #allowance: Ration;
 
-  /** Free tokens at one moment; forgotten with each change of the account. */
-  readonly #freeKnown = new Map<DecodeState, number>();
+  /** Cached free tokens at `#freeAt`; cleared with each change of the account. */
+  readonly #freeCache = new Map<DecodeState, number>();
 
   #freeAt = -1;
 
-  /** Until then only runners that are mostly empty by the account count as having room. */
-  #cautiousUntil = 0;
+  /**
+   * End of the warm-up. Until then only runners that are mostly empty by the account get requests.
+   */
+  #warmUpUntil = 0;
 
-  constructor(policy: PlanPolicy, account: MemoryAccount, costs: Costs, ration: Ration) {
+  constructor(policy: PlanPolicy, account: MemoryAccount, costs: Costs, allowance: Ration) {
     this.#policy = policy;
     this.#account = account;
     this.#costs = costs;
-    this.#ration = ration;
+    this.#allowance = allowance;
   }
 
-  /** The account may lack what other VMs hold, until they had time to tell. */
+  /**
+   * Starts the warm-up, in which the account may lack reservations that other VMs have not reported
+   * yet.
+   */
   beCautious(now: number): void {
-    this.#cautiousUntil = now + this.#policy.caution.ms;
+    this.#warmUpUntil = now + this.#policy.caution.ms;
   }
 
-  /** To be called when the account has changed. */
+  /** Clears the cache; must be called after each change of the account. */
   changed(): void {
-    this.#freeKnown.clear();
+    this.#freeCache.clear();
   }
 
-  /** The inputs of a decision: memory given out, as a part of all and by decode runner, and the backlog of prefill runners. */
+  /**
+   * Current load: reserved share of all decode memory and of each decode runner, and the backlog of
+   * the prefill runners.
+   */
   load(now: number): PlanLoad {
     const states = [...this.#account.decode.values()];
     const free = states.reduce((sum, state) => sum + this.free(now, state), 0);
     const memory = Math.round((1 - free / Math.max(1, this.memory)) * 100) / 100;
-    const decode = states.slice(0, LOAD_RUNNERS).map((state) => {
-      const part = 1 - this.free(now, state) / state.memoryTokens;
-      return `${state.holders.size}:${part.toFixed(2)}:${Math.round(state.foreignTokens)}`;
+    const decode = states.slice(0, MAX_LOGGED_RUNNERS).map((state) => {
+      const share = 1 - this.free(now, state) / state.memoryTokens;
+      return `${state.holders.size}:${share.toFixed(2)}:${Math.round(state.foreignTokens)}`;
     });
     const prefill = [...this.#account.prefill.values()]
-      .slice(0, LOAD_RUNNERS)
+      .slice(0, MAX_LOGGED_RUNNERS)
       .map((state) => Math.round(backlogMs(this.#costs, now, state)));
     return { memory, decode, prefill };
   }
 
-  /** The most that one decode runner has free which may get a request now. */
+  /**
+   * Largest free memory among the decode runners whose rate limit allows a request now, in tokens.
+   */
   largest(now: number): number {
-    let room = 0;
+    let largest = 0;
     for (const state of this.#account.decode.values()) {
-      if (this.#hasTurn(now, state)) room = Math.max(room, this.free(now, state));
+      if (this.#isWithinRate(now, state)) largest = Math.max(largest, this.free(now, state));
     }
-    return room;
+    return largest;
   }
 
-  /** Whether a runner may get one more request by the limit that it names. */
-  #hasTurn(now: number, { runner }: DecodeState | PrefillState): boolean {
-    return this.#ration.waitMs(now, runner.id) === 0;
+  /** Whether a runner's rate limit allows one more request now. */
+  #isWithinRate(now: number, { runner }: DecodeState | PrefillState): boolean {
+    return this.#allowance.waitMs(now, runner.id) === 0;
   }
 
-  /** The decode runner with the most room. */
+  /**
+   * The decode runner with the most free memory that fits a request; undefined if there is none.
+   */
   findDecode(
     now: number,
     demand: Demand,
     need: number,
     mostSlots: number,
   ): DecodeState | undefined {
-    return this.#roomiest(
+    return this.#findMostFree(
       now,
       demand,
       (state, free) => free >= need && mostSlots > state.holders.size,
@@ -107,11 +127,11 @@
   }
 
   /**
-   * The decode runner with the most room among those that may read the prompt
-   * themselves. Where the prefill runners have more than they can read and decode
-   * memory lies idle, decode runners read prompts, one at a time each: after the
-   * loss of a prefill runner half of the decode memory was idle while requests
-   * were refused. It slows the other answers there, so a full runner does not do it.
+   * The decode runner with the most free memory among those that may prefill the prompt themselves.
+   * Local prefills are allowed where the prefill runners are overloaded while decode memory is
+   * idle, one at a time on each runner: after the loss of a prefill runner, half of the decode
+   * memory was idle while requests were refused. A local prefill slows the other streams on the
+   * runner, so a nearly full runner does not run one.
    */
   findReader(
     now: number,
@@ -121,16 +141,16 @@
   ): DecodeState | undefined {
     const { directSpare, pausePart } = this.#policy.reading;
     const pauseMs = pauseOfRead(this.#costs, demand.promptTokens, eventTokens);
-    return this.#roomiest(now, demand, (state, free) => {
-      const spare = free - need > state.memoryTokens * directSpare;
-      const able = spare && slots > state.holders.size && !isReading(now, state);
-      const short = pauseMs <= leastGapMs(state) * pausePart;
-      return able && (short || this.#account.prefill.size === 0);
+    return this.#findMostFree(now, demand, (state, free) => {
+      const hasSpareMemory = free - need > state.memoryTokens * directSpare;
+      const isCandidate = hasSpareMemory && slots > state.holders.size && !isReading(now, state);
+      const isShortPause = pauseMs <= minGapMs(state) * pausePart;
+      return isCandidate && (isShortPause || this.#account.prefill.size === 0);
     });
   }
 
-  /** The decode runner with the most room that may get this request and meets a condition. */
-  #roomiest(
+  /** The eligible decode runner with the most free memory that satisfies a condition. */
+  #findMostFree(
     now: number,
     { avoid }: Demand,
     meets: (state: DecodeState, free: number) => boolean,
@@ -139,8 +159,8 @@
     let bestFree = -Infinity;
     for (const state of ableOf(now, this.#account.decode.values(), this.#policy.trust)) {
       const free = this.free(now, state);
-      const able = free > bestFree && meets(state, free) && !avoid.includes(state.runner.id);
-      if (able && this.#isSafe(now, state) && this.#hasTurn(now, state)) {
+      const isCandidate = free > bestFree && meets(state, free) && !avoid.includes(state.runner.id);
+      if (isCandidate && this.#isAllowedInWarmUp(now, state) && this.#isWithinRate(now, state)) {
         best = state;
         bestFree = free;
       }
@@ -148,23 +168,31 @@
     return best;
   }
 
-  /** The decode runner that will probably have room first; only a guess until the request is bound. */
+  /**
+   * The decode runner that is likely to have free memory first; only an estimate until the request
+   * is assigned.
+   */
   soonest(now: number, demand: Demand): DecodeState | undefined {
-    return this.#roomiest(now, demand, () => true);
+    return this.#findMostFree(now, demand, () => true);
   }
 
+  /**
+   * The prefill runner that is expected to finish a prompt first and whose backlog is below the
+   * limit; undefined if there is none.
+   */
   findPrefill(now: number, demand: Demand, domain: string): PrefillState | undefined {
     const { backlogLimitMs, farMs } = this.#policy.reading;
     let best: PrefillState | undefined;
     let bestMs = Infinity;
     for (const state of ableOf(now, this.#account.prefill.values(), this.#policy.trust)) {
       const backlog = backlogMs(this.#costs, now, state);
-      const able = backlog <= backlogLimitMs;
-      // Between failure domains the KV cache moves at half the speed; a tie goes to the nearer runner.
+      const isCandidate = backlog <= backlogLimitMs;
+      // Between failure domains the KV cache is transferred at half the speed; a tie goes to the
+      // closer runner.
       const ms = backlog + prefillMs(this.#costs, demand.promptTokens, state.slowness);
       const cost = state.runner.domain === domain ? ms : ms + farMs;
-      const isBest = able && cost < bestMs && !demand.avoid.includes(state.runner.id);
-      if (isBest && this.#hasTurn(now, state)) {
+      const isBest = isCandidate && cost < bestMs && !demand.avoid.includes(state.runner.id);
+      if (isBest && this.#isWithinRate(now, state)) {
         best = state;
         bestMs = cost;
       }
@@ -173,19 +201,19 @@
   }
 
   /**
-   * Tokens that are free by each moment at which one more request will probably have ended. Of a
-   * runner that names a rate limit they count only as its turns come.
+   * Expected total of free tokens after each expected end of a request, in order of time. For a
+   * runner with a rate limit, tokens count only as fast as the limit allows requests.
    * @param usualSize tokens of memory that a request usually takes
    */
   releases(now: number, usualSize: number): readonly Release[] {
     const ends: Release[] = [];
     let free = 0;
     for (const state of this.#account.decode.values()) {
-      const ratePerS = this.#ration.ratePerS(state.runner.id);
+      const ratePerS = this.#allowance.ratePerS(state.runner.id);
       if (ratePerS === undefined) {
         free += this.free(now, state);
-        ends.push(...this.#endsOf(now, state));
-      } else ends.push(...this.#turnsOf(now, state, ratePerS, usualSize));
+        ends.push(...this.#expectedEnds(now, state));
+      } else ends.push(...this.#rateLimitedReleases(now, state, ratePerS, usualSize));
     }
     ends.sort((a, b) => a.at - b.at);
     const sums: Release[] = [{ at: now, tokens: free }];
@@ -196,41 +224,45 @@
     return sums;
   }
 
-  /** When the requests of a runner will probably have ended, and what each gives back. */
-  #endsOf(now: number, { holders, slowness }: DecodeState): readonly Release[] {
-    // Taken to be longer than they may be, waits would have callers refused on a guess.
+  /** Expected ends of a runner's requests, and the tokens that each frees. */
+  #expectedEnds(now: number, { holders, slowness }: DecodeState): readonly Release[] {
+    // Uses the lower bound of the token time: overestimated waits would refuse callers that can be
+    // served.
     const tokenMs = this.#costs.leastTokenMs * slowness;
-    return [...holders.values()].map((holder) => ({
-      at: endOf(now, holder, tokenMs),
-      tokens: holder.demand.promptTokens + holder.expectedTokens,
+    return [...holders.values()].map((allocation) => ({
+      at: endOf(now, allocation, tokenMs),
+      tokens: allocation.demand.promptTokens + allocation.expectedTokens,
     }));
   }
 
-  /** When the turns of a runner with a rate limit come, and what each is taken to give. */
-  #turnsOf(
+  /**
+   * Times at which a runner's rate limit allows further requests, each counted with the usual size.
+   */
+  #rateLimitedReleases(
     now: number,
     state: DecodeState,
     ratePerS: number,
     usualSize: number,
   ): readonly Release[] {
-    const firstAt = now + this.#ration.waitMs(now, state.runner.id);
+    const firstAt = now + this.#allowance.waitMs(now, state.runner.id);
     const count = Math.floor(state.memoryTokens / Math.max(1, usualSize));
-    const turns = Array.from({ length: count }, (_, turn): Release => ({
-      at: firstAt + (turn * 1000) / ratePerS,
+    const releases = Array.from({ length: count }, (_, index): Release => ({
+      at: firstAt + (index * 1000) / ratePerS,
       tokens: usualSize,
     }));
-    return turns.filter(({ at }) => Number.isFinite(at));
+    return releases.filter(({ at }) => Number.isFinite(at));
   }
 
   /**
-   * Gives the time until prompts of so many tokens will have been read, in milliseconds.
-   * Without any prefill runner that takes all it is given, the decode runners read them; taken for a
-   * service that cannot read, it refused whatever did not start at once.
+   * Returns a function that gives the time until a number of prompt tokens will have been
+   * prefilled, in milliseconds. If no prefill runner without a rate limit exists, the estimate uses
+   * local prefills on the decode runners; without it, every request that could not start at once
+   * was refused.
    */
   readMs(now: number): (tokens: number) => number {
     const { decode } = this.#account;
     const prefill = [...this.#account.prefill.values()].filter(
-      ({ runner }) => this.#ration.ratePerS(runner.id) === undefined,
+      ({ runner }) => this.#allowance.ratePerS(runner.id) === undefined,
     );
     if (prefill.length === 0) {
       return (tokens) =>
@@ -242,45 +274,52 @@
   }
 
   /**
-   * Tokens that come free in a millisecond when all runners have as much work as they take.
+   * Tokens freed per millisecond when all runners are fully loaded.
    * @param usualSize tokens of memory that a request usually takes
    * @param residenceMs time for which it usually holds them
    */
   capacity(usualSize: number, residenceMs: number): number {
-    let capacity = 0;
+    let total = 0;
     for (const { runner, memoryTokens } of this.#account.decode.values()) {
-      const ratePerS = this.#ration.ratePerS(runner.id) ?? Infinity;
-      capacity += Math.min(memoryTokens / residenceMs, (ratePerS * usualSize) / 1000);
+      const ratePerS = this.#allowance.ratePerS(runner.id) ?? Infinity;
+      total += Math.min(memoryTokens / residenceMs, (ratePerS * usualSize) / 1000);
     }
-    return capacity;
+    return total;
   }
 
+  /** Total KV cache memory of all decode runners, in tokens. */
   get memory(): number {
     let tokens = 0;
     for (const { memoryTokens } of this.#account.decode.values()) tokens += memoryTokens;
     return tokens;
   }
 
-  /** Free tokens, worked out once for each runner and moment: a pump asks for each waiting request. */
+  /**
+   * Free tokens of a runner, cached for each runner and moment: scheduling asks for them once per
+   * waiting request.
+   */
   free(now: number, state: DecodeState): number {
-    if (this.#freeAt !== now) this.#freeKnown.clear();
+    if (this.#freeAt !== now) this.#freeCache.clear();
     this.#freeAt = now;
-    const known = this.#freeKnown.get(state);
-    if (known !== undefined) return known;
+    const cached = this.#freeCache.get(state);
+    if (cached !== undefined) return cached;
     const free = this.#account.freeTokens(now, state);
-    this.#freeKnown.set(state, free);
+    this.#freeCache.set(state, free);
     return free;
   }
 
-  /** Until all VMs have told what they hold, a part of each runner's memory counts as taken. */
-  #isSafe(now: number, state: DecodeState): boolean {
-    if (now >= this.#cautiousUntil) return true;
+  /**
+   * Whether a runner may get requests during the warm-up: a share of its memory must be free, until
+   * all VMs have reported their reservations.
+   */
+  #isAllowedInWarmUp(now: number, state: DecodeState): boolean {
+    if (now >= this.#warmUpUntil) return true;
     return this.free(now, state) > state.memoryTokens * this.#policy.caution.freePart;
   }
 }
 
-/** The shortest of the longest pauses that the answers of a runner allow, in milliseconds. */
-function leastGapMs({ holders }: DecodeState): number {
+/** The smallest pause between events that the streams of a runner allow, in milliseconds. */
+function minGapMs({ holders }: DecodeState): number {
   let leastMs = Infinity;
   for (const { demand } of holders.values()) {
     if (demand.gapMs > 0) leastMs = Math.min(leastMs, demand.gapMs);
@@ -288,7 +327,10 @@
   return leastMs;
 }
 
-/** Time until that many tokens will have come free, in milliseconds; the releases are in order. */
+/**
+ * Time until a number of tokens will be free, in milliseconds; Infinity if never. The releases are
+ * sorted by time.
+ */
 export function waitFor(now: number, releases: readonly Release[], tokens: number): number {
   let low = 0;
   let high = releases.length;
--- a/src/core/memory/tries.ts
+++ b/src/core/memory/tries.ts
@@ -1,49 +1,55 @@
 /**
- * Knows callers that come back. A caller that was refused, or whose answer broke
- * off, asks again under a new request id and at any VM; its prompt is the same.
+ * Detects repeated attempts of callers. A caller that was refused, or whose answer broke off,
+ * retries with a new request id and at any VM, but with the same prompt.
  */
 
 import type { Demand } from './types';
 
-/** Time for which a try is remembered, in milliseconds: longer than callers' deadlines leave between two tries. */
-const REMEMBER_MS = 20_000;
+/**
+ * Time for which an attempt is remembered, in milliseconds: longer than the time between two
+ * attempts that callers' deadlines allow.
+ */
+const RETENTION_MS = 20_000;
 
-interface Try {
+interface Attempt {
   readonly at: number;
-  /** When the first event was due at the first of the tries. */
+  /** Deadline of the first event at the first attempt. */
   readonly dueAt: number;
 }
 
-/** Tries of requests that have no whole answer yet, by prompt. */
+/** Attempts of requests that have no complete answer yet, by prompt. */
 export class EarlierTries {
-  /** In the order in which they were made. */
-  readonly #tries = new Map<string, Try>();
+  /** In the order of the last attempt. */
+  readonly #attempts = new Map<string, Attempt>();
 
   /**
-   * Takes note of a try, and tells what is due if the caller came back: its time
-   * runs from its first try. Guessed from deadlines, which callers draw by
-   * themselves, two of five tries looked late before they began and were served last.
+   * Records an attempt. For a repeated one, returns the request with the deadline of the first
+   * attempt. Callers choose their deadlines independently; when the first attempt was guessed from
+   * them, two of five attempts looked late before they began and were served last.
    */
   note(now: number, demand: Demand): Demand {
     this.#expire(now);
     const { promptId, dueAt } = demand;
     if (promptId === undefined) return demand;
-    const earlier = this.#tries.get(promptId);
-    const first = Math.min(dueAt, earlier?.dueAt ?? dueAt);
-    this.#tries.delete(promptId);
-    this.#tries.set(promptId, { at: now, dueAt: first });
-    return earlier ? { ...demand, dueAt: first, returned: true } : demand;
+    const previous = this.#attempts.get(promptId);
+    const firstDueAt = Math.min(dueAt, previous?.dueAt ?? dueAt);
+    this.#attempts.delete(promptId);
+    this.#attempts.set(promptId, { at: now, dueAt: firstDueAt });
+    return previous ? { ...demand, dueAt: firstDueAt, returned: true } : demand;
   }
 
-  /** The caller has its answer; the same prompt is another request from now on. */
+  /**
+   * Forgets the attempts of a request that was answered; the same prompt is a new request from now
+   * on.
+   */
   answered({ promptId }: Demand): void {
-    if (promptId !== undefined) this.#tries.delete(promptId);
+    if (promptId !== undefined) this.#attempts.delete(promptId);
   }
 
   #expire(now: number): void {
-    for (const [promptId, { at }] of this.#tries) {
-      if (now - at < REMEMBER_MS) return;
-      this.#tries.delete(promptId);
+    for (const [promptId, { at }] of this.#attempts) {
+      if (now - at < RETENTION_MS) return;
+      this.#attempts.delete(promptId);
     }
   }
 }
--- a/src/core/memory/trust.ts
+++ b/src/core/memory/trust.ts
@@ -1,37 +1,37 @@
 /**
- * How far a runner is trusted, by how its requests went.
+ * Outlier ejection of runners by the results of their requests.
  *
- * Some runners fail or slow a part of their requests while they call themselves
- * healthy. Each failure keeps work off a runner for a while, longer with each
- * further one; each good end halves that again, so a runner that is only unlucky
- * is back at once and one that fails half of its work gets little.
+ * Some runners fail or slow down part of their requests while their health checks pass. Each
+ * failure ejects a runner for some time, which doubles with each further one; each success halves
+ * the score again. A runner with a single failure returns soon, and one that fails half of its
+ * requests gets little work.
  */
 
 import type { TrustRules } from './policy';
 
-/** What is remembered of one runner. */
+/** Failure score of one runner. */
 export interface Trust {
-  /** Failures, faded by good ends. */
+  /** Number of failures, reduced with each success. */
   readonly strikes: number;
-  /** No work before this time. */
+  /** The runner is ejected before this time. */
   readonly avoidUntil: number;
 }
 
-/** A runner of which nothing bad is known. */
+/** Score of a runner without failures. */
 export const FULL_TRUST: Trust = { strikes: 0, avoidUntil: 0 };
 
 /**
- * After a failure. Requests that were under way together fail together: ten
- * streams slowed by the same prompt kept a sound runner without work for six
- * seconds. What comes in while the runner is avoided anyway is the same failure.
+ * Score after a failure. Requests that run at the same time fail together: ten streams slowed by
+ * the same prompt ejected a healthy runner for six seconds. Failures while the runner is ejected
+ * anyway are therefore not counted again.
  */
-export function afterFailure({ firstMs, limitMs }: TrustRules, now: number, trust: Trust): Trust {
-  if (now < trust.avoidUntil) return trust;
-  const avoidMs = Math.min(limitMs, firstMs * 2 ** trust.strikes);
-  return { strikes: trust.strikes + 1, avoidUntil: now + avoidMs };
+export function afterFailure({ firstMs, limitMs }: TrustRules, now: number, score: Trust): Trust {
+  if (now < score.avoidUntil) return score;
+  const avoidMs = Math.min(limitMs, firstMs * 2 ** score.strikes);
+  return { strikes: score.strikes + 1, avoidUntil: now + avoidMs };
 }
 
-/** After a good end. */
+/** Score after a success. */
 export function afterSuccess({ goodEnd }: TrustRules, { strikes, avoidUntil }: Trust): Trust {
   return { strikes: strikes * goodEnd, avoidUntil };
 }
--- a/src/core/memory/turns.ts
+++ b/src/core/memory/turns.ts
@@ -1,36 +1,40 @@
-/** Who of the waiting requests that can still meet their aim goes first. */
+/** Scheduling order of the waiting requests that can still meet their deadline. */
 
 import { FairShares } from '../fair';
 import type { Demand } from './types';
 
-/** A request and what it will take. */
+/** A waiting request and its expected use of memory. */
 export interface Turn {
   readonly demand: Demand;
   /** Tokens of memory. */
   readonly size: number;
-  /** Memory times the time for which it is held, in tokens times milliseconds. */
+  /** Memory times the time for which it is held, in token milliseconds. */
   readonly cost: number;
 }
 
-/** A way to order requests. */
+/** A scheduling order. */
 export interface Turns {
-  order(turns: readonly Turn[]): readonly Turn[];
-  /** A customer has requests that wait from now on. */
+  /** Returns the entries in scheduling order. */
+  order(entries: readonly Turn[]): readonly Turn[];
+  /** A customer without waiting requests got one. */
   entered(demand: Demand): void;
-  /** A customer's last request that waited is gone. */
+  /** A customer's last waiting request was removed. */
   left(demand: Demand): void;
-  /** A request has a place. */
-  placed(turn: Turn): void;
+  /** A request got a reservation. */
+  placed(entry: Turn): void;
 }
 
 function bySize(a: Turn, b: Turn): number {
   return a.size - b.size;
 }
 
-/** Small ones first, whosesoever: in an overload they bring the most answers for the memory. */
+/**
+ * Smallest requests first, regardless of their customers: in an overload they give the most answers
+ * for the memory.
+ */
 export class SmallestFirst implements Turns {
-  order(turns: readonly Turn[]): readonly Turn[] {
-    return [...turns].sort(bySize);
+  order(entries: readonly Turn[]): readonly Turn[] {
+    return [...entries].sort(bySize);
   }
 
   entered(): void {}
@@ -40,38 +44,38 @@
   placed(): void {}
 }
 
-/** Requests without a customer, together. */
-const NOBODY = '';
+/** Group of all requests without a customer. */
+const NO_CUSTOMER = '';
 
 function groupOf({ customer }: Demand): string {
-  return customer ?? NOBODY;
+  return customer ?? NO_CUSTOMER;
 }
 
 interface Lane {
   readonly group: string;
-  readonly turns: Turn[];
+  readonly entries: Turn[];
   tag: number;
 }
 
 /**
- * Customers in turn by the memory and time that they had, and of each the small ones
- * first: a customer that floods, within its quota, took the places of all others. Those
- * with a higher rank have a larger share.
+ * Fair order between customers by the memory and time that they have used; the smallest requests
+ * first within each. Without it, a customer that floods the service within its quota displaced all
+ * others. Customers with a higher priority have a larger share.
  */
 export class FairTurns implements Turns {
   readonly #weights = new Map<string, number>();
 
   readonly #shares = new FairShares((group) => this.#weights.get(group) ?? 1, 0);
 
-  order(turns: readonly Turn[]): readonly Turn[] {
-    const lanes = this.#lanesOf(turns);
+  order(entries: readonly Turn[]): readonly Turn[] {
+    const lanes = this.#groupIntoLanes(entries);
     const ordered: Turn[] = [];
-    while (ordered.length < turns.length) {
-      const lane = leastOf(lanes);
-      const turn = lane?.turns.shift();
-      if (!lane || !turn) break;
-      ordered.push(turn);
-      lane.tag += this.#shares.stepOf(lane.group, turn.cost);
+    while (ordered.length < entries.length) {
+      const lane = leastLane(lanes);
+      const entry = lane?.entries.shift();
+      if (!lane || !entry) break;
+      ordered.push(entry);
+      lane.tag += this.#shares.stepOf(lane.group, entry.cost);
     }
     return ordered;
   }
@@ -90,23 +94,23 @@
     this.#shares.charge(groupOf(demand), cost);
   }
 
-  #lanesOf(turns: readonly Turn[]): readonly Lane[] {
+  #groupIntoLanes(entries: readonly Turn[]): readonly Lane[] {
     const lanes = new Map<string, Lane>();
-    for (const turn of [...turns].sort(bySize)) {
-      const group = groupOf(turn.demand);
-      const lane = lanes.get(group) ?? { group, turns: [], tag: this.#shares.tagOf(group) };
-      lane.turns.push(turn);
+    for (const entry of [...entries].sort(bySize)) {
+      const group = groupOf(entry.demand);
+      const lane = lanes.get(group) ?? { group, entries: [], tag: this.#shares.tagOf(group) };
+      lane.entries.push(entry);
       lanes.set(group, lane);
     }
     return [...lanes.values()];
   }
 }
 
-/** The lane that is behind; among equals the one with the smaller request. */
-function leastOf(lanes: readonly Lane[]): Lane | undefined {
+/** The lane with the smallest tag; the first of them if several are equal. */
+function leastLane(lanes: readonly Lane[]): Lane | undefined {
   let least: Lane | undefined;
   for (const lane of lanes) {
-    const [first] = lane.turns;
+    const [first] = lane.entries;
     const isBehind = !least || lane.tag < least.tag;
     if (first && isBehind) least = lane;
   }
--- a/src/core/memory/types.ts
+++ b/src/core/memory/types.ts
@@ -1,99 +1,110 @@
-/** Types of the planner: who may start on which runners, decided by KV cache memory. */
+/** Types of the planner, which decides by KV cache memory which requests start on which runners. */
 
 import type { Engine, Runner } from '../routing/types';
 
-/** A request for a place. Times are milliseconds on the planner's clock. */
+/** A request for a reservation. Times are milliseconds on the planner's clock. */
 export interface Demand {
   readonly id: string;
-  /** VM that asked and that holds the request. */
+  /** VM that sent the request. */
   readonly vm: string;
-  /** Whose it is. Default: nobody's. */
+  /** Customer of the request; undefined if it names none. */
   readonly customer: string | undefined;
-  /** 0 first. */
+  /** Priority; 0 is the highest. */
   readonly rank: number;
-  /** Names the prompt, the same in all tries of one caller. Default: the caller tells none. */
+  /**
+   * Identifies the prompt, equal in all attempts of one caller; undefined if the caller names none.
+   */
   readonly promptId: string | undefined;
   readonly promptTokens: number;
-  /** Most output tokens. */
+  /** Upper limit of the output tokens. */
   readonly maxOutputTokens: number;
-  /** The caller's own guess at its output tokens. Default: none. */
+  /** The caller's estimate of its output tokens; undefined if there is none. */
   readonly hintTokens: number | undefined;
-  /** When the first event is due. */
+  /** Deadline of the first event. */
   readonly dueAt: number;
-  /** Longest pause between events with which the answer is on time, in milliseconds; 0 if none is set. */
+  /**
+   * Longest pause between events with which the answer is still on time, in milliseconds; 0 if
+   * there is no limit.
+   */
   readonly gapMs: number;
-  /** When the caller will have left if no event came. */
+  /** When the caller disconnects if no event has arrived. */
   readonly lostAt: number;
-  /** Whether the caller asked for it before. */
+  /** Whether an earlier attempt of the same caller was seen. */
   readonly returned: boolean;
-  /** Whether the caller has a part of the answer already. */
+  /** Whether the caller has already received a part of the answer. */
   readonly resuming: boolean;
   /** Runners that failed this request and should not get it again. */
   readonly avoid: readonly string[];
 }
 
-/** Where a request is prefilled and where it will probably decode; the latter is certain once it is bound. */
+/**
+ * Where a request is prefilled and where it is expected to decode; the decode runner is final once
+ * it is assigned.
+ */
 export interface Grant {
-  /** Undefined if the decode runner reads the prompt itself. */
+  /** Undefined if the decode runner prefills the prompt itself. */
   readonly prefill: string | undefined;
   readonly decode: string;
 }
 
-/** A place that a gateway holds, as told to a new owner. */
+/** A reservation that a gateway holds, as reported to a new owner. */
 export interface Holding {
   readonly demand: Demand;
   readonly grant: Grant;
-  /** When decoding began. Default: it has not. */
+  /** When decoding began; undefined if it has not. */
   readonly startedAt: number | undefined;
 }
 
-/** A request that a runner runs. */
+/** A request that runs on a runner. */
 export interface ReportedRun {
-  /** Id of the request, whichever of its places it has. */
+  /** Id of the request, the same for all of its reservations. */
   readonly request: string;
   /** Tokens in memory. */
   readonly tokens: number;
 }
 
-/** What a runner says of its memory; some hundred milliseconds old. */
+/** A runner's report of its memory; some hundred milliseconds old. */
 export interface MemoryReport {
-  /** Id of the start that told it. */
+  /** Id of the runner instance that sent the report. */
   readonly runner: string;
-  /** Tokens that cannot yield. */
+  /** Tokens in use that cannot be evicted. */
   readonly usedTokens: number;
-  /** What it runs. Default: it does not tell. */
+  /** Running requests; undefined if the runner does not report them. */
   readonly runs?: readonly ReportedRun[];
 }
 
-/** What happened. */
+/** Input of the planner. */
 export type PlanEvent =
   | { readonly kind: 'asked'; readonly demand: Demand }
   | {
       readonly kind: 'prefilled';
       readonly id: string;
       readonly ms: number;
-      /** The decode runner that could not be reached; what was read still lies at the prefill runner. */
+      /**
+       * The decode runner that could not be reached; the prefilled KV cache is still at the prefill
+       * runner.
+       */
       readonly unreachable: string | undefined;
-      /** The decode runner that turned the request away. */
+      /** The decode runner that rejected the request. */
       readonly shedBy: string | undefined;
     }
   | { readonly kind: 'started'; readonly id: string }
   | { readonly kind: 'finished'; readonly id: string; readonly outputTokens: number }
-  /** Its events come far apart: the decode runner is slow. */
+  /** The pauses between its events are too long: the decode runner is slow. */
   | { readonly kind: 'slow'; readonly id: string }
-  /** The request left its place without a whole answer; `runner` is whom it holds to blame. */
+  /** The request ended without a complete answer; `blame` is the runner that caused it, if any. */
   | { readonly kind: 'released'; readonly id: string; readonly blame: string | undefined }
-  /** All places that a VM holds. */
+  /** All reservations that a VM holds. */
   | { readonly kind: 'told'; readonly vm: string; readonly holdings: readonly Holding[] }
-  /** A VM is gone and with it the callers of its requests. */
+  /** A VM is gone, and with it the callers of its requests. */
   | { readonly kind: 'vmLost'; readonly vm: string }
   | { readonly kind: 'reported'; readonly report: MemoryReport }
   | { readonly kind: 'runners'; readonly engine: Engine; readonly runners: readonly Runner[] }
   | { readonly kind: 'woke' };
 
-/** What the planner decided. */
+/** Decision of the planner. */
 export type PlanAction =
   | { readonly kind: 'grant'; readonly id: string; readonly grant: Grant }
-  /** The prefill is done and this decode runner has room for it. */
+  /** The prefill is done, and this decode runner has memory for the request. */
   | { readonly kind: 'bind'; readonly id: string; readonly decode: string }
   | { readonly kind: 'refuse'; readonly id: string; readonly retryAfterMs: number };
--- a/test/router/balance.test.ts
+++ b/test/router/balance.test.ts
@@ -21,13 +21,13 @@
 const changes = (balance: StageBalance, now: number, prefill: number, decode: number): number =>
   balance.consider(now, engine, states('p', prefill), states('d', decode), workload, true).length;
 
-describe('the balance of stages at the start', () => {
+describe('stage balancing at the start', () => {
   /*
-   * Runners register one after the other. The first two known are one of each
-   * stage, and a decode runner was ordered to prefill; with all six known there
-   * were four prefill runners and two to decode, for the rest of the day.
+   * Runners register one after the other. When the first two known ones were one of each stage, a
+   * decode runner was ordered to prefill; with all six registered, there were four prefill runners
+   * and two decode runners for the rest of the day.
    */
-  test('waits until no more runners turn up', () => {
+  test('waits until the number of runners is stable', () => {
     const balance = new StageBalance(planPolicy.stages);
     expect(changes(balance, 0, 1, 2)).toBe(0);
     expect(changes(balance, 500, 1, 2)).toBe(0);
--- a/test/router/cost.test.ts
+++ b/test/router/cost.test.ts
@@ -1,7 +1,7 @@
 import { LearntCosts, learntSlowness, pauseOfRead, prefillMs } from '../../src/core/memory/cost';
 import { Estimate } from '../../src/core/memory/estimate';
 
-describe('the times of an engine', () => {
+describe('measured times of an engine', () => {
   test('follow the first measurement at once and later ones slowly', () => {
     const estimate = new Estimate(7, { startWeight: 0, leastStep: 0.02 });
     expect([estimate.value, estimate.error]).toEqual([7, 7]);
@@ -14,7 +14,7 @@
     expect(estimate.value).toBeLessThan(1.3);
   });
 
-  test('are read off prefills of different sizes', () => {
+  test('are fitted to prefills of different sizes', () => {
     const costs = new LearntCosts();
     for (let i = 0; i < 100; i += 1) {
       const tokens = 2000 + 80 * i;
@@ -26,11 +26,11 @@
   });
 
   /*
-   * The notes of a start and of an end lie in one packet and are read at one
-   * moment. A token that takes no time would make the growth of every request
-   * boundless, and nobody would get a place any more.
+   * A start and an end arrive in the same packet and are handled at the same moment. A token time
+   * of 0 would make the expected growth of every request infinite, and no request would get a
+   * reservation any more.
    */
-  test('are not learnt from a request that seems to take no time', () => {
+  test('ignore a request that seems to take no time', () => {
     const costs = new LearntCosts();
     costs.made(0);
     expect(costs.tokenMs).toBe(7);
@@ -38,13 +38,16 @@
     expect(costs.tokenMs).toBe(2);
   });
 
-  test('bound how far one stray measurement moves a runner', () => {
+  test('bound the effect of an outlier on the slowness of a runner', () => {
     expect(learntSlowness(1, 100, 100_000)).toBeCloseTo(2.05, 2);
     expect(learntSlowness(1, 100, 0)).toBeCloseTo(0.895, 3);
   });
 
-  /* Pieces are read before each token. An event of few tokens waits for few of them, one of many for the whole prompt. */
-  test('give the pause of answers beside a prompt that is read', () => {
+  /*
+   * A chunk is prefilled before each token. An event of few tokens waits for few chunks, one of
+   * many tokens for the whole prompt.
+   */
+  test('give the pause that a local prefill causes in the other streams', () => {
     const costs = new LearntCosts();
     const pauses = [2, 7, 59].map((eventTokens) =>
       Math.round(pauseOfRead(costs, 5000, eventTokens) - eventTokens * costs.tokenMs),
--- a/test/router/overload.test.ts
+++ b/test/router/overload.test.ts
@@ -12,7 +12,7 @@
 
 const SEEDS = [1, 2, 3];
 
-/** Mean of some runs with different requests. */
+/** Mean of several runs with different requests. */
 function play(load: MemoryLoad, prefillRunners: number, policy: () => PlacePolicy): MemoryResult {
   const results = SEEDS.map((seed) =>
     new MemoryBench({
@@ -30,13 +30,13 @@
   ) as unknown as MemoryResult;
 }
 
-describe('places where the memory of decode runners binds', () => {
+describe('reservations when decode memory is the bottleneck', () => {
   /*
-   * Three bursts of some seconds come, each above what the decode memory bears.
-   * A policy that counts slots reads every fifth prompt for nothing, since decode
-   * runners push requests out; the planner reads none twice and serves more in time.
+   * Three bursts of some seconds exceed the decode memory. A policy that counts slots wastes the
+   * prefill of every fifth prompt, since decode runners preempt requests; the planner prefills none
+   * twice and serves more requests in time.
    */
-  test('serve more in bursts than counting slots, and read nothing in vain', () => {
+  test('serve more requests in bursts than counting slots, without wasted prefills', () => {
     const load = { perSecond: 8, bursts, untilMs: 34_000 };
     const planned = play(load, 2, () => new Planner(planPolicy));
     const bySlots = play(load, 2, () => new SlotPolicy(64));
@@ -48,29 +48,30 @@
   });
 
   /*
-   * More requests come for half a minute than can be served. A late one takes as
-   * much memory as one in time; given places as they come, late ones make all the
-   * others late. They get what those in time leave, and the rest is refused.
+   * For half a minute, more requests arrive than can be served. A late request takes as much memory
+   * as one in time; if memory is reserved in order of arrival, late requests make all others late.
+   * They must only get the remaining capacity, and the rest is refused.
    */
-  test('go to requests that can be in time while more come than can be served', () => {
+  test('go to requests that can meet their deadline in an overload', () => {
     const load = { perSecond: 16, bursts: [], untilMs: 34_000 };
     const planned = play(load, 2, () => new Planner(planPolicy));
     expect(planned.worth).toBeGreaterThan(0.81);
     expect(planned.late / planned.asked).toBeLessThan(0.08);
     expect(planned.refused / planned.asked).toBeLessThan(0.12);
     expect(planned.failed).toBe(0);
-    // Who is refused for good is told soon, not when it would have left anyway.
+    // Requests that are refused for good are refused early, not when their callers would have
+    // disconnected anyway.
     expect(planned.refusedAfterMs).toBeLessThan(3500);
     expect(planned.wasted).toBeLessThan(0.01);
-    // Small ones go first, yet the largest tenth of the prompts gets its part.
+    // Small requests go first, but the largest tenth of the prompts still gets a share.
     expect(planned.worthOfLargest).toBeGreaterThan(0.3);
   });
 
   /*
-   * One prefill runner is left for a load that takes two at its peaks. Decode
-   * runners read what it cannot, so that a twentieth is lost by it at most.
+   * One prefill runner is left for a load that needs two at its peaks. Decode runners prefill the
+   * rest, so that at most a twentieth is lost.
    */
-  test('are filled by decode runners that read prompts where one prefill runner is left', () => {
+  test('use local prefills when only one prefill runner is left', () => {
     const load = { perSecond: 8, bursts, untilMs: 34_000 };
     const planned = play(load, 1, () => new Planner(planPolicy));
     expect(planned.worth).toBeGreaterThan(0.87);
@@ -78,12 +79,12 @@
   });
 
   /*
-   * On another engine a token takes a seventh of the time and an output is nearly
-   * half of a request. On the figures of the first engine the planner takes its
-   * requests to grow slowly and to stay long: memory runs out, answers pause, and
-   * callers are sent away. It learns the times, and serves as if it were told them.
+   * On another engine, a token takes a seventh of the time and an output is nearly half of a
+   * request. With the times of the first engine, the planner expects requests to grow slowly and to
+   * run long: memory runs out, answers pause, and callers are refused. It must measure the times
+   * and serve nearly as well as with known ones.
    */
-  test('are as good on an engine whose times the planner has to learn', () => {
+  test('are nearly as good on an engine whose times the planner has to measure', () => {
     const load = { perSecond: 11, bursts, untilMs: 34_000, output: { mean: 4000, most: 7670 } };
     const worthOf = (costs: () => CostModel | undefined): number =>
       SEEDS.map((seed) =>
@@ -101,11 +102,11 @@
   }, 60_000);
 
   /*
-   * Callers know how long their answers will be, and an output is nearly half of a
-   * request. Taken at the mean of all outputs instead, long ones outgrow the memory
-   * and short ones keep it free for nothing.
+   * Callers know the lengths of their answers, and an output is nearly half of a request. With the
+   * mean length of all outputs instead, long outputs outgrow the memory and short ones keep memory
+   * free for nothing.
    */
-  test('are given out by the hint of callers who know their outputs', () => {
+  test('use the length hints of callers who know their outputs', () => {
     const load = { perSecond: 11, bursts, untilMs: 34_000, output: { mean: 4000, most: 7670 } };
     const worthOf = (policy: PlanPolicy): number =>
       SEEDS.map((seed) =>
--- a/test/router/planner.test.ts
+++ b/test/router/planner.test.ts
@@ -43,14 +43,14 @@
 const granted = (actions: readonly PlanAction[]): readonly string[] =>
   actions.filter(({ kind }) => kind === 'grant').map(({ id }) => id);
 
-/** Asks for `count` places at once and gives what was decided. */
+/** Sends `count` requests at once and returns the decisions. */
 function flood(planner: Planner, now: number, count: number): readonly PlanAction[] {
   return Array.from({ length: count }, (_, i) =>
     planner.handle(now, { kind: 'asked', demand: demand(`r${i}`, now) }),
   ).flat();
 }
 
-/** Lets all prefills end, so that only memory binds. */
+/** Ends all prefills, so that only memory limits the requests. */
 function prefillAll(planner: Planner, now: number, ids: readonly string[]): readonly PlanAction[] {
   return ids.flatMap((id) =>
     planner.handle(now, {
@@ -65,11 +65,10 @@
 
 describe('the planner', () => {
   /*
-   * A decode runner was to read a prompt itself, and the answer to that never came.
-   * Its other streams are slow for seconds: by then that is no reading of a prompt,
-   * and the runner gets no further work for a while.
+   * A decode runner starts a local prefill whose answer never arrives. Its other streams stay slow
+   * for seconds. The prefill no longer explains that, and the runner must be ejected.
    */
-  test('does not excuse a slow decode runner by a prompt that must have been read long ago', () => {
+  test('ejects a slow decode runner whose local prefill should have ended long ago', () => {
     const planner = plannerOf([runner('d1', 'decode')]);
     planner.handle(0, { kind: 'asked', demand: demand('read', 0) });
     const held = {
@@ -85,11 +84,11 @@
   });
 
   /*
-   * A burst of long prompts comes to one decode runner with 64 slots and memory
-   * for eleven of them. With slots as the limit the twelfth would be prefilled,
-   * turned away and prefilled again. It must not get a place.
+   * A burst of long prompts reaches one decode runner with 64 slots and memory for eleven requests.
+   * Limited by slots, the twelfth would be prefilled, rejected and prefilled again. It must not get
+   * a reservation.
    */
-  test('gives no more places than the decode memory holds', () => {
+  test('makes no more reservations than fit into the decode memory', () => {
     const planner = plannerOf(pool);
     const started: string[] = [];
     for (let now = 0; now < 900; now += 20) {
@@ -101,10 +100,10 @@
   });
 
   /*
-   * Many callers are refused in one burst. Told the same time, they would come
-   * back as one burst and be refused for good; each is told a later time.
+   * Many callers are refused in one burst. With equal retry times they would return as one burst
+   * and be refused for good, so the times must differ.
    */
-  test('tells refused callers times one after the other', () => {
+  test('spreads the retry times of refused callers', () => {
     const planner = plannerOf(pool);
     const refused = flood(planner, 0, 60).filter((action) => action.kind === 'refuse');
     const times = refused.map((action) => (action.kind === 'refuse' ? action.retryAfterMs : 0));
@@ -116,11 +115,11 @@
   });
 
   /*
-   * One of two prefill runners has left for good and requests come faster than
-   * the other can read. Decode memory is half empty. Requests must not wait for
-   * the prefill runner alone, but a decode runner reads only one prompt at a time.
+   * One of two prefill runners has left for good, and requests arrive faster than the other can
+   * prefill. Decode memory is half empty. Requests must not wait for the prefill runner alone, but
+   * a decode runner runs only one local prefill at a time.
    */
-  test('has decode runners read prompts when the prefill runners cannot keep up', () => {
+  test('uses local prefills when the prefill runners cannot keep up', () => {
     const planner = plannerOf([runner('p1', 'prefill'), runner('d1', 'decode')]);
     const grants = flood(planner, 0, 6).filter((action) => action.kind === 'grant');
     const direct = grants.filter(({ grant }) => grant.prefill === undefined);
@@ -133,10 +132,10 @@
   });
 
   /*
-   * The same with three decode runners. The roomiest is busy with a prompt; the
-   * others have room too and can read one each, so that none of them waits idle.
+   * The same with three decode runners. The one with the most free memory is busy with a prefill;
+   * the others have memory too and can run one prefill each, so that none of them idles.
    */
-  test('has each decode runner with room read a prompt', () => {
+  test('runs a local prefill on each decode runner with free memory', () => {
     const planner = plannerOf(['d1', 'd2', 'd3'].map((id) => runner(id, 'decode')));
     const held = ['d2', 'd2', 'd3', 'd3'].map((decode, i) => ({
       demand: demand(`held${i}`, 0),
@@ -149,11 +148,11 @@
   });
 
   /*
-   * A decode runner crashes between the prefill and the decode: the connection is
-   * refused and nothing was sent. What was read still lies at the prefill runner
-   * for half a second, so another decode runner gets it; it is not read again.
+   * A decode runner crashes between prefill and decode: the connection is refused and nothing was
+   * sent. The KV cache is kept at the prefill runner for half a second, so another decode runner
+   * gets the request without a second prefill.
    */
-  test('binds another decode runner when the first was not reached', () => {
+  test('assigns another decode runner when the first could not be reached', () => {
     const planner = plannerOf([...pool, runner('d2', 'decode')]);
     planner.handle(0, { kind: 'asked', demand: demand('r', 0) });
     const ready = { kind: 'prefilled', id: 'r', ms: 150, shedBy: undefined } as const;
@@ -165,26 +164,26 @@
   });
 
   /*
-   * A prefill runner reads a prompt and its answer is lost; or the VM that waits
-   * for it stands still. Nobody tells the owner for a second and more. The runner
-   * is idle meanwhile and has to get other prompts.
+   * The answer for a finished prefill is lost, or the VM that waits for it is paused. The owner
+   * gets no report of it for over a second. The runner is idle meanwhile and has to get other
+   * prompts.
    */
-  test('gives a prefill runner work though the answer for a prompt is overdue', () => {
+  test('gives a prefill runner work while the answer for a prompt is overdue', () => {
     const planner = plannerOf([runner('p1', 'prefill'), runner('d1', 'decode')]);
     const ask = (now: number, id: string): readonly PlanAction[] =>
       planner.handle(now, { kind: 'asked', demand: demand(id, now, { promptTokens: 8000 }) });
     const prefill = (actions: readonly PlanAction[]): string | undefined =>
       actions[0]?.kind === 'grant' ? actions[0].grant.prefill : undefined;
     expect(prefill(ask(0, 'lost'))).toBe('p1');
-    expect(prefill(ask(10, 'reads itself'))).toBeUndefined();
+    expect(prefill(ask(10, 'local prefill'))).toBeUndefined();
     expect(prefill(ask(600, 'later'))).toBe('p1');
   });
 
   /*
-   * The same for a prompt that a decode runner reads itself: it may read the next
-   * one. No prefill runner is left; who waits for a turn must not be refused for it.
+   * The same for a local prefill: the decode runner may start the next one. No prefill runner is
+   * left, and requests that wait for a local prefill must not be refused because of that.
    */
-  test('lets a decode runner read another prompt when one is overdue', () => {
+  test('allows another local prefill when one is overdue', () => {
     const planner = plannerOf([runner('d1', 'decode')]);
     const ask = (now: number, id: string): readonly string[] =>
       granted(planner.handle(now, { kind: 'asked', demand: demand(id, now) }));
@@ -194,11 +193,11 @@
   });
 
   /*
-   * Kept prompts lapse at once at some runners. The bound decode runner turns the
-   * request away although the account has room there: it may read the prompt
-   * itself, and the runner that let it lapse gets no work for a while.
+   * Kept prefills expire at once on some prefill runners. The assigned decode runner rejects the
+   * request although it has free memory by the account: it may prefill the prompt itself, and the
+   * prefill runner is ejected.
    */
-  test('has the same runner read a prompt that lapsed, and blames who kept it', () => {
+  test('uses a local prefill when a kept prefill has expired, and ejects its prefill runner', () => {
     const planner = plannerOf([runner('p1', 'prefill'), runner('d1', 'decode')]);
     planner.handle(0, { kind: 'asked', demand: demand('r', 0) });
     const ready = { kind: 'prefilled', id: 'r', ms: 150, unreachable: undefined } as const;
@@ -209,11 +208,11 @@
   });
 
   /*
-   * The same where the account says that the runner is full: others use it too.
-   * Sent there again the request would be turned away again; its caller is told
-   * when to come back, and the account counts what it did not know of.
+   * The same where the runner is full by the account, since other clients use it too. Sent there
+   * again, the request would be rejected again. Its caller gets a retry time, and the account
+   * includes the unexplained memory.
    */
-  test('sends a caller away whose runner is fuller than the account knew', () => {
+  test('refuses a request whose runner is fuller than the account shows', () => {
     const planner = plannerOf([runner('p1', 'prefill'), runner('d1', 'decode')]);
     planner.handle(0, { kind: 'asked', demand: demand('r', 0) });
     planner.handle(10, { kind: 'reported', report: { runner: 'd1', usedTokens: 63_000 } });
@@ -224,10 +223,10 @@
   });
 
   /*
-   * A decode runner reads a prompt itself, so its streams pause. They are not a
-   * sign that the runner is slow; without work its memory would lie idle.
+   * A decode runner runs a local prefill, so its streams pause. That does not mean that the runner
+   * is slow; if it were ejected, its memory would idle.
    */
-  test('does not blame a decode runner for the pauses of its own reading', () => {
+  test('does not eject a decode runner for the pauses of its local prefill', () => {
     const planner = plannerOf([runner('p1', 'prefill'), runner('d1', 'decode')]);
     const grants = flood(planner, 0, 3).filter((action) => action.kind === 'grant');
     const direct = grants.find(({ grant }) => grant.prefill === undefined)?.id ?? '';
@@ -243,13 +242,12 @@
   });
 
   /*
-   * The prefill runners are behind, and a decode runner with room could read a
-   * prompt itself. An event of its answers holds 59 tokens, so that all pieces of
-   * the prompt fall between two of them; their callers allow 300 ms. A short
-   * prompt keeps to that, a long one does not.
+   * The prefill runners are overloaded, and a decode runner has memory for a local prefill. An
+   * event of its streams holds 59 tokens, so that all chunks of the prompt fall between two events;
+   * the callers allow pauses of 300 ms. A short prompt stays within that, a long one does not.
    */
-  test('has no decode runner read a prompt that would break the pauses of its answers', () => {
-    const readsItself = (promptTokens: number): boolean => {
+  test('runs no local prefill that would exceed the allowed pauses of other streams', () => {
+    const prefillsLocally = (promptTokens: number): boolean => {
       const planner = new Planner(planPolicy);
       const longEvents = { ...engine, eventTokens: 59 };
       const runners = [runner('p1', 'prefill'), runner('d1', 'decode')];
@@ -259,7 +257,7 @@
           kind: 'asked',
           demand: demand(id, now, { promptTokens: tokens, gapMs: 300 }),
         });
-      // One request shows that a token takes a millisecond.
+      // One request sets the token time to one millisecond.
       ask('first', 0, 5000);
       prefillAll(planner, 160, ['first']);
       planner.handle(220, { kind: 'started', id: 'first' });
@@ -270,11 +268,14 @@
         (action) => action.kind === 'grant' && action.grant.prefill === undefined,
       );
     };
-    expect([readsItself(3000), readsItself(8000)]).toEqual([true, false]);
+    expect([prefillsLocally(3000), prefillsLocally(8000)]).toEqual([true, false]);
   });
 
-  /* The answer to an ask was lost and the gateway asks again: it gets the place that is kept for it, not a second one. */
-  test('gives the same place to a request that asks again', () => {
+  /*
+   * The answer to a request for a reservation was lost and the gateway repeats it: it gets the
+   * existing reservation, not a second one.
+   */
+  test('returns the existing reservation for a repeated request', () => {
     const planner = plannerOf(pool);
     const first = planner.handle(0, { kind: 'asked', demand: demand('r', 0) });
     const again = planner.handle(50, { kind: 'asked', demand: demand('r', 0) });
@@ -283,10 +284,10 @@
   });
 
   /*
-   * The owner was frozen while requests ended elsewhere. What their VM says it
-   * holds replaces what the owner still counts, or its memory would look full.
+   * The owner was paused while requests ended elsewhere. The reservations that their VM reports
+   * must replace those that the owner still counts, or the memory would look full.
    */
-  test('takes the word of a VM for what that VM holds', () => {
+  test('replaces the reservations of a VM by those that it reports', () => {
     const planner = plannerOf(pool);
     flood(planner, 0, 2);
     planner.handle(5000, { kind: 'told', vm: 'vm1', holdings: [] });
@@ -294,11 +295,11 @@
   });
 
   /*
-   * A new owner hears from a runner that it is full before the VMs tell which of
-   * its requests those are. Counted twice, the runner would look full until its
-   * next report, and a second of requests would be refused.
+   * A runner reports to a new owner that it is full before the VMs report their reservations there.
+   * Counted twice, the runner would look full until its next report, and requests would be refused
+   * for a second.
    */
-  test('does not count a request twice that a runner reported before it was told', () => {
+  test('does not count a request twice that a runner reported before its VM did', () => {
     const planner = plannerOf(pool);
     planner.handle(0, { kind: 'reported', report: { runner: 'd1', usedTokens: 32_000 } });
     const holdings = Array.from({ length: 6 }, (_, i) => ({
@@ -312,8 +313,11 @@
     expect(planner.load(10).memory).toBeCloseTo(0.55, 1);
   });
 
-  /* A new owner gets requests before the other VMs told what they hold: it must not fill runners that may be full. */
-  test('keeps to half of the memory until it was told what is held', () => {
+  /*
+   * A new owner gets requests before the other VMs reported their reservations: it must not fill
+   * runners that may be full.
+   */
+  test('uses only half of the memory during the warm-up', () => {
     const planner = plannerOf(pool);
     planner.startCautiously(500);
     const now = 10;
@@ -326,11 +330,11 @@
   });
 
   /*
-   * The one prefill runner is slower than it was: each prompt runs into its time
-   * limit and is given up. Measured by those alone that are read in time, it looked
-   * free and got every prompt of a burst, and none of them was read.
+   * The only prefill runner has become slower: each prompt runs into its timeout and is abandoned.
+   * Measured only by prompts that finish in time, the runner looked free and got every prompt of a
+   * burst, and none of them finished.
    */
-  test('gives a prefill runner less when its prompts run into their time limit', () => {
+  test('gives a prefill runner less work when its prompts time out', () => {
     const planner = plannerOf([
       runner('p1', 'prefill'),
       ...['d1', 'd2', 'd3', 'd4'].map((id) => runner(id, 'decode')),
@@ -352,11 +356,11 @@
   });
 
   /*
-   * A new owner knows nothing of the engine, whose tokens take a seventh of the
-   * start figure. Two reports of what runs tell it: until then every request seems
-   * to hold its memory for seven times as long, and callers would be sent away.
+   * A new owner has no measurements of the engine, whose tokens take a seventh of the initial
+   * value. Until two reports of running requests show that, each request seems to hold its memory
+   * for seven times as long, and callers would be refused.
    */
-  test('learns the time of a token from two reports', () => {
+  test('measures the time of a token from two reports', () => {
     const planner = plannerOf([runner('p1', 'prefill'), runner('d1', 'decode')]);
     const report = (now: number, tokens: number): void => {
       const runs = [{ request: 'other', tokens }];
@@ -371,11 +375,11 @@
   });
 
   /*
-   * Both runners lose power and start again under their ids. Their memory is
-   * empty, their distrust was of another process, and what is told late of the
-   * earlier starts must not fill the account of the new ones.
+   * Both runners lose power and restart under the same ids. Their memory is empty, their failure
+   * scores belong to the previous instances, and late reports of those must not fill the account of
+   * the new ones.
    */
-  test('begins anew with a runner that starts again under its id', () => {
+  test('resets the account of a runner that restarts under its id', () => {
     const startOf = (listing: string, role: 'prefill' | 'decode', bornAt: number): Runner =>
       runner(startId(listing, bornAt), role, { listing, bornAt });
     const poolOf = (bornAt: number): readonly Runner[] => [
@@ -417,15 +421,15 @@
   });
 });
 
-describe('the balance of stages', () => {
+describe('stage balancing', () => {
   const workload = { promptTokens: 5200, readTokenMs: 0.018, outputTokens: 480, residenceMs: 3500 };
 
   /*
-   * Six runners read prompts with two of them; when one is lost for good, one of
-   * the five is enough, since decode runners read what it cannot. A second one
-   * would cost a quarter of the decode memory, which binds.
+   * Six runners need two prefill runners. When one of the six is lost for good, one prefill runner
+   * is enough for the remaining five, since decode runners prefill the rest; a second one would
+   * cost a quarter of the decode memory, which is the bottleneck.
    */
-  test('wants as many prefill runners as serve most requests', () => {
+  test('wants the number of prefill runners that serves the most requests', () => {
     const wanted = [2, 4, 5, 6, 7, 13, 63].map((count) =>
       wantedPrefill(planPolicy.stages, engine, count, 1, workload),
     );
@@ -433,10 +437,10 @@
   });
 
   /*
-   * One of two prefill runners has left for good, and a burst comes. An order
-   * would take a decode runner away for ten seconds to serve hardly more after.
+   * One of two prefill runners has left for good, and a burst arrives. A change would take a decode
+   * runner out of service for ten seconds and gain little.
    */
-  test('orders nothing that brings less than it costs', () => {
+  test('orders no change that gains less than it costs', () => {
     const balance = new StageBalance(planPolicy.stages);
     const state = (id: string): never =>
       ({
@@ -467,7 +471,7 @@
       slowness: 1,
     }) as never;
 
-  /** Orders given at a time with so many runners of each stage. */
+  /** Number of orders given at a time with these runners of each stage. */
   const orderedAt = (
     balance: StageBalance,
     now: number,
@@ -478,11 +482,11 @@
       .length;
 
   /*
-   * Two decode runners crash and are back after six seconds. While they are away
-   * one prefill runner less would serve more, but a change takes six seconds too,
-   * and with them back it would be missed; none is ordered.
+   * Two decode runners crash and return after six seconds. While they are missing, one prefill
+   * runner less would serve more requests, but a change takes six seconds as well, and the prefill
+   * runner would be needed again after it; no change is ordered.
    */
-  test('does not answer a crash that passes', () => {
+  test('orders no change for a temporary crash', () => {
     const balance = new StageBalance(planPolicy.stages);
     const all = ['d1', 'd2', 'd3', 'd4', 'd5'];
     for (let now = 0; now < 4000; now += 500) {
@@ -496,8 +500,11 @@
     }
   });
 
-  /* The same, but they are gone for good: after the time in which they might return, the order comes. */
-  test('answers a crash that does not pass', () => {
+  /*
+   * The same, but the runners are gone for good: the order is given after the time in which they
+   * might return.
+   */
+  test('orders a change for a permanent crash', () => {
     const balance = new StageBalance(planPolicy.stages);
     const all = ['d1', 'd2', 'd3', 'd4', 'd5'];
     const orders: number[] = [];
@@ -509,10 +516,10 @@
   });
 
   /*
-   * Half of the runners prefill, where a third would do, whoever comes back. Each
-   * second until that is changed, requests are refused for want of decode memory.
+   * Half of the runners prefill where a third would do, even if lost runners return. Until that is
+   * changed, requests are refused for lack of decode memory.
    */
-  test('changes a lasting excess as soon as the runners are known', () => {
+  test('corrects a lasting excess as soon as the number of runners is stable', () => {
     const balance = new StageBalance(planPolicy.stages);
     const orders: number[] = [];
     for (let now = 0; now < 5000; now += 500) {
--- a/test/router/ration.test.ts
+++ b/test/router/ration.test.ts
@@ -19,8 +19,8 @@
 const PREFILL_MS = 100;
 const RUN_MS = 800;
 
-/** What limited runners may get, kept by one owner. */
-class OwnRation implements Ration {
+/** Rate allowances of rate-limited runners, kept by one owner. */
+class FixedAllowance implements Ration {
   readonly #rates: Readonly<Record<string, number>>;
 
   readonly #accounts = new LazyMap<string, QuotaAccount>(() => new QuotaAccount(0, bounds));
@@ -63,9 +63,9 @@
   avoid: [],
 });
 
-/** What came of a load. */
+/** Results of a load. */
 class Played {
-  /** Requests by runner. */
+  /** Number of requests by runner. */
   readonly sent: Record<string, number> = {};
 
   readonly refusedAfterMs: number[] = [];
@@ -73,13 +73,13 @@
   finished = 0;
 }
 
-/** Plays a steady load for ten seconds against runners that take and end every request they are sent. */
+/** Plays a steady load for ten seconds against runners that accept and finish every request. */
 function play(
   runners: readonly Runner[],
   rates: Readonly<Record<string, number>>,
   perS: number,
 ): Played {
-  const planner = new Planner(planPolicy, undefined, new OwnRation(rates));
+  const planner = new Planner(planPolicy, undefined, new FixedAllowance(rates));
   planner.handle(0, { kind: 'runners', engine, runners });
   const played = new Played();
   const due: { readonly at: number; readonly run: (now: number) => void }[] = [];
@@ -127,8 +127,8 @@
 
 const most = (ratePerS: number): number => ratePerS * 10 + 1;
 
-describe('a planner of runners that name rate limits', () => {
-  test('gives them what they take and the rest to others', () => {
+describe('a planner of rate-limited runners', () => {
+  test('sends them requests up to their limits and the rest to other runners', () => {
     const runners = [
       runnerOf('p1', 'prefill'),
       runnerOf('p2', 'prefill'),
@@ -143,8 +143,11 @@
     expect(refusedAfterMs).toEqual([]);
   });
 
-  /* All that decode name limits, and more comes than their sum. Their free memory would have requests wait for nothing. */
-  test('refuses at once what they do not take together', () => {
+  /*
+   * All decode runners have rate limits, and the load exceeds their sum. Their free memory must not
+   * make requests wait for nothing.
+   */
+  test('refuses at once the load above the sum of all limits', () => {
     const runners = [runnerOf('p1', 'prefill'), runnerOf('d1', 'decode'), runnerOf('d2', 'decode')];
     const { sent, finished, refusedAfterMs } = play(runners, { d1: 1.4, d2: 0.5 }, 10);
     const { d1, d2 } = sent;
@@ -156,8 +159,11 @@
     expect(sorted[Math.floor(sorted.length / 2)]).toBeLessThan(50);
   });
 
-  /* The only one that reads prompts names a limit; those that decode have idle memory and read the rest. */
-  test('has prompts read elsewhere that their reader does not take', () => {
+  /*
+   * The only prefill runner has a rate limit; the decode runners have idle memory and prefill the
+   * rest.
+   */
+  test('uses local prefills for prompts above the limit of the prefill runner', () => {
     const runners = [runnerOf('p1', 'prefill'), runnerOf('d1', 'decode'), runnerOf('d2', 'decode')];
     const { sent, finished } = play(runners, { p1: 1 }, 4);
     const { p1 } = sent;
--- a/test/router/tries.test.ts
+++ b/test/router/tries.test.ts
@@ -20,25 +20,25 @@
 
 const seen = ({ dueAt, returned }: Demand): readonly unknown[] => [dueAt, returned];
 
-describe('a caller that asks again', () => {
+describe('a repeated attempt', () => {
   /*
-   * A caller was refused in a burst and comes back under another request id. Its
-   * time runs from its first try, and it has no further one; taken for a new
-   * caller, it would go before those that can still be served in time.
+   * A caller was refused in a burst and retries with another request id. Its deadline counts from
+   * its first attempt, and it has no further one; taken for a new caller, it would go before
+   * requests that can still be served in time.
    */
-  test('is known by its prompt', () => {
-    const tries = new EarlierTries();
-    expect(seen(tries.note(0, demand('a/1', 0, 'p')))).toEqual([900, false]);
-    expect(seen(tries.note(2000, demand('b/1', 2000, 'p')))).toEqual([900, true]);
-    expect(seen(tries.note(2000, demand('c/1', 2000, 'q')))).toEqual([2900, false]);
-    expect(seen(tries.note(3000, demand('d/1', 3000, undefined)))).toEqual([3900, false]);
-    expect(seen(tries.note(3000, demand('e/1', 3000, undefined)))).toEqual([3900, false]);
+  test('is detected by its prompt', () => {
+    const attempts = new EarlierTries();
+    expect(seen(attempts.note(0, demand('a/1', 0, 'p')))).toEqual([900, false]);
+    expect(seen(attempts.note(2000, demand('b/1', 2000, 'p')))).toEqual([900, true]);
+    expect(seen(attempts.note(2000, demand('c/1', 2000, 'q')))).toEqual([2900, false]);
+    expect(seen(attempts.note(3000, demand('d/1', 3000, undefined)))).toEqual([3900, false]);
+    expect(seen(attempts.note(3000, demand('e/1', 3000, undefined)))).toEqual([3900, false]);
   });
 
-  test('is new once it has its answer, or after long', () => {
-    const tries = new EarlierTries();
-    tries.answered(tries.note(0, demand('a/1', 0, 'p')));
-    expect(seen(tries.note(5000, demand('b/1', 5000, 'p')))).toEqual([5900, false]);
-    expect(seen(tries.note(30_000, demand('c/1', 30_000, 'p')))).toEqual([30_900, false]);
+  test('counts as a new request after an answer or after a long time', () => {
+    const attempts = new EarlierTries();
+    attempts.answered(attempts.note(0, demand('a/1', 0, 'p')));
+    expect(seen(attempts.note(5000, demand('b/1', 5000, 'p')))).toEqual([5900, false]);
+    expect(seen(attempts.note(30_000, demand('c/1', 30_000, 'p')))).toEqual([30_900, false]);
   });
 });
