--- a/test/router/turns.test.ts
+++ b/test/router/turns.test.ts
@@ -10,7 +10,7 @@
 
 const CUSTOMERS = 8;
 const UNTIL_MS = 34_000;
-/** What eight customers together send a second, and what one more sends beside them for ten. */
+/** Requests per second of eight customers together, and of one more customer for ten seconds. */
 const USUAL = 6;
 const FLOOD = 30;
 const FLOOD_FROM_MS = 8000;
@@ -33,7 +33,10 @@
   avoid: [],
 };
 
-/** Requests of eight customers, and a flood of another one whose requests have the given part of the usual size. */
+/**
+ * Requests of eight customers and a flood of another one, whose prompts have the given share of the
+ * usual size.
+ */
 function jobsOf(seed: number, sizePart: number): readonly MemoryJob[] {
   const usual = drawMemoryJobs({ perSecond: USUAL, bursts: [], untilMs: UNTIL_MS }, seed).map(
     (job, i) => ({ ...job, customer: `c${i % CUSTOMERS}` }),
@@ -50,7 +53,10 @@
   return [...usual, ...flood].sort((a, b) => a.at - b.at);
 }
 
-/** Part of the requests that were served, of the flood and of the others, while it lasts. */
+/**
+ * Shares of the flood's and of the other customers' requests that were served while the flood
+ * lasts.
+ */
 function play(turns: () => Turns, sizePart: number): { flood: number; others: number } {
   const sums = { flood: 0, others: 0 };
   const seeds = [1, 2, 3];
@@ -71,29 +77,29 @@
   return sums;
 }
 
-describe('turns of customers', () => {
+describe('fair order between customers', () => {
   /*
-   * One customer sends five times what eight others send together, for ten seconds and
-   * within its quota. Small requests went first, whosesoever, and the others, who had not
-   * changed anything, lost every seventh answer in time.
+   * One customer sends five times as much as eight others together, for ten seconds and within its
+   * quota. With the smallest requests first regardless of customers, the others lost every seventh
+   * answer in time although their load had not changed.
    */
-  test('keep the others in time while one customer floods', () => {
+  test('keeps the others in time while one customer floods', () => {
     const fair = play(() => new FairTurns(), 1);
     const bySize = play(() => new SmallestFirst(), 1);
     expect(fair.others).toBeGreaterThan(0.9);
     expect(fair.others).toBeGreaterThan(bySize.others);
-    // What the flood loses is little beside that: memory is not left idle.
+    // The flood loses little compared with that: memory must not idle.
     expect(fair.flood).toBeGreaterThan(bySize.flood * 0.8);
   });
 
-  test('help those with larger requests than the flood', () => {
+  test('helps customers with larger requests than the flood', () => {
     const fair = play(() => new FairTurns(), 0.3);
     const bySize = play(() => new SmallestFirst(), 0.3);
     expect(fair.others).toBeGreaterThan(bySize.others);
   });
 
-  /* Without customers nothing is to be shared, and the order stays what it was. */
-  test('are those of the sizes where requests name no customer', () => {
+  /* Without customers there is nothing to share, and the order must remain that of the sizes. */
+  test('is the order of sizes where requests name no customer', () => {
     const jobs = drawMemoryJobs({ perSecond: 12, bursts: [], untilMs: UNTIL_MS }, 5);
     const results = [() => new FairTurns(), () => new SmallestFirst()].map((turns) =>
       new MemoryBench({
@@ -107,16 +113,16 @@
     expect(results[0]).toEqual(results[1]);
   });
 
-  /* A customer of the first rank has twice the share of one of the second. */
-  test('come more often to a customer of a higher rank', () => {
+  /* A customer of priority 0 has twice the share of one of priority 1. */
+  test('prefers a customer with a higher priority', () => {
     const turns = new FairTurns();
-    const turnOf = (customer: string, rank: number, i: number): Turn => ({
+    const entryOf = (customer: string, rank: number, i: number): Turn => ({
       demand: { ...demand, id: `${customer}${i}`, customer, rank },
       size: 100,
       cost: 100,
     });
-    const all = [0, 1, 2, 3].flatMap((i) => [turnOf('high', 0, i), turnOf('low', 1, i)]);
-    all.slice(0, 2).forEach((turn) => turns.entered(turn.demand));
+    const all = [0, 1, 2, 3].flatMap((i) => [entryOf('high', 0, i), entryOf('low', 1, i)]);
+    all.slice(0, 2).forEach((entry) => turns.entered(entry.demand));
     const order = turns.order(all).map(({ demand: { id } }) => id);
     expect(order.slice(0, 6).filter((id) => id.startsWith('high'))).toHaveLength(4);
   });
