--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -96,13 +96,11 @@
     return this.#costs;
   }
 
-  /** Number of waiting requests. */
   /** Number of waiting requests. */
   get waiting(): number {
     return this.#queue.size;
   }
 
-  /** Number of reservations. */
   /** Number of reservations. */
   get placed(): number {
     return this.#reservations.size;
@@ -151,7 +149,6 @@
     this.#stages.ordered(now, runner, accepted, this.#engine);
   }
 
-  /** Handles an event at a time in milliseconds, and returns all decisions that follow from it. */
   /** Handles an event at a time in milliseconds, and returns all decisions that follow from it. */
   handle(now: number, event: PlanEvent): readonly PlanAction[] {
     this.#actions = [];
--- a/src/core/memory/room.ts
+++ b/src/core/memory/room.ts
@@ -98,11 +98,11 @@
    * Largest free memory among the decode runners whose rate limit allows a request now, in tokens.
    */
   largest(now: number): number {
-    let largest = 0;
+    let most = 0;
     for (const state of this.#account.decode.values()) {
-      if (this.#isWithinRate(now, state)) largest = Math.max(largest, this.free(now, state));
+      if (this.#isWithinRate(now, state)) most = Math.max(most, this.free(now, state));
     }
-    return largest;
+    return most;
   }
 
   /** Whether a runner's rate limit allows one more request now. */
--- a/src/core/memory/stages.ts
+++ b/src/core/memory/stages.ts
@@ -31,9 +31,9 @@
   changes(now: number, engine: Engine, isIdle: boolean): readonly StageChange[] {
     const { prefill, decode } = this.#account;
     const { sizes, residenceMs } = this.#stats;
-    const workload = { ...sizes, residenceMs, readTokenMs: this.#costs.readTokenMs };
+    const needs = { ...sizes, residenceMs, readTokenMs: this.#costs.readTokenMs };
     const states = [[...prefill.values()], [...decode.values()]] as const;
-    return this.#balance.consider(now, engine, ...states, workload, isIdle);
+    return this.#balance.consider(now, engine, ...states, needs, isIdle);
   }
 
   /**
