--- a/src/core/memory/account.ts
+++ b/src/core/memory/account.ts
@@ -9,15 +9,15 @@
 
 import type { Engine, Runner } from '../routing/types';
 import type { Costs } from './cost';
-import { inBlocks, madeTokens, peakTokens } from './growth';
+import { roundUpToBlocks, generatedTokens, peakTokens } from './growth';
 import { ReportedPace } from './pace';
-import type { MemoryRules, TrustRules } from './policy';
-import type { Trust } from './trust';
-import { FULL_TRUST } from './trust';
+import type { MemoryRules, EjectionRules } from './policy';
+import type { FailureScore } from './ejection';
+import { NO_FAILURES } from './ejection';
 import type { Demand } from './types';
 
 /** Memory allocated to a request on a decode runner. */
-export interface Holder {
+export interface Allocation {
   readonly demand: Demand;
   readonly grantedAt: number;
   /** Expected number of output tokens. */
@@ -27,7 +27,7 @@
   /** When decoding began; undefined if it has not. */
   startedAt: number | undefined;
   /** Whether the decode runner prefills the prompt itself. */
-  readonly direct: boolean;
+  readonly isLocalPrefill: boolean;
 }
 
 /** A decode runner and its allocations. */
@@ -38,15 +38,15 @@
   readonly memoryTokens: number;
   /** Allocations by request id. */
   /** Allocations by request id. */
-  readonly holders: Map<string, Holder>;
+  readonly allocations: Map<string, Allocation>;
   /** Tokens that the runner reports as used and that this account does not explain. */
-  foreignTokens: number;
+  unexplainedTokens: number;
   /** Tokens freed recently, which a delayed report may still include. */
-  readonly ended: { readonly at: number; readonly tokens: number }[];
+  readonly recentlyFreed: { readonly at: number; readonly tokens: number }[];
   /** The runner gets no work before this time, since it is changing its stage. */
-  avoidUntil: number;
+  switchingUntil: number;
   /** Failure score by the results of its requests. */
-  trust: Trust;
+  failureScore: FailureScore;
   /** Measured time of a token relative to the engine's usual time; 1.3 is 30 % slower. */
   slowness: number;
   /** Token time by the runner's reports. */
@@ -58,7 +58,7 @@
 export interface PendingPrompt {
   readonly tokens: number;
   /** When the prompt was queued. */
-  readonly givenAt: number;
+  readonly queuedAt: number;
   /** Prompt tokens that were queued at the runner before this one. */
   readonly aheadTokens: number;
 }
@@ -71,8 +71,8 @@
   /** Measured prefill time relative to the expected time; 1.3 is 30 % slower. */
   slowness: number;
   /** The runner gets no work before this time, since it is changing its stage. */
-  avoidUntil: number;
-  trust: Trust;
+  switchingUntil: number;
+  failureScore: FailureScore;
 }
 
 /** Time for which a report may still include a request that has ended, in milliseconds. */
@@ -90,12 +90,15 @@
 const LOCAL_PREFILL_LIMIT_MS = 1200;
 
 /** Whether the decode runner of an allocation is prefilling its prompt at the moment. */
-function isInLocalPrefill(now: number, { direct, startedAt, grantedAt }: Holder): boolean {
+function isInLocalPrefill(
+  now: number,
+  { isLocalPrefill: direct, startedAt, grantedAt }: Allocation,
+): boolean {
   return direct && startedAt === undefined && now - grantedAt < LOCAL_PREFILL_LIMIT_MS;
 }
 
 /** Whether a decode runner is running a local prefill at the moment. */
-export function isReading(now: number, { holders }: DecodeState): boolean {
+export function isPrefillingLocally(now: number, { allocations: holders }: DecodeState): boolean {
   return [...holders.values()].some((allocation) => isInLocalPrefill(now, allocation));
 }
 
@@ -106,9 +109,12 @@
 const LOCAL_PREFILL_EFFECT_MS = 800;
 
 /** Whether a current or recent local prefill explains slow streams on a decode runner. */
-export function slowedByRead(now: number, { holders }: DecodeState): boolean {
+export function isSlowedByLocalPrefill(
+  now: number,
+  { allocations: holders }: DecodeState,
+): boolean {
   return [...holders.values()].some((allocation) => {
-    const { direct, startedAt } = allocation;
+    const { isLocalPrefill: direct, startedAt } = allocation;
     const hadLocalPrefill =
       direct && startedAt !== undefined && now - startedAt < LOCAL_PREFILL_EFFECT_MS;
     return hadLocalPrefill || isInLocalPrefill(now, allocation);
@@ -116,7 +122,7 @@
 }
 
 /** Expected time at which an allocation is freed. */
-export function endOf(now: number, allocation: Holder, tokenMs: number): number {
+export function expectedEndOf(now: number, allocation: Allocation, tokenMs: number): number {
   const { expectedTokens, startedAt, grantedAt } = allocation;
   const from = startedAt ?? grantedAt;
   return Math.max(now + tokenMs, from + expectedTokens * tokenMs);
@@ -126,7 +132,7 @@
  * Usual error of the summed output estimates, in tokens; errors of single requests partly cancel
  * out.
  */
-function deviationOf(allocations: Iterable<Holder>): number {
+function deviationOf(allocations: Iterable<Allocation>): number {
   let squared = 0;
   for (const { deviationTokens } of allocations) squared += deviationTokens * deviationTokens;
   return Math.sqrt(squared);
@@ -136,13 +142,13 @@
  * Runners of one stage that may get work: those that are not changing their stage and are not
  * ejected. If too many are ejected, the ejected ones are included.
  */
-export function ableOf<T extends DecodeState | PrefillState>(
+export function eligibleOf<T extends DecodeState | PrefillState>(
   now: number,
   states: Iterable<T>,
-  { distrustedPart }: TrustRules,
+  { maxEjectedShare: distrustedPart }: EjectionRules,
 ): readonly T[] {
-  const notSwitching = [...states].filter(({ avoidUntil }) => now >= avoidUntil);
-  const notEjected = notSwitching.filter(({ trust }) => now >= trust.avoidUntil);
+  const notSwitching = [...states].filter(({ switchingUntil: avoidUntil }) => now >= avoidUntil);
+  const notEjected = notSwitching.filter(({ failureScore: trust }) => now >= trust.ejectedUntil);
   return notEjected.length >= notSwitching.length * (1 - distrustedPart)
     ? notEjected
     : notSwitching;
@@ -172,17 +178,17 @@
 
   /** Tokens that can still be reserved at a runner. */
   freeTokens(now: number, state: DecodeState): number {
-    if (now < state.avoidUntil) return 0;
-    const { fill, deviations, peak } = this.#rules;
-    const taken = peak.of(now, state.holders.values(), this.tokenMs(state));
-    const margin = deviations * deviationOf(state.holders.values());
-    return Math.max(0, state.memoryTokens * fill - state.foreignTokens - taken - margin);
+    if (now < state.switchingUntil) return 0;
+    const { reservableShare: fill, deviationFactor: deviations, peak } = this.#rules;
+    const taken = peak.estimate(now, state.allocations.values(), this.tokenMs(state));
+    const margin = deviations * deviationOf(state.allocations.values());
+    return Math.max(0, state.memoryTokens * fill - state.unexplainedTokens - taken - margin);
   }
 
   /** Runners that are ejected at the moment because their requests failed or were slow. */
-  distrusted(now: number): readonly string[] {
+  ejected(now: number): readonly string[] {
     return [...this.prefill.values(), ...this.decode.values()]
-      .filter(({ trust }) => now < trust.avoidUntil)
+      .filter(({ failureScore: trust }) => now < trust.ejectedUntil)
       .map(({ runner }) => runner.id);
   }
 
@@ -197,11 +203,11 @@
         this.decode.set(runner.id, {
           runner,
           memoryTokens: engine.memoryTokens,
-          holders: new Map(),
-          foreignTokens: 0,
-          ended: [],
-          avoidUntil: 0,
-          trust: FULL_TRUST,
+          allocations: new Map(),
+          unexplainedTokens: 0,
+          recentlyFreed: [],
+          switchingUntil: 0,
+          failureScore: NO_FAILURES,
           slowness: 1,
           pace: new ReportedPace(),
         });
@@ -211,8 +217,8 @@
           runner,
           pending: new Map(),
           slowness: 1,
-          avoidUntil: 0,
-          trust: FULL_TRUST,
+          switchingUntil: 0,
+          failureScore: NO_FAILURES,
         });
       }
     }
@@ -226,15 +232,16 @@
    * Compares a runner's report with the account. Memory that the account does not explain belongs
    * to requests of other planners or clients.
    */
-  report(now: number, id: string, usedTokens: number): void {
+  applyReport(now: number, id: string, usedTokens: number): void {
     const state = this.decode.get(id);
     if (!state) return;
-    while ((state.ended[0]?.at ?? Infinity) < now - REPORT_LAG_MS) state.ended.shift();
+    while ((state.recentlyFreed[0]?.at ?? Infinity) < now - REPORT_LAG_MS)
+      state.recentlyFreed.shift();
     let explained = REPORT_SLACK_TOKENS;
-    for (const { tokens } of state.ended) explained += tokens;
+    for (const { tokens } of state.recentlyFreed) explained += tokens;
     const tokenMs = this.tokenMs(state);
-    for (const entry of state.holders.values()) explained += peakTokens(now, entry, tokenMs);
-    state.foreignTokens = Math.max(0, usedTokens - explained);
+    for (const entry of state.allocations.values()) explained += peakTokens(now, entry, tokenMs);
+    state.unexplainedTokens = Math.max(0, usedTokens - explained);
   }
 
   /**
@@ -242,20 +249,22 @@
    * runner's last report must already have included the request, its tokens are no longer
    * unexplained.
    */
-  explain(now: number, id: string, request: string): void {
+  explainReported(now: number, id: string, request: string): void {
     const state = this.decode.get(id);
-    const { demand, startedAt } = state?.holders.get(request) ?? {};
+    const { demand, startedAt } = state?.allocations.get(request) ?? {};
     if (!state || !demand || startedAt === undefined || now - startedAt < REPORT_LAG_MS) return;
-    const tokens = inBlocks(demand.promptTokens + madeTokens(now, startedAt, this.tokenMs(state)));
-    state.foreignTokens = Math.max(0, state.foreignTokens - tokens);
+    const tokens = roundUpToBlocks(
+      demand.promptTokens + generatedTokens(now, startedAt, this.tokenMs(state)),
+    );
+    state.unexplainedTokens = Math.max(0, state.unexplainedTokens - tokens);
   }
 
   /** Frees the allocation of a request on its decode runner. */
-  leave(now: number, runner: string, id: string): void {
+  release(now: number, runner: string, id: string): void {
     const state = this.decode.get(runner);
-    const allocation = state?.holders.get(id);
+    const allocation = state?.allocations.get(id);
     if (!state || !allocation) return;
-    state.holders.delete(id);
-    state.ended.push({ at: now, tokens: peakTokens(now, allocation, this.tokenMs(state)) });
+    state.allocations.delete(id);
+    state.recentlyFreed.push({ at: now, tokens: peakTokens(now, allocation, this.tokenMs(state)) });
   }
 }
--- a/src/core/memory/ahead.ts
+++ b/src/core/memory/ahead.ts
@@ -6,7 +6,7 @@
 import type { AheadRules } from './policy';
 
 /** Time for which a finished prefill may wait for decode memory, in milliseconds. */
-export function waitableMs({ keepPart }: AheadRules, keepMs: number): number {
+export function maxWaitMs({ maxWaitShare: keepPart }: AheadRules, keepMs: number): number {
   return keepMs * keepPart;
 }
 
@@ -17,13 +17,13 @@
  * @param prefillMs time of a usual prefill, in milliseconds
  * @param residenceMs time for which a usual request holds its reservation, in milliseconds
  */
-export function allowedAhead(
+export function maxPrefillsAhead(
   rules: AheadRules,
   allocations: number,
   prefillMs: number,
   residenceMs: number,
   keepMs: number,
 ): number {
-  const horizonMs = prefillMs + waitableMs(rules, keepMs);
-  return Math.floor((rules.part * allocations * horizonMs) / residenceMs);
+  const horizonMs = prefillMs + maxWaitMs(rules, keepMs);
+  return Math.floor((rules.endingShare * allocations * horizonMs) / residenceMs);
 }
--- a/src/core/memory/tries.ts
+++ b/src/core/memory/attempts.ts
@@ -18,7 +18,7 @@
 }
 
 /** Attempts of requests that have no complete answer yet, by prompt. */
-export class EarlierTries {
+export class PreviousAttempts {
   /** In the order of the last attempt. */
   readonly #attempts = new Map<string, Attempt>();
 
@@ -27,7 +27,7 @@
    * attempt. Callers choose their deadlines independently; when the first attempt was guessed from
    * them, two of five attempts looked late before they began and were served last.
    */
-  note(now: number, demand: Demand): Demand {
+  record(now: number, demand: Demand): Demand {
     this.#expire(now);
     const { promptId, dueAt } = demand;
     if (promptId === undefined) return demand;
@@ -42,7 +42,7 @@
    * Forgets the attempts of a request that was answered; the same prompt is a new request from now
    * on.
    */
-  answered({ promptId }: Demand): void {
+  forget({ promptId }: Demand): void {
     if (promptId !== undefined) this.#attempts.delete(promptId);
   }
 
--- a/src/core/memory/balance.ts
+++ b/src/core/memory/balance.ts
@@ -8,7 +8,7 @@
 
 import type { Engine } from '../routing/types';
 import type { DecodeState, PrefillState } from './account';
-import { DIRECT_READ_COST } from './cost';
+import { LOCAL_PREFILL_COST } from './cost';
 import type { StageRules } from './policy';
 
 /** A change of a runner's stage. */
@@ -21,7 +21,7 @@
 export interface Workload {
   readonly promptTokens: number;
   /** Time of a prefill runner per prompt token, in milliseconds. */
-  readonly readTokenMs: number;
+  readonly prefillTokenMs: number;
   readonly outputTokens: number;
   /** Time for which a request holds decode memory, in milliseconds. */
   readonly residenceMs: number;
@@ -40,13 +40,13 @@
   prefill: number,
   decode: number,
   slowness: number,
-  { promptTokens, readTokenMs, outputTokens, residenceMs }: Workload,
+  { promptTokens, prefillTokenMs: readTokenMs, outputTokens, residenceMs }: Workload,
 ): number {
   const promptMs = headroom * promptTokens * readTokenMs;
   const prefillRate = prefill / (promptMs * slowness);
   const decodeMs = ((promptTokens + outputTokens) * residenceMs) / memoryTokens;
   if (prefillRate * decodeMs >= decode) return decode / decodeMs;
-  const readMs = DIRECT_READ_COST * promptMs;
+  const readMs = LOCAL_PREFILL_COST * promptMs;
   return (decode + prefillRate * readMs) / (decodeMs + readMs);
 }
 
@@ -54,7 +54,7 @@
  * Number of prefill runners that serves the most requests; among equal ones the largest, since
  * prefill runners absorb bursts better.
  */
-export function wantedPrefill(
+export function optimalPrefillCount(
   rules: StageRules,
   engine: Engine,
   runners: number,
@@ -65,7 +65,7 @@
   let bestRate = 0;
   for (let prefill = 1; prefill < runners; prefill += 1) {
     const rate = servedRate(rules, engine, prefill, runners - prefill, slowness, workload);
-    if (rate >= bestRate * (1 - rules.tiePart)) best = prefill;
+    if (rate >= bestRate * (1 - rules.tieTolerance)) best = prefill;
     bestRate = Math.max(bestRate, rate);
   }
   return best;
@@ -80,7 +80,7 @@
  * Decides on stage changes, one after the other: at once while the service is idle at the start,
  * later only after the need has lasted for some time.
  */
-export class StageBalance {
+export class StageBalancer {
   readonly #rules: StageRules;
 
   /**
@@ -111,7 +111,7 @@
    * Records that a runner accepted an order, or may have; returns the time until which the change
    * is in progress.
    */
-  ordered(now: number, runner: string, accepted: boolean, engine: Engine | undefined): number {
+  recordOrder(now: number, runner: string, accepted: boolean, engine: Engine | undefined): number {
     const until = now + (accepted ? (engine?.switchMs ?? 0) + RELISTING_MS : UNANSWERED_ORDER_MS);
     this.#changing.set(runner, until);
     return until;
@@ -134,7 +134,7 @@
   }
 
   /** Stage changes to order now. */
-  consider(
+  changes(
     now: number,
     engine: Engine,
     prefill: readonly PrefillState[],
@@ -150,7 +150,7 @@
     const runners = prefill.length + decode.length;
     if (this.#changing.size > 0 || runners < 2 || engine.switchMs === undefined) return [];
     const slowness = mean(prefill.map((state) => state.slowness));
-    const { steadyMs, lackMs } = this.#rules;
+    const { steadyMs, shortageMs: lackMs } = this.#rules;
     const surplusOf = (prefills: number, decodes: number): number =>
       worthwhileSurplus(this.#rules, engine, prefills, decodes, slowness, workload);
     const surplus = surplusOf(prefill.length, decode.length);
@@ -172,7 +172,7 @@
     // While requests run, changes are ordered one at a time, so that the effect of each is visible
     // before the next.
     if (sign > 0) return changeIdlestToDecode(prefill, isIdle ? surplus : 1);
-    const [leastLoaded] = [...decode].sort((a, b) => a.holders.size - b.holders.size);
+    const [leastLoaded] = [...decode].sort((a, b) => a.allocations.size - b.allocations.size);
     return leastLoaded ? [{ runner: leastLoaded.runner.id, role: 'prefill' }] : [];
   }
 }
@@ -193,10 +193,10 @@
   workload: Workload,
 ): number {
   const runners = prefill + decode;
-  const wanted = wantedPrefill(rules, engine, runners, slowness, workload);
+  const wanted = optimalPrefillCount(rules, engine, runners, slowness, workload);
   const rateOf = (count: number): number =>
     servedRate(rules, engine, count, runners - count, slowness, workload);
-  return rateOf(wanted) > rateOf(prefill) * (1 + rules.leastGain) ? prefill - wanted : 0;
+  return rateOf(wanted) > rateOf(prefill) * (1 + rules.minGain) ? prefill - wanted : 0;
 }
 
 function mean(values: readonly number[]): number {
--- a/src/core/memory/room.ts
+++ b/src/core/memory/capacity.ts
@@ -6,9 +6,15 @@
 import type { Ration } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, MemoryAccount, PrefillState } from './account';
-import { ableOf, endOf, isReading } from './account';
+import { eligibleOf, expectedEndOf, isPrefillingLocally } from './account';
 import type { Costs } from './cost';
-import { DIRECT_READ_COST, backlogMs, pauseOfRead, prefillMs, workMs } from './cost';
+import {
+  LOCAL_PREFILL_COST,
+  backlogMs,
+  localPrefillPauseMs,
+  prefillMs,
+  prefillWorkMs,
+} from './cost';
 import type { PlanPolicy } from './policy';
 import type { Demand } from './types';
 
@@ -37,7 +43,7 @@
 const MAX_LOGGED_RUNNERS = 6;
 
 /** View of the account's free capacity at one moment. */
-export class Room {
+export class CapacityView {
   readonly #policy: PlanPolicy;
 
   readonly #account: MemoryAccount;
@@ -67,12 +73,12 @@
    * Starts the warm-up, in which the account may lack reservations that other VMs have not reported
    * yet.
    */
-  beCautious(now: number): void {
-    this.#warmUpUntil = now + this.#policy.caution.ms;
+  startWarmUp(now: number): void {
+    this.#warmUpUntil = now + this.#policy.warmUp.durationMs;
   }
 
   /** Clears the cache; must be called after each change of the account. */
-  changed(): void {
+  invalidate(): void {
     this.#freeCache.clear();
   }
 
@@ -86,7 +92,7 @@
     const memory = Math.round((1 - free / Math.max(1, this.memory)) * 100) / 100;
     const decode = states.slice(0, MAX_LOGGED_RUNNERS).map((state) => {
       const share = 1 - this.free(now, state) / state.memoryTokens;
-      return `${state.holders.size}:${share.toFixed(2)}:${Math.round(state.foreignTokens)}`;
+      return `${state.allocations.size}:${share.toFixed(2)}:${Math.round(state.unexplainedTokens)}`;
     });
     const prefill = [...this.#account.prefill.values()]
       .slice(0, MAX_LOGGED_RUNNERS)
@@ -97,7 +103,7 @@
   /**
    * Largest free memory among the decode runners whose rate limit allows a request now, in tokens.
    */
-  largest(now: number): number {
+  largestFreeTokens(now: number): number {
     let most = 0;
     for (const state of this.#account.decode.values()) {
       if (this.#isWithinRate(now, state)) most = Math.max(most, this.free(now, state));
@@ -122,7 +128,7 @@
     return this.#findMostFree(
       now,
       demand,
-      (state, free) => free >= need && mostSlots > state.holders.size,
+      (state, free) => free >= need && mostSlots > state.allocations.size,
     );
   }
 
@@ -133,17 +139,18 @@
    * memory was idle while requests were refused. A local prefill slows the other streams on the
    * runner, so a nearly full runner does not run one.
    */
-  findReader(
+  findLocalPrefill(
     now: number,
     demand: Demand,
     need: number,
     { slots, eventTokens }: Engine,
   ): DecodeState | undefined {
-    const { directSpare, pausePart } = this.#policy.reading;
-    const pauseMs = pauseOfRead(this.#costs, demand.promptTokens, eventTokens);
+    const { localFreeShare: directSpare, localPauseShare: pausePart } = this.#policy.prefill;
+    const pauseMs = localPrefillPauseMs(this.#costs, demand.promptTokens, eventTokens);
     return this.#findMostFree(now, demand, (state, free) => {
       const hasSpareMemory = free - need > state.memoryTokens * directSpare;
-      const isCandidate = hasSpareMemory && slots > state.holders.size && !isReading(now, state);
+      const isCandidate =
+        hasSpareMemory && slots > state.allocations.size && !isPrefillingLocally(now, state);
       const isShortPause = pauseMs <= minGapMs(state) * pausePart;
       return isCandidate && (isShortPause || this.#account.prefill.size === 0);
     });
@@ -157,7 +164,7 @@
   ): DecodeState | undefined {
     let best: DecodeState | undefined;
     let bestFree = -Infinity;
-    for (const state of ableOf(now, this.#account.decode.values(), this.#policy.trust)) {
+    for (const state of eligibleOf(now, this.#account.decode.values(), this.#policy.ejection)) {
       const free = this.free(now, state);
       const isCandidate = free > bestFree && meets(state, free) && !avoid.includes(state.runner.id);
       if (isCandidate && this.#isAllowedInWarmUp(now, state) && this.#isWithinRate(now, state)) {
@@ -172,7 +179,7 @@
    * The decode runner that is likely to have free memory first; only an estimate until the request
    * is assigned.
    */
-  soonest(now: number, demand: Demand): DecodeState | undefined {
+  findSoonest(now: number, demand: Demand): DecodeState | undefined {
     return this.#findMostFree(now, demand, () => true);
   }
 
@@ -181,10 +188,10 @@
    * limit; undefined if there is none.
    */
   findPrefill(now: number, demand: Demand, domain: string): PrefillState | undefined {
-    const { backlogLimitMs, farMs } = this.#policy.reading;
+    const { backlogLimitMs, crossDomainMs: farMs } = this.#policy.prefill;
     let best: PrefillState | undefined;
     let bestMs = Infinity;
-    for (const state of ableOf(now, this.#account.prefill.values(), this.#policy.trust)) {
+    for (const state of eligibleOf(now, this.#account.prefill.values(), this.#policy.ejection)) {
       const backlog = backlogMs(this.#costs, now, state);
       const isCandidate = backlog <= backlogLimitMs;
       // Between failure domains the KV cache is transferred at half the speed; a tie goes to the
@@ -225,12 +232,12 @@
   }
 
   /** Expected ends of a runner's requests, and the tokens that each frees. */
-  #expectedEnds(now: number, { holders, slowness }: DecodeState): readonly Release[] {
+  #expectedEnds(now: number, { allocations: holders, slowness }: DecodeState): readonly Release[] {
     // Uses the lower bound of the token time: overestimated waits would refuse callers that can be
     // served.
-    const tokenMs = this.#costs.leastTokenMs * slowness;
+    const tokenMs = this.#costs.minTokenMs * slowness;
     return [...holders.values()].map((allocation) => ({
-      at: endOf(now, allocation, tokenMs),
+      at: expectedEndOf(now, allocation, tokenMs),
       tokens: allocation.demand.promptTokens + allocation.expectedTokens,
     }));
   }
@@ -259,18 +266,18 @@
    * local prefills on the decode runners; without it, every request that could not start at once
    * was refused.
    */
-  readMs(now: number): (tokens: number) => number {
+  prefillWaitMs(now: number): (tokens: number) => number {
     const { decode } = this.#account;
     const prefill = [...this.#account.prefill.values()].filter(
       ({ runner }) => this.#allowance.ratePerS(runner.id) === undefined,
     );
     if (prefill.length === 0) {
       return (tokens) =>
-        (DIRECT_READ_COST * workMs(this.#costs, tokens)) / Math.max(1, decode.size);
+        (LOCAL_PREFILL_COST * prefillWorkMs(this.#costs, tokens)) / Math.max(1, decode.size);
     }
     let backlog = 0;
     for (const state of prefill) backlog += backlogMs(this.#costs, now, state);
-    return (tokens) => (backlog + workMs(this.#costs, tokens)) / prefill.length;
+    return (tokens) => (backlog + prefillWorkMs(this.#costs, tokens)) / prefill.length;
   }
 
   /**
@@ -314,12 +321,12 @@
    */
   #isAllowedInWarmUp(now: number, state: DecodeState): boolean {
     if (now >= this.#warmUpUntil) return true;
-    return this.free(now, state) > state.memoryTokens * this.#policy.caution.freePart;
+    return this.free(now, state) > state.memoryTokens * this.#policy.warmUp.minFreeShare;
   }
 }
 
 /** The smallest pause between events that the streams of a runner allow, in milliseconds. */
-function minGapMs({ holders }: DecodeState): number {
+function minGapMs({ allocations: holders }: DecodeState): number {
   let leastMs = Infinity;
   for (const { demand } of holders.values()) {
     if (demand.gapMs > 0) leastMs = Math.min(leastMs, demand.gapMs);
@@ -331,7 +338,7 @@
  * Time until a number of tokens will be free, in milliseconds; Infinity if never. The releases are
  * sorted by time.
  */
-export function waitFor(now: number, releases: readonly Release[], tokens: number): number {
+export function waitForTokensMs(now: number, releases: readonly Release[], tokens: number): number {
   let low = 0;
   let high = releases.length;
   while (low < high) {
--- a/src/core/memory/cost.ts
+++ b/src/core/memory/cost.ts
@@ -10,9 +10,9 @@
 /** Times of an engine whose runners have slowness 1. */
 export interface Costs {
   /** Fixed time of each prefill, in milliseconds. */
-  readonly readBaseMs: number;
+  readonly prefillBaseMs: number;
   /** Time of a prefill runner per prompt token, in milliseconds. */
-  readonly readTokenMs: number;
+  readonly prefillTokenMs: number;
   /**
    * Time from the end of the prefill to the first event, in milliseconds: the transfer of the KV
    * cache and a step for each token of an event.
@@ -21,7 +21,7 @@
   /** Time of an output token on a decode runner, in milliseconds. */
   readonly tokenMs: number;
   /** Lower bound of `tokenMs` by its measured error. */
-  readonly leastTokenMs: number;
+  readonly minTokenMs: number;
 }
 
 /** Initial values until the first measurement: those of a mid-sized engine. */
@@ -37,7 +37,7 @@
 /**
  * Cost of a local prefill relative to a prefill runner: a decode runner prefills at half the speed.
  */
-export const DIRECT_READ_COST = 2;
+export const LOCAL_PREFILL_COST = 2;
 /**
  * A prompt is overdue after this multiple of its expected time, but not before `MIN_OVERDUE_MS`.
  */
@@ -65,13 +65,17 @@
 const PREFILL_DECAY = 0.98;
 
 /** Time that a prompt occupies a runner of the given slowness, in milliseconds. */
-export function workMs({ readTokenMs }: Costs, tokens: number, slowness = 1): number {
+export function prefillWorkMs(
+  { prefillTokenMs: readTokenMs }: Costs,
+  tokens: number,
+  slowness = 1,
+): number {
   return tokens * readTokenMs * slowness;
 }
 
 /** Time of a prefill on an idle runner, in milliseconds. */
 export function prefillMs(costs: Costs, tokens: number, slowness = 1): number {
-  return costs.readBaseMs + workMs(costs, tokens, slowness);
+  return costs.prefillBaseMs + prefillWorkMs(costs, tokens, slowness);
 }
 
 /** Time for which a request of the given size holds its reservation, in milliseconds. */
@@ -85,16 +89,20 @@
  * chunks of a prompt fall between two events, and up to ten streams at a time exceeded their
  * allowed pause.
  */
-export function pauseOfRead(costs: Costs, promptTokens: number, eventTokens: number): number {
+export function localPrefillPauseMs(
+  costs: Costs,
+  promptTokens: number,
+  eventTokens: number,
+): number {
   const tokens = Math.min(promptTokens, eventTokens * CHUNK_TOKENS);
-  return eventTokens * costs.tokenMs + DIRECT_READ_COST * workMs(costs, tokens);
+  return eventTokens * costs.tokenMs + LOCAL_PREFILL_COST * prefillWorkMs(costs, tokens);
 }
 
 /**
  * Expected time of a prompt on a runner of slowness 1, including the tokens queued before it, in
  * milliseconds.
  */
-export function expectedReadMs(costs: Costs, { tokens, aheadTokens }: PendingPrompt): number {
+export function expectedPrefillMs(costs: Costs, { tokens, aheadTokens }: PendingPrompt): number {
   return prefillMs(costs, tokens + aheadTokens);
 }
 
@@ -102,9 +110,9 @@
 function pendingTokens(costs: Costs, now: number, { pending, slowness }: PrefillState): number {
   let tokens = 0;
   for (const entry of pending.values()) {
-    const usualMs = expectedReadMs(costs, entry) * Math.max(1, slowness);
+    const usualMs = expectedPrefillMs(costs, entry) * Math.max(1, slowness);
     const limitMs = Math.max(MIN_OVERDUE_MS, OVERDUE_FACTOR * usualMs);
-    if (now < entry.givenAt + limitMs) tokens += entry.tokens;
+    if (now < entry.queuedAt + limitMs) tokens += entry.tokens;
   }
   return tokens;
 }
@@ -118,7 +126,7 @@
   tokens: number,
 ): void {
   const aheadTokens = pendingTokens(costs, now, state);
-  state.pending.set(id, { tokens, givenAt: now, aheadTokens });
+  state.pending.set(id, { tokens, queuedAt: now, aheadTokens });
 }
 
 /**
@@ -127,14 +135,14 @@
  * the only prefill runner without work for three seconds while eleven requests waited.
  */
 export function backlogMs(costs: Costs, now: number, state: PrefillState): number {
-  return workMs(costs, pendingTokens(costs, now, state), state.slowness);
+  return prefillWorkMs(costs, pendingTokens(costs, now, state), state.slowness);
 }
 
 /**
  * Updates a runner's slowness after work that took `ms`, where `expectedMs` is the time at slowness
  * 1.
  */
-export function learntSlowness(slowness: number, expectedMs: number, ms: number): number {
+export function updatedSlowness(slowness: number, expectedMs: number, ms: number): number {
   const measured = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, ms / expectedMs));
   return slowness + SLOWNESS_WEIGHT * (measured - slowness);
 }
@@ -194,29 +202,29 @@
 /** Costs that are updated by measurements. */
 export interface CostModel extends Costs {
   /** Records that an idle runner prefilled a prompt in `ms`. */
-  read(tokens: number, ms: number): void;
+  recordPrefill(tokens: number, ms: number): void;
   /**
    * Records that the first event came `ms` after both the prefill and the assignment of a decode
    * runner.
    */
-  began(ms: number): void;
+  recordFirstEvent(ms: number): void;
   /** Records a token time of a request. */
-  made(ms: number): void;
+  recordTokenTime(ms: number): void;
 }
 
 /** Costs of one engine, measured while it runs. */
-export class LearntCosts implements CostModel {
+export class MeasuredCosts implements CostModel {
   readonly #prefills = new PrefillRegression();
 
   readonly #firstEvent = new Estimate(INITIAL_FIRST_EVENT_MS, ESTIMATE_OPTIONS);
 
   readonly #token = new Estimate(INITIAL_TOKEN_MS, ESTIMATE_OPTIONS);
 
-  get readBaseMs(): number {
+  get prefillBaseMs(): number {
     return this.#prefills.line.baseMs;
   }
 
-  get readTokenMs(): number {
+  get prefillTokenMs(): number {
     return this.#prefills.line.tokenMs;
   }
 
@@ -228,19 +236,19 @@
     return this.#token.value;
   }
 
-  get leastTokenMs(): number {
+  get minTokenMs(): number {
     return Math.max(0, this.#token.value - this.#token.error);
   }
 
-  read(tokens: number, ms: number): void {
+  recordPrefill(tokens: number, ms: number): void {
     this.#prefills.add(tokens, ms);
   }
 
-  began(ms: number): void {
+  recordFirstEvent(ms: number): void {
     this.#firstEvent.add(ms);
   }
 
-  made(ms: number): void {
+  recordTokenTime(ms: number): void {
     // A start and an end that arrive in the same packet carry no information; a token time of 0
     // would make the expected growth infinite.
     if (ms > 0) this.#token.add(ms);
--- a/src/core/memory/trust.ts
+++ b/src/core/memory/ejection.ts
@@ -7,31 +7,38 @@
  * requests gets little work.
  */
 
-import type { TrustRules } from './policy';
+import type { EjectionRules } from './policy';
 
 /** Failure score of one runner. */
-export interface Trust {
+export interface FailureScore {
   /** Number of failures, reduced with each success. */
-  readonly strikes: number;
+  readonly failures: number;
   /** The runner is ejected before this time. */
-  readonly avoidUntil: number;
+  readonly ejectedUntil: number;
 }
 
 /** Score of a runner without failures. */
-export const FULL_TRUST: Trust = { strikes: 0, avoidUntil: 0 };
+export const NO_FAILURES: FailureScore = { failures: 0, ejectedUntil: 0 };
 
 /**
  * Score after a failure. Requests that run at the same time fail together: ten streams slowed by
  * the same prompt ejected a healthy runner for six seconds. Failures while the runner is ejected
  * anyway are therefore not counted again.
  */
-export function afterFailure({ firstMs, limitMs }: TrustRules, now: number, score: Trust): Trust {
-  if (now < score.avoidUntil) return score;
-  const avoidMs = Math.min(limitMs, firstMs * 2 ** score.strikes);
-  return { strikes: score.strikes + 1, avoidUntil: now + avoidMs };
+export function afterFailure(
+  { firstMs, maxMs: limitMs }: EjectionRules,
+  now: number,
+  score: FailureScore,
+): FailureScore {
+  if (now < score.ejectedUntil) return score;
+  const avoidMs = Math.min(limitMs, firstMs * 2 ** score.failures);
+  return { failures: score.failures + 1, ejectedUntil: now + avoidMs };
 }
 
 /** Score after a success. */
-export function afterSuccess({ goodEnd }: TrustRules, { strikes, avoidUntil }: Trust): Trust {
-  return { strikes: strikes * goodEnd, avoidUntil };
+export function afterSuccess(
+  { successFactor: goodEnd }: EjectionRules,
+  { failures: strikes, ejectedUntil: avoidUntil }: FailureScore,
+): FailureScore {
+  return { failures: strikes * goodEnd, ejectedUntil: avoidUntil };
 }
--- a/src/core/memory/flow.ts
+++ b/src/core/memory/flow.ts
@@ -37,13 +37,13 @@
   #updatedAt = 0;
 
   /** Records that a first attempt requested a number of tokens. */
-  asked(now: number, tokens: number): void {
+  recordDemand(now: number, tokens: number): void {
     this.#decay(now);
     this.#requestedPerMs += tokens / WINDOW_MS;
   }
 
   /** Records the size of a request, with its expected output. */
-  sized(promptTokens: number, outputTokens: number): void {
+  recordSize(promptTokens: number, outputTokens: number): void {
     this.#promptTokens.add(promptTokens);
     this.#outputTokens.add(outputTokens);
   }
@@ -57,7 +57,7 @@
    * Tokens per millisecond that are not used by first attempts.
    * @param capacity tokens freed per millisecond when all memory is in use
    */
-  spare(now: number, capacity: number): number {
+  spareTokensPerMs(now: number, capacity: number): number {
     this.#decay(now);
     return Math.max(MIN_SPARE_SHARE * capacity, capacity - this.#requestedPerMs);
   }
--- a/src/core/memory/lengths.ts
+++ b/src/core/memory/lengths.ts
@@ -36,17 +36,17 @@
   }
 
   /** Expected output tokens of a request. */
-  expect(demand: Demand): number {
+  expectedTokens(demand: Demand): number {
     return this.#weighted(demand, this.#best.weight);
   }
 
   /** Usual error of an estimate in tokens, as the root mean square. */
-  deviation({ maxOutputTokens }: Demand): number {
+  deviationTokens({ maxOutputTokens }: Demand): number {
     return Math.sqrt(this.#best.squaredError.value) * maxOutputTokens;
   }
 
   /** Records the output length of a finished request. */
-  learn(demand: Demand, outputTokens: number): void {
+  record(demand: Demand, outputTokens: number): void {
     const limit = Math.max(1, demand.maxOutputTokens);
     if (demand.hintTokens !== undefined) {
       for (const { weight, squaredError } of this.#weights) {
--- a/src/core/memory/turns.ts
+++ b/src/core/memory/order.ts
@@ -4,7 +4,7 @@
 import type { Demand } from './types';
 
 /** A waiting request and its expected use of memory. */
-export interface Turn {
+export interface QueueEntry {
   readonly demand: Demand;
   /** Tokens of memory. */
   readonly size: number;
@@ -13,18 +13,18 @@
 }
 
 /** A scheduling order. */
-export interface Turns {
+export interface QueueOrder {
   /** Returns the entries in scheduling order. */
-  order(entries: readonly Turn[]): readonly Turn[];
+  order(entries: readonly QueueEntry[]): readonly QueueEntry[];
   /** A customer without waiting requests got one. */
-  entered(demand: Demand): void;
+  customerQueued(demand: Demand): void;
   /** A customer's last waiting request was removed. */
-  left(demand: Demand): void;
+  customerDequeued(demand: Demand): void;
   /** A request got a reservation. */
-  placed(entry: Turn): void;
+  reserved(entry: QueueEntry): void;
 }
 
-function bySize(a: Turn, b: Turn): number {
+function bySize(a: QueueEntry, b: QueueEntry): number {
   return a.size - b.size;
 }
 
@@ -32,16 +32,16 @@
  * Smallest requests first, regardless of their customers: in an overload they give the most answers
  * for the memory.
  */
-export class SmallestFirst implements Turns {
-  order(entries: readonly Turn[]): readonly Turn[] {
+export class SmallestFirst implements QueueOrder {
+  order(entries: readonly QueueEntry[]): readonly QueueEntry[] {
     return [...entries].sort(bySize);
   }
 
-  entered(): void {}
+  customerQueued(): void {}
 
-  left(): void {}
+  customerDequeued(): void {}
 
-  placed(): void {}
+  reserved(): void {}
 }
 
 /** Group of all requests without a customer. */
@@ -53,7 +53,7 @@
 
 interface Lane {
   readonly group: string;
-  readonly entries: Turn[];
+  readonly entries: QueueEntry[];
   tag: number;
 }
 
@@ -62,14 +62,14 @@
  * first within each. Without it, a customer that floods the service within its quota displaced all
  * others. Customers with a higher priority have a larger share.
  */
-export class FairTurns implements Turns {
+export class FairOrder implements QueueOrder {
   readonly #weights = new Map<string, number>();
 
   readonly #shares = new FairShares((group) => this.#weights.get(group) ?? 1, 0);
 
-  order(entries: readonly Turn[]): readonly Turn[] {
+  order(entries: readonly QueueEntry[]): readonly QueueEntry[] {
     const lanes = this.#groupIntoLanes(entries);
-    const ordered: Turn[] = [];
+    const ordered: QueueEntry[] = [];
     while (ordered.length < entries.length) {
       const lane = leastLane(lanes);
       const entry = lane?.entries.shift();
@@ -80,21 +80,21 @@
     return ordered;
   }
 
-  entered(demand: Demand): void {
+  customerQueued(demand: Demand): void {
     const group = groupOf(demand);
     this.#weights.set(group, 1 / (1 + demand.rank));
     this.#shares.enter(group);
   }
 
-  left(demand: Demand): void {
+  customerDequeued(demand: Demand): void {
     this.#shares.leave(groupOf(demand));
   }
 
-  placed({ demand, cost }: Turn): void {
+  reserved({ demand, cost }: QueueEntry): void {
     this.#shares.charge(groupOf(demand), cost);
   }
 
-  #groupIntoLanes(entries: readonly Turn[]): readonly Lane[] {
+  #groupIntoLanes(entries: readonly QueueEntry[]): readonly Lane[] {
     const lanes = new Map<string, Lane>();
     for (const entry of [...entries].sort(bySize)) {
       const group = groupOf(entry.demand);
--- a/src/core/memory/pace.ts
+++ b/src/core/memory/pace.ts
@@ -25,7 +25,7 @@
    * Milliseconds per token between this report and the previous one; undefined if they cannot be
    * compared.
    */
-  next(now: number, runs: readonly ReportedRun[]): number | undefined {
+  update(now: number, runs: readonly ReportedRun[]): number | undefined {
     const previous = this.#previous;
     this.#previous = {
       at: now,
--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -10,22 +10,22 @@
 import { unlimited } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, PrefillState } from './account';
-import { MemoryAccount, slowedByRead } from './account';
-import { allowedAhead, waitableMs } from './ahead';
-import { Learning } from './learning';
-import { afterFailure, afterSuccess } from './trust';
+import { MemoryAccount, isSlowedByLocalPrefill } from './account';
+import { maxPrefillsAhead, maxWaitMs } from './ahead';
+import { WorkloadStats } from './stats';
+import { afterFailure, afterSuccess } from './ejection';
 import type { StageChange } from './balance';
 import type { CostModel, Costs } from './cost';
-import { LearntCosts } from './cost';
-import { WaitingQueue, leastMs, sparePart } from './queue';
+import { MeasuredCosts } from './cost';
+import { WaitingQueue, minFirstEventMs, requiredFreeShare } from './queue';
 import type { PlanPolicy } from './policy';
-import type { Placed } from './placements';
-import { Placements } from './placements';
-import type { PlanLoad } from './room';
-import { ReturnTimes, hopelessOf } from './refusal';
-import { Room } from './room';
-import { Stages } from './stages';
-import { EarlierTries } from './tries';
+import type { Reservation } from './reservations';
+import { Reservations } from './reservations';
+import type { PlanLoad } from './capacity';
+import { RetryTimes, findUnservable } from './refusal';
+import { CapacityView } from './capacity';
+import { StageController } from './stages';
+import { PreviousAttempts } from './attempts';
 import type { Demand, Holding, MemoryReport, PlanAction, PlanEvent } from './types';
 
 /**
@@ -48,23 +48,23 @@
 
   readonly #account: MemoryAccount;
 
-  readonly #stats: Learning;
+  readonly #stats: WorkloadStats;
 
-  readonly #attempts = new EarlierTries();
+  readonly #attempts = new PreviousAttempts();
 
-  readonly #stages: Stages;
+  readonly #stages: StageController;
 
   readonly #queue: WaitingQueue;
 
-  readonly #capacity: Room;
+  readonly #capacity: CapacityView;
 
   readonly #allowance: Ration;
 
-  readonly #reservations: Placements;
+  readonly #reservations: Reservations;
 
   #engine: Engine | undefined;
 
-  readonly #retryTimes: ReturnTimes;
+  readonly #retryTimes: RetryTimes;
 
   readonly #ejected: string[] = [];
 
@@ -72,22 +72,22 @@
 
   constructor(
     policy: PlanPolicy,
-    costs: CostModel = new LearntCosts(),
+    costs: CostModel = new MeasuredCosts(),
     allowance: Ration = unlimited,
   ) {
     this.#policy = policy;
     this.#allowance = allowance;
     this.#costs = costs;
-    this.#retryTimes = new ReturnTimes(policy.refusal);
-    this.#stats = new Learning(policy.lengths, costs);
+    this.#retryTimes = new RetryTimes(policy.refusal);
+    this.#stats = new WorkloadStats(policy.lengths, costs);
     this.#account = new MemoryAccount(policy.memory, costs);
-    this.#stages = new Stages(policy.stages, this.#account, this.#stats, costs);
-    this.#queue = new WaitingQueue(costs, policy.order.turns(), (demand) =>
+    this.#stages = new StageController(policy.stages, this.#account, this.#stats, costs);
+    this.#queue = new WaitingQueue(costs, policy.order.createOrder(), (demand) =>
       this.#stats.sizeOf(demand),
     );
-    this.#capacity = new Room(policy, this.#account, costs, allowance);
-    this.#reservations = new Placements(this.#account, this.#stats, costs, () =>
-      this.#capacity.changed(),
+    this.#capacity = new CapacityView(policy, this.#account, costs, allowance);
+    this.#reservations = new Reservations(this.#account, this.#stats, costs, () =>
+      this.#capacity.invalidate(),
     );
   }
 
@@ -118,12 +118,12 @@
   }
 
   /** Runners that are ejected at the moment because their requests failed or were slow. */
-  distrusted(now: number): readonly string[] {
-    return this.#account.distrusted(now);
+  ejected(now: number): readonly string[] {
+    return this.#account.ejected(now);
   }
 
   /** Returns the runners that were ejected since the last call. */
-  takeDistrusted(): readonly string[] {
+  takeEjected(): readonly string[] {
     return this.#ejected.splice(0);
   }
 
@@ -131,8 +131,8 @@
    * Starts the warm-up: until the other VMs had time to report their reservations, the account may
    * be incomplete and less memory is reserved.
    */
-  startCautiously(now: number): void {
-    this.#capacity.beCautious(now);
+  startWarmUp(now: number): void {
+    this.#capacity.startWarmUp(now);
   }
 
   /** Stage changes that would serve more requests; empty while one is in progress. */
@@ -145,14 +145,14 @@
    * Records that a runner accepted an order, or may have. It gets no new work until it is listed in
    * its new stage.
    */
-  ordered(now: number, runner: string, accepted: boolean): void {
-    this.#stages.ordered(now, runner, accepted, this.#engine);
+  recordOrder(now: number, runner: string, accepted: boolean): void {
+    this.#stages.recordOrder(now, runner, accepted, this.#engine);
   }
 
   /** Handles an event at a time in milliseconds, and returns all decisions that follow from it. */
   handle(now: number, event: PlanEvent): readonly PlanAction[] {
     this.#actions = [];
-    this.#capacity.changed();
+    this.#capacity.invalidate();
     match(event)
       .with({ kind: 'asked' }, ({ demand }) => this.#handleDemand(now, demand))
       .with({ kind: 'prefilled' }, ({ id, ms, unreachable, shedBy }) => {
@@ -190,9 +190,9 @@
   }
 
   #enqueue(now: number, received: Demand): void {
-    const demand = this.#attempts.note(now, received);
+    const demand = this.#attempts.record(now, received);
     this.#queue.add(demand);
-    this.#stats.asked(now, demand, !demand.returned);
+    this.#stats.recordDemand(now, demand, !demand.returned);
   }
 
   /**
@@ -203,9 +203,9 @@
     const reservation = this.#reservations.get(id);
     const state = this.#account.decode.get(unreachable ?? '');
     if (state) this.#recordFailure(now, state);
-    if (!reservation?.bound || reservation.grant.decode !== unreachable) return;
-    this.#account.leave(now, unreachable, id);
-    reservation.bound = false;
+    if (!reservation?.isAssigned || reservation.grant.decode !== unreachable) return;
+    this.#account.release(now, unreachable, id);
+    reservation.isAssigned = false;
     reservation.demand = {
       ...reservation.demand,
       avoid: [...reservation.demand.avoid, unreachable],
@@ -230,73 +230,73 @@
       if (prefill) this.#recordFailure(now, prefill);
       return;
     }
-    state.foreignTokens += this.#stats.sizeOf(reservation.demand);
-    this.#reservations.leave(now, id);
+    state.unexplainedTokens += this.#stats.sizeOf(reservation.demand);
+    this.#reservations.release(now, id);
     this.#actions.push({ kind: 'refuse', id, retryAfterMs: RETRY_FULL_MS });
   }
 
   #recordPrefill(now: number, id: string, ms: number): void {
     const reservation = this.#reservations.get(id);
     if (!reservation) return;
-    if (reservation.bound) {
+    if (reservation.isAssigned) {
       this.#actions.push({ kind: 'bind', id, decode: reservation.grant.decode });
-      reservation.boundAt = now;
+      reservation.assignedAt = now;
     }
-    if (reservation.readyAt !== undefined) return;
-    reservation.readyAt = now;
+    if (reservation.prefilledAt !== undefined) return;
+    reservation.prefilledAt = now;
     const state = this.#reservations.prefillOf(reservation.grant);
     const pending = state?.pending.get(id);
     if (!state || !pending) return;
     state.pending.delete(id);
-    this.#stats.prefilled(state, pending, ms);
+    this.#stats.recordPrefill(state, pending, ms);
   }
 
   #recordStart(now: number, id: string): void {
-    const allocation = this.#reservations.holderOf(id);
+    const allocation = this.#reservations.allocationOf(id);
     if (!allocation || allocation.startedAt !== undefined) return;
     allocation.startedAt = now;
-    const boundAt = this.#reservations.get(id)?.boundAt;
-    if (boundAt !== undefined) this.#stats.began(now - boundAt);
+    const boundAt = this.#reservations.get(id)?.assignedAt;
+    if (boundAt !== undefined) this.#stats.recordFirstEvent(now - boundAt);
   }
 
   #recordFinish(now: number, id: string, outputTokens: number): void {
     const reservation = this.#reservations.get(id);
     if (!reservation) return;
-    this.#attempts.answered(reservation.demand);
-    this.#stats.finished(reservation.demand, outputTokens);
+    this.#attempts.forget(reservation.demand);
+    this.#stats.recordOutput(reservation.demand, outputTokens);
     const decode = this.#account.decode.get(reservation.grant.decode);
-    if (decode) decode.trust = afterSuccess(this.#policy.trust, decode.trust);
+    if (decode) decode.failureScore = afterSuccess(this.#policy.ejection, decode.failureScore);
     this.#recordPace(now, reservation, id, outputTokens);
     const prefill = this.#reservations.prefillOf(reservation.grant);
-    if (prefill) prefill.trust = afterSuccess(this.#policy.trust, prefill.trust);
-    this.#reservations.leave(now, id);
+    if (prefill) prefill.failureScore = afterSuccess(this.#policy.ejection, prefill.failureScore);
+    this.#reservations.release(now, id);
   }
 
   #recordReport(now: number, { runner, usedTokens, runs = [] }: MemoryReport): void {
     const decode = this.#account.decode.get(runner);
-    if (decode) this.#stats.reported(now, decode, runs);
-    this.#account.report(now, runner, usedTokens);
+    if (decode) this.#stats.recordReport(now, decode, runs);
+    this.#account.applyReport(now, runner, usedTokens);
   }
 
   /** Measures the time of a token from a finished request. */
-  #recordPace(now: number, { grant }: Placed, id: string, outputTokens: number): void {
+  #recordPace(now: number, { grant }: Reservation, id: string, outputTokens: number): void {
     const decode = this.#account.decode.get(grant.decode);
-    const startedAt = decode?.holders.get(id)?.startedAt;
+    const startedAt = decode?.allocations.get(id)?.startedAt;
     if (!decode || startedAt === undefined || !this.#engine) return;
-    this.#stats.streamed(decode, outputTokens, this.#engine.eventTokens, now - startedAt);
+    this.#stats.recordStream(decode, outputTokens, this.#engine.eventTokens, now - startedAt);
   }
 
   #handleSlowStream(now: number, id: string): void {
     const decode = this.#account.decode.get(this.#reservations.get(id)?.grant.decode ?? '');
-    if (decode && !slowedByRead(now, decode)) this.#recordFailure(now, decode);
+    if (decode && !isSlowedByLocalPrefill(now, decode)) this.#recordFailure(now, decode);
   }
 
   /** Records a failed or slow request of a runner, which may eject it. */
   #recordFailure(now: number, state: DecodeState | PrefillState): void {
     const runner = state;
-    const before = runner.trust;
-    runner.trust = afterFailure(this.#policy.trust, now, before);
-    if (runner.trust !== before) this.#ejected.push(runner.runner.id);
+    const before = runner.failureScore;
+    runner.failureScore = afterFailure(this.#policy.ejection, now, before);
+    if (runner.failureScore !== before) this.#ejected.push(runner.runner.id);
   }
 
   #release(now: number, id: string, blame: string | undefined): void {
@@ -304,8 +304,8 @@
     const reservation = this.#reservations.get(id);
     const prefill = this.#account.prefill.get(blame ?? '');
     const pending = prefill?.pending.get(id);
-    if (prefill && pending) this.#stats.givenUp(now, prefill, pending);
-    if (reservation) this.#reservations.leave(now, id);
+    if (prefill && pending) this.#stats.recordAbandonedPrefill(now, prefill, pending);
+    if (reservation) this.#reservations.release(now, id);
     if (blame === undefined) return;
     const state = this.#account.decode.get(blame) ?? this.#account.prefill.get(blame);
     if (state) this.#recordFailure(now, state);
@@ -313,7 +313,7 @@
 
   /** Replaces the reservations counted for a VM by those that the VM reports. */
   #reconcile(now: number, vm: string, held: readonly Holding[]): void {
-    for (const { demand } of this.#reservations.adopt(now, vm, held)) this.#queue.delete(demand.id);
+    for (const { demand } of this.#reservations.sync(now, vm, held)) this.#queue.delete(demand.id);
   }
 
   #dropVm(now: number, vm: string): void {
@@ -330,15 +330,15 @@
     if (this.#queue.size === 0) return;
     const order = this.#queue.order(now);
     let prefillsLeft = this.#allowedPrefillsAhead();
-    let largest = this.#capacity.largest(now);
+    let largest = this.#capacity.largestFreeTokens(now);
     for (const demand of order) {
       const decode = this.#fitsLargest(now, demand, largest)
         ? this.#findDecode(now, demand)
         : undefined;
       const mayPrefillAhead =
-        prefillsLeft > 0 && this.#stats.sizeOf(demand) <= this.#stats.usualSize;
+        prefillsLeft > 0 && this.#stats.sizeOf(demand) <= this.#stats.usualSizeTokens;
       const candidate =
-        decode ?? (mayPrefillAhead ? this.#capacity.soonest(now, demand) : undefined);
+        decode ?? (mayPrefillAhead ? this.#capacity.findSoonest(now, demand) : undefined);
       const prefill = candidate && this.#capacity.findPrefill(now, demand, candidate.runner.domain);
       const localPrefill = decode && !prefill ? this.#findLocalPrefill(now, demand) : undefined;
       const target = prefill ? candidate : localPrefill;
@@ -346,12 +346,12 @@
         const bound = decode !== undefined;
         if (!bound) prefillsLeft -= 1;
         const grant = { prefill: prefill?.runner.id, decode: target.runner.id };
-        this.#queue.place(demand);
+        this.#queue.removeReserved(demand);
         if (prefill) this.#allowance.take(now, prefill.runner.id);
         if (bound) this.#allowance.take(now, target.runner.id);
         this.#reservations.add(now, demand, grant, bound, undefined);
         this.#actions.push({ kind: 'grant', id: demand.id, grant });
-        largest = this.#capacity.largest(now);
+        largest = this.#capacity.largestFreeTokens(now);
       }
     }
     this.#refuseUnservable(now, order);
@@ -360,7 +360,8 @@
   /** Whether the largest free memory of any one decode runner is enough for a request. */
   #fitsLargest(now: number, demand: Demand, largest: number): boolean {
     const requiredFreeTokens =
-      sparePart(this.#policy.order, this.#costs, now, demand) * (this.#engine?.memoryTokens ?? 0);
+      requiredFreeShare(this.#policy.order, this.#costs, now, demand) *
+      (this.#engine?.memoryTokens ?? 0);
     return this.#stats.sizeOf(demand) + requiredFreeTokens <= largest;
   }
 
@@ -369,16 +370,16 @@
    * kept prefills expire.
    */
   #assignPrefilled(now: number): void {
-    const keepMs = waitableMs(this.#policy.ahead, this.#engine?.keepMs ?? 0);
+    const keepMs = maxWaitMs(this.#policy.ahead, this.#engine?.keepMs ?? 0);
     for (const [id, reservation] of this.#reservations.entries) {
-      if (!reservation.bound && reservation.readyAt !== undefined) {
+      if (!reservation.isAssigned && reservation.prefilledAt !== undefined) {
         const decode = this.#findDecode(now, reservation.demand);
         if (decode) {
           this.#allowance.take(now, decode.runner.id);
-          this.#reservations.bind(now, reservation, decode.runner.id);
+          this.#reservations.assign(now, reservation, decode.runner.id);
           this.#actions.push({ kind: 'bind', id, decode: decode.runner.id });
-        } else if (now - reservation.readyAt > keepMs) {
-          this.#reservations.leave(now, id);
+        } else if (now - reservation.prefilledAt > keepMs) {
+          this.#reservations.release(now, id);
           this.#actions.push({ kind: 'refuse', id, retryAfterMs: RETRY_UNASSIGNED_MS });
         }
       }
@@ -388,23 +389,28 @@
   /** Number of prefills that may start now before decode memory is free for them. */
   #allowedPrefillsAhead(): number {
     let allocations = 0;
-    for (const state of this.#account.decode.values()) allocations += state.holders.size;
-    const unassigned = this.#reservations.unbound;
-    const { readMs, residenceMs } = this.#stats;
+    for (const state of this.#account.decode.values()) allocations += state.allocations.size;
+    const unassigned = this.#reservations.unassignedCount;
+    const { prefillMs: readMs, residenceMs } = this.#stats;
     const keepMs = this.#engine?.keepMs ?? 0;
-    return allowedAhead(this.#policy.ahead, allocations, readMs, residenceMs, keepMs) - unassigned;
+    return (
+      maxPrefillsAhead(this.#policy.ahead, allocations, readMs, residenceMs, keepMs) - unassigned
+    );
   }
 
   /** Refuses requests that cannot be served before their callers disconnect. */
   #refuseUnservable(now: number, order: readonly Demand[]): void {
-    const { usualSize, residenceMs } = this.#stats;
+    const { usualSizeTokens: usualSize, residenceMs } = this.#stats;
     const stillWaiting = order.filter(({ id }) => this.#queue.has(id));
-    const unservable = hopelessOf(this.#policy.refusal, now, stillWaiting, {
+    const unservable = findUnservable(this.#policy.refusal, now, stillWaiting, {
       sizeOf: (demand) => this.#stats.sizeOf(demand),
-      leastMs: (demand) => leastMs(this.#costs, demand),
-      spare: this.#stats.spare(now, this.#capacity.capacity(usualSize, residenceMs)),
+      minFirstEventMs: (demand) => minFirstEventMs(this.#costs, demand),
+      spareTokensPerMs: this.#stats.spareTokensPerMs(
+        now,
+        this.#capacity.capacity(usualSize, residenceMs),
+      ),
       releases: this.#capacity.releases(now, usualSize),
-      readMs: this.#capacity.readMs(now),
+      prefillWaitMs: this.#capacity.prefillWaitMs(now),
     });
     for (const request of unservable) {
       const { id } = request.demand;
@@ -433,7 +439,7 @@
   #findLocalPrefill(now: number, demand: Demand): DecodeState | undefined {
     return (
       this.#engine &&
-      this.#capacity.findReader(now, demand, this.#stats.sizeOf(demand), this.#engine)
+      this.#capacity.findLocalPrefill(now, demand, this.#stats.sizeOf(demand), this.#engine)
     );
   }
 }
--- a/src/core/memory/policy.ts
+++ b/src/core/memory/policy.ts
@@ -5,19 +5,19 @@
  */
 
 import type { PeakEstimate } from './growth';
-import { ComingPeak } from './growth';
-import type { Turns } from './turns';
-import { FairTurns } from './turns';
+import { JointPeak } from './growth';
+import type { QueueOrder } from './order';
+import { FairOrder } from './order';
 
 /** How decode memory is reserved. */
 export interface MemoryRules {
   /** Share of a runner's memory that may be reserved. */
-  readonly fill: number;
+  readonly reservableShare: number;
   /**
    * Memory kept free for outputs that exceed their estimate, as a multiple of the usual error of
    * the summed estimates.
    */
-  readonly deviations: number;
+  readonly deviationFactor: number;
   /** Estimates the peak memory of a runner's requests. */
   readonly peak: PeakEstimate;
 }
@@ -25,17 +25,17 @@
 /** Prefills that start before decode memory is free for them. */
 export interface AheadRules {
   /** Share of the time that a finished prefill is kept for which it may wait for memory. */
-  readonly keepPart: number;
+  readonly maxWaitShare: number;
   /** Share of the requests expected to end by then for which prefills may start; 0 for none. */
-  readonly part: number;
+  readonly endingShare: number;
 }
 
 /** Scheduling order of the waiting requests. */
 export interface OrderRules {
   /** Share of a decode runner's memory that a late request must leave free. */
-  readonly lateSpare: number;
+  readonly lateFreeShare: number;
   /** Creates the order of the requests that can still meet their deadline; one for each planner. */
-  readonly turns: () => Turns;
+  readonly createOrder: () => QueueOrder;
 }
 
 /** Which requests are refused, and when their callers may retry. */
@@ -44,30 +44,30 @@
    * Factor on the estimated wait of a last attempt before it is compared with the time until the
    * caller disconnects.
    */
-  readonly lastTryDoubt: number;
+  readonly lastAttemptFactor: number;
   /** Shortest Retry-After, in milliseconds. */
-  readonly leastMs: number;
+  readonly minMs: number;
   /** Longest Retry-After, in milliseconds. */
-  readonly mostMs: number;
+  readonly maxMs: number;
   /** Longest step between the retry times of two refused callers, in milliseconds. */
-  readonly stepMs: number;
+  readonly maxStepMs: number;
 }
 
 /** Where prompts are prefilled. */
-export interface ReadingRules {
+export interface PrefillRules {
   /** Time added to the cost of a prefill in another failure domain, in milliseconds. */
-  readonly farMs: number;
+  readonly crossDomainMs: number;
   /** Largest backlog at which a prefill runner still gets prompts, in milliseconds of its work. */
   readonly backlogLimitMs: number;
   /**
    * Share of a decode runner's memory that must stay free beside a local prefill; 1 disables local
    * prefills.
    */
-  readonly directSpare: number;
+  readonly localFreeShare: number;
   /**
    * Share of the allowed pause between events that a local prefill may cause in the other streams.
    */
-  readonly pausePart: number;
+  readonly localPauseShare: number;
 }
 
 /** How many runners prefill and how many decode. */
@@ -78,9 +78,9 @@
    * Smallest gain in served requests that justifies a stage change, as a share; infinite disables
    * changes.
    */
-  readonly leastGain: number;
+  readonly minGain: number;
   /** Rates that differ by less than this share count as equal. */
-  readonly tiePart: number;
+  readonly tieTolerance: number;
   /** Time for which the number of runners must have been constant, in milliseconds. */
   readonly steadyMs: number;
   /**
@@ -89,19 +89,19 @@
    */
   readonly excessMs: number;
   /** Time for which a shortage of prefill runners must last, in milliseconds. */
-  readonly lackMs: number;
+  readonly shortageMs: number;
 }
 
 /** How long failing runners are ejected. */
-export interface TrustRules {
+export interface EjectionRules {
   /** Ejection time after the first failure, in milliseconds; doubles with each further one. */
   readonly firstMs: number;
   /** Longest ejection time, in milliseconds; after it, the runner gets requests again. */
-  readonly limitMs: number;
+  readonly maxMs: number;
   /** Factor on the failure score with each success. */
-  readonly goodEnd: number;
+  readonly successFactor: number;
   /** Largest share of a stage's runners that may be ejected at once. */
-  readonly distrustedPart: number;
+  readonly maxEjectedShare: number;
 }
 
 /** How output lengths are estimated. */
@@ -111,11 +111,11 @@
 }
 
 /** Warm-up of a planner whose account may be incomplete after taking over. */
-export interface CautionRules {
+export interface WarmUpRules {
   /** Time in which all VMs should have reported their reservations, in milliseconds. */
-  readonly ms: number;
+  readonly durationMs: number;
   /** Share of a decode runner's memory that must be free for it to get work during the warm-up. */
-  readonly freePart: number;
+  readonly minFreeShare: number;
 }
 
 /** All rules of one planner. */
@@ -124,54 +124,54 @@
   readonly ahead: AheadRules;
   readonly order: OrderRules;
   readonly refusal: RefusalRules;
-  readonly reading: ReadingRules;
+  readonly prefill: PrefillRules;
   readonly stages: StageRules;
-  readonly trust: TrustRules;
+  readonly ejection: EjectionRules;
   readonly lengths: LengthRules;
-  readonly caution: CautionRules;
+  readonly warmUp: WarmUpRules;
 }
 
 const memory: MemoryRules = {
   // The rest covers requests in transit and rounding to blocks.
-  fill: 0.99,
+  reservableShare: 0.99,
   // A fixed share of 3 % fits outputs that are a tenth of their request. Where an output is half of
   // it, requests were preempted and prefilled again, and their answers paused: on stand-in engines
   // of that kind, bursts score a goodput of 0.84 with this margin and 0.73 with the fixed share.
-  deviations: 1.5,
-  peak: new ComingPeak(),
+  deviationFactor: 1.5,
+  peak: new JointPeak(),
 };
 
 const ahead: AheadRules = {
   // The rest covers messages and the transfer of the KV cache.
-  keepPart: 0.6,
+  maxWaitShare: 0.6,
   // Without prefills ahead of memory, some 7 % of the memory idles while prefills run. Ends are
   // only estimated, so the share is far below 1.
-  part: 0.25,
+  endingShare: 0.25,
 };
 
 const order: OrderRules = {
   // A late request holds its memory as long as one in time, and using the last free memory for it
   // delays the requests that follow. In an overload by a third, this reserve and their last place
   // in the queue raise the share of requests served in time from 72 to 85 %.
-  lateSpare: 0.1,
-  turns: () => new FairTurns(),
+  lateFreeShare: 0.1,
+  createOrder: () => new FairOrder(),
 };
 
 const refusal: RefusalRules = {
   // Estimates of waits vary by half.
-  lastTryDoubt: 0.5,
-  leastMs: 300,
-  mostMs: 4500,
+  lastAttemptFactor: 0.5,
+  minMs: 300,
+  maxMs: 4500,
   // In a heavy burst the retry times wrap around instead of exceeding the time that callers wait.
-  stepMs: 230,
+  maxStepMs: 230,
 };
 
-const reading: ReadingRules = {
-  farMs: 20,
+const reading: PrefillRules = {
+  crossDomainMs: 20,
   // Large enough that a prefill runner never idles.
   backlogLimitMs: 120,
-  directSpare: 0.15,
-  pausePart: 0.75,
+  localFreeShare: 0.15,
+  localPauseShare: 0.75,
 };
 
 const stages: StageRules = {
@@ -179,30 +179,30 @@
   headroom: 1.2,
   // A change takes a runner out of service for some ten seconds. One made for a smaller gain right
   // before a burst left a quarter of the decode memory unused while requests were refused.
-  leastGain: 0.1,
+  minGain: 0.1,
   // Rates are estimates and assume that decode runners prefill what prefill runners cannot. With
   // 0.03, six runners were left with one prefill runner, the bottleneck in each burst: the goodput
   // of a day with faults fell from 0.77 to 0.66.
-  tiePart: 0.08,
+  tieTolerance: 0.08,
   // Runners register one after the other.
   steadyMs: 2500,
   // Lost runners usually return sooner than a change takes.
   excessMs: 9000,
   // A shortage of prefill runners costs more than an excess.
-  lackMs: 4000,
+  shortageMs: 4000,
 };
 
-const trust: TrustRules = {
+const trust: EjectionRules = {
   firstMs: 400,
-  limitMs: 6000,
-  goodEnd: 0.5,
+  maxMs: 6000,
+  successFactor: 0.5,
   // A failure that affects most runners is not caused by the runners.
-  distrustedPart: 0.5,
+  maxEjectedShare: 0.5,
 };
 
 const lengths: LengthRules = { hintWeights: [0, 0.25, 0.5, 0.75, 1] };
 
-const caution: CautionRules = { ms: 500, freePart: 0.5 };
+const caution: WarmUpRules = { durationMs: 500, minFreeShare: 0.5 };
 
 /** The policy in use. */
 export const planPolicy: PlanPolicy = {
@@ -210,9 +210,9 @@
   ahead,
   order,
   refusal,
-  reading,
+  prefill: reading,
   stages,
-  trust,
+  ejection: trust,
   lengths,
-  caution,
+  warmUp: caution,
 };
--- a/src/core/memory/queue.ts
+++ b/src/core/memory/queue.ts
@@ -3,22 +3,22 @@
 import type { Costs } from './cost';
 import { prefillMs } from './cost';
 import type { OrderRules } from './policy';
-import type { Turn, Turns } from './turns';
+import type { QueueEntry, QueueOrder } from './order';
 import type { Demand } from './types';
 
 /** Shortest time from a grant to the first event, in milliseconds. */
-export function leastMs(costs: Costs, { promptTokens }: Demand): number {
+export function minFirstEventMs(costs: Costs, { promptTokens }: Demand): number {
   return prefillMs(costs, promptTokens) + costs.firstEventMs;
 }
 
 /** Share of a decode runner's memory that must stay free beside a request. */
-export function sparePart(
-  { lateSpare }: OrderRules,
+export function requiredFreeShare(
+  { lateFreeShare: lateSpare }: OrderRules,
   costs: Costs,
   now: number,
   demand: Demand,
 ): number {
-  const late = now + leastMs(costs, demand) > demand.dueAt;
+  const late = now + minFirstEventMs(costs, demand) > demand.dueAt;
   return late && !demand.resuming ? lateSpare : 0;
 }
 
@@ -30,13 +30,13 @@
 
   readonly #costs: Costs;
 
-  readonly #queueOrder: Turns;
+  readonly #queueOrder: QueueOrder;
 
   /** Number of waiting requests by customer. */
   readonly #counts = new Map<string | undefined, number>();
 
   /** @param sizeOf tokens of memory that a request will take */
-  constructor(costs: Costs, queueOrder: Turns, sizeOf: (demand: Demand) => number) {
+  constructor(costs: Costs, queueOrder: QueueOrder, sizeOf: (demand: Demand) => number) {
     this.#costs = costs;
     this.#queueOrder = queueOrder;
     this.#sizeOf = sizeOf;
@@ -60,7 +60,7 @@
   /** Adds a request. */
   add(demand: Demand): void {
     const count = this.#counts.get(demand.customer) ?? 0;
-    if (count === 0) this.#queueOrder.entered(demand);
+    if (count === 0) this.#queueOrder.customerQueued(demand);
     this.#counts.set(demand.customer, count + 1);
     this.#demands.set(demand.id, demand);
   }
@@ -76,13 +76,13 @@
     if (count > 0) this.#counts.set(demand.customer, count);
     else {
       this.#counts.delete(demand.customer);
-      this.#queueOrder.left(demand);
+      this.#queueOrder.customerDequeued(demand);
     }
   }
 
   /** Removes a request that got a reservation and charges its customer's share. */
-  place(demand: Demand): void {
-    this.#queueOrder.placed(this.#entryOf(demand));
+  removeReserved(demand: Demand): void {
+    this.#queueOrder.reserved(this.#entryOf(demand));
     this.delete(demand.id);
   }
 
@@ -108,13 +108,13 @@
   }
 
   #isInTime(now: number, demand: Demand): boolean {
-    return now + leastMs(this.#costs, demand) <= demand.dueAt;
+    return now + minFirstEventMs(this.#costs, demand) <= demand.dueAt;
   }
 
-  #entryOf(demand: Demand): Turn {
+  #entryOf(demand: Demand): QueueEntry {
     const size = this.#sizeOf(demand);
     const heldMs =
-      leastMs(this.#costs, demand) + (size - demand.promptTokens) * this.#costs.tokenMs;
+      minFirstEventMs(this.#costs, demand) + (size - demand.promptTokens) * this.#costs.tokenMs;
     return { demand, size, cost: size * heldMs };
   }
 }
--- a/src/core/memory/refusal.ts
+++ b/src/core/memory/refusal.ts
@@ -1,30 +1,30 @@
 /** Which waiting requests are refused, and when their callers may retry. */
 
 import type { RefusalRules } from './policy';
-import type { Release } from './room';
-import { waitFor } from './room';
+import type { Release } from './capacity';
+import { waitForTokensMs } from './capacity';
 import type { Demand } from './types';
 
 /** Expected capacity of the runners. */
-export interface Outlook {
+export interface CapacityForecast {
   /** Tokens of memory that a request will take. */
   readonly sizeOf: (demand: Demand) => number;
   /** Shortest time from a grant to the first event, in milliseconds. */
-  readonly leastMs: (demand: Demand) => number;
+  readonly minFirstEventMs: (demand: Demand) => number;
   /** Tokens per millisecond that are not used by first attempts. */
-  readonly spare: number;
+  readonly spareTokensPerMs: number;
   readonly releases: readonly Release[];
   /** Time until a number of prompt tokens will have been prefilled, in milliseconds. */
-  readonly readMs: (tokens: number) => number;
+  readonly prefillWaitMs: (tokens: number) => number;
 }
 
 /** A request that cannot be served before its caller disconnects. */
-export interface HopelessWait {
+export interface UnservableRequest {
   readonly demand: Demand;
   /** Expected time until it could start, in milliseconds. */
   readonly waitMs: number;
   /** Time that its memory takes of the capacity left over for late requests, in milliseconds. */
-  readonly turnMs: number;
+  readonly slotMs: number;
 }
 
 /**
@@ -39,19 +39,25 @@
  * likely capacity.
  * @param order waiting requests in scheduling order
  */
-export function hopelessOf(
-  { lastTryDoubt }: RefusalRules,
+export function findUnservable(
+  { lastAttemptFactor: lastTryDoubt }: RefusalRules,
   now: number,
   order: readonly Demand[],
-  { sizeOf, leastMs, spare, releases, readMs }: Outlook,
-): readonly HopelessWait[] {
-  const found: HopelessWait[] = [];
+  {
+    sizeOf,
+    minFirstEventMs: leastMs,
+    spareTokensPerMs: spare,
+    releases,
+    prefillWaitMs: readMs,
+  }: CapacityForecast,
+): readonly UnservableRequest[] {
+  const found: UnservableRequest[] = [];
   let tokensAhead = 0;
   let lateTokens = 0;
   for (const demand of order) {
     const size = sizeOf(demand);
     tokensAhead += size;
-    const waitMs = Math.max(waitFor(now, releases, tokensAhead), readMs(tokensAhead));
+    const waitMs = Math.max(waitForTokensMs(now, releases, tokensAhead), readMs(tokensAhead));
     const isInTime = now + waitMs + leastMs(demand) <= demand.dueAt;
     const lateMs = waitMs + (lateTokens + size) / spare;
     const latestStartAt = demand.lostAt - DISCONNECT_MARGIN_MS - leastMs(demand);
@@ -60,14 +66,14 @@
     if (!isInTime && keepsWaiting) lateTokens += size;
     if (!isInTime && !keepsWaiting) {
       tokensAhead -= size;
-      found.push({ demand, waitMs: lateMs, turnMs: size / spare });
+      found.push({ demand, waitMs: lateMs, slotMs: size / spare });
     }
   }
   return found;
 }
 
 /** Retry times of refused callers, spread over time so that they do not all retry at once. */
-export class ReturnTimes {
+export class RetryTimes {
   readonly #rules: RefusalRules;
 
   #lastAt = 0;
@@ -77,8 +83,8 @@
   }
 
   /** Retry-After of the next refused request, in milliseconds. */
-  next(now: number, { waitMs, turnMs }: HopelessWait): number {
-    const { leastMs, mostMs, stepMs } = this.#rules;
+  next(now: number, { waitMs, slotMs: turnMs }: UnservableRequest): number {
+    const { minMs: leastMs, maxMs: mostMs, maxStepMs: stepMs } = this.#rules;
     const earliest = now + Math.min(waitMs, mostMs / 2);
     const next = Math.max(this.#lastAt, earliest) + Math.min(turnMs, stepMs);
     this.#lastAt = next > now + mostMs ? earliest : next;
--- a/src/core/memory/placements.ts
+++ b/src/core/memory/reservations.ts
@@ -1,41 +1,41 @@
 /** Reservations of requests, from the grant to the end of the request. */
 
-import type { Holder, MemoryAccount, PrefillState } from './account';
+import type { Allocation, MemoryAccount, PrefillState } from './account';
 import type { Costs } from './cost';
 import { addPending } from './cost';
-import type { Learning } from './learning';
+import type { WorkloadStats } from './stats';
 import type { Demand, Grant, Holding } from './types';
 
 /** The reservation of a request. */
-export interface Placed {
+export interface Reservation {
   demand: Demand;
   grant: Grant;
   readonly grantedAt: number;
   /** When the prefill was done; undefined if it is not. */
-  readyAt: number | undefined;
+  prefilledAt: number | undefined;
   /** Whether memory is allocated on a decode runner. */
-  bound: boolean;
+  isAssigned: boolean;
   /** When the decode runner was assigned after the prefill. */
-  boundAt: number | undefined;
+  assignedAt: number | undefined;
 }
 
 /** Time after which a VM has received a grant, in milliseconds. */
 const GRANT_DELIVERY_MS = 1000;
 
 /** All reservations of one service; keeps the account of its runners consistent with them. */
-export class Placements {
+export class Reservations {
   readonly #account: MemoryAccount;
 
-  readonly #stats: Learning;
+  readonly #stats: WorkloadStats;
 
   readonly #costs: Costs;
 
   readonly #onChange: () => void;
 
-  readonly #reservations = new Map<string, Placed>();
+  readonly #reservations = new Map<string, Reservation>();
 
   /** @param onChange called when the account has changed */
-  constructor(account: MemoryAccount, stats: Learning, costs: Costs, onChange: () => void) {
+  constructor(account: MemoryAccount, stats: WorkloadStats, costs: Costs, onChange: () => void) {
     this.#account = account;
     this.#stats = stats;
     this.#costs = costs;
@@ -48,19 +48,19 @@
   }
 
   /** All reservations by request id. */
-  get entries(): Iterable<[string, Placed]> {
+  get entries(): Iterable<[string, Reservation]> {
     return this.#reservations;
   }
 
   /** Number of reservations whose prefill runs or is kept and that have no decode memory yet. */
-  get unbound(): number {
+  get unassignedCount(): number {
     let count = 0;
-    for (const { bound } of this.#reservations.values()) if (!bound) count += 1;
+    for (const { isAssigned: bound } of this.#reservations.values()) if (!bound) count += 1;
     return count;
   }
 
   /** The reservation of a request; undefined if it has none. */
-  get(id: string): Placed | undefined {
+  get(id: string): Reservation | undefined {
     return this.#reservations.get(id);
   }
 
@@ -81,13 +81,13 @@
     startedAt: number | undefined,
   ): void {
     const readyAt = startedAt === undefined ? undefined : now;
-    const reservation: Placed = {
+    const reservation: Reservation = {
       demand,
       grant,
       grantedAt: now,
-      readyAt,
-      bound,
-      boundAt: undefined,
+      prefilledAt: readyAt,
+      isAssigned: bound,
+      assignedAt: undefined,
     };
     this.#reservations.set(demand.id, reservation);
     if (bound) this.#allocate(now, reservation, startedAt);
@@ -97,27 +97,27 @@
   }
 
   /** Assigns a decode runner to a prefilled request and allocates memory there. */
-  bind(now: number, request: Placed, decode: string): void {
+  assign(now: number, request: Reservation, decode: string): void {
     const reservation = request;
-    reservation.bound = true;
-    reservation.boundAt = now;
+    reservation.isAssigned = true;
+    reservation.assignedAt = now;
     reservation.grant = { ...reservation.grant, decode };
     this.#allocate(now, reservation, undefined);
   }
 
   /** Releases a reservation and the memory allocated for it; does nothing if there is none. */
-  leave(now: number, id: string): void {
+  release(now: number, id: string): void {
     const reservation = this.#reservations.get(id);
     if (!reservation) return;
     this.#onChange();
     this.#reservations.delete(id);
     this.prefillOf(reservation.grant)?.pending.delete(id);
-    this.#account.leave(now, reservation.grant.decode, id);
+    this.#account.release(now, reservation.grant.decode, id);
   }
 
   /** Releases the reservations of a VM that is gone. */
   dropVm(now: number, vm: string): void {
-    for (const [id, { demand }] of this.#reservations) if (demand.vm === vm) this.leave(now, id);
+    for (const [id, { demand }] of this.#reservations) if (demand.vm === vm) this.release(now, id);
   }
 
   /**
@@ -125,16 +125,16 @@
    * or partitioned would go on counting requests that have long ended.
    * @returns holdings that were not known here
    */
-  adopt(now: number, vm: string, holdings: readonly Holding[]): readonly Holding[] {
+  sync(now: number, vm: string, holdings: readonly Holding[]): readonly Holding[] {
     const held = new Set(holdings.map(({ demand }) => demand.id));
     for (const [id, reservation] of this.#reservations) {
       const isDelivered = now - reservation.grantedAt > GRANT_DELIVERY_MS;
-      if (reservation.demand.vm === vm && isDelivered && !held.has(id)) this.leave(now, id);
+      if (reservation.demand.vm === vm && isDelivered && !held.has(id)) this.release(now, id);
     }
     const unknown = holdings.filter(({ demand }) => !this.#reservations.has(demand.id));
     for (const { demand, grant, startedAt } of unknown) {
       this.add(now, demand, grant, true, startedAt);
-      this.#account.explain(now, grant.decode, demand.id);
+      this.#account.explainReported(now, grant.decode, demand.id);
     }
     return unknown;
   }
@@ -145,20 +145,20 @@
   }
 
   /** The allocation of a request on its decode runner. */
-  holderOf(id: string): Holder | undefined {
+  allocationOf(id: string): Allocation | undefined {
     const reservation = this.#reservations.get(id);
-    return reservation && this.#account.decode.get(reservation.grant.decode)?.holders.get(id);
+    return reservation && this.#account.decode.get(reservation.grant.decode)?.allocations.get(id);
   }
 
-  #allocate(now: number, { demand, grant }: Placed, startedAt: number | undefined): void {
+  #allocate(now: number, { demand, grant }: Reservation, startedAt: number | undefined): void {
     this.#onChange();
-    this.#account.decode.get(grant.decode)?.holders.set(demand.id, {
+    this.#account.decode.get(grant.decode)?.allocations.set(demand.id, {
       demand,
       grantedAt: now,
-      expectedTokens: this.#stats.expect(demand),
-      deviationTokens: this.#stats.deviation(demand),
+      expectedTokens: this.#stats.expectedOutputTokens(demand),
+      deviationTokens: this.#stats.deviationTokens(demand),
       startedAt,
-      direct: grant.prefill === undefined,
+      isLocalPrefill: grant.prefill === undefined,
     });
   }
 }
--- a/src/core/memory/learning.ts
+++ b/src/core/memory/stats.ts
@@ -5,7 +5,7 @@
 
 import type { DecodeState, PendingPrompt, PrefillState } from './account';
 import type { CostModel } from './cost';
-import { expectedReadMs, learntSlowness, prefillMs, residenceMs } from './cost';
+import { expectedPrefillMs, updatedSlowness, prefillMs, residenceMs } from './cost';
 import { TokenFlow } from './flow';
 import type { RequestSizes } from './flow';
 import { OutputLengths } from './lengths';
@@ -24,11 +24,11 @@
  */
 function updateSlowness(runner: DecodeState | PrefillState, expectedMs: number, ms: number): void {
   const state = runner;
-  state.slowness = learntSlowness(state.slowness, expectedMs, ms);
+  state.slowness = updatedSlowness(state.slowness, expectedMs, ms);
 }
 
 /** Statistics of one service's requests and runners. */
-export class Learning {
+export class WorkloadStats {
   readonly #costs: CostModel;
 
   readonly #lengths: OutputLengths;
@@ -41,15 +41,15 @@
   }
 
   /** Records a request for a reservation; `first` is false if it is a repeated attempt. */
-  asked(now: number, demand: Demand, first: boolean): void {
-    this.#flow.sized(demand.promptTokens, this.#lengths.expect(demand));
-    if (first) this.#flow.asked(now, this.sizeOf(demand));
+  recordDemand(now: number, demand: Demand, first: boolean): void {
+    this.#flow.recordSize(demand.promptTokens, this.#lengths.expectedTokens(demand));
+    if (first) this.#flow.recordDemand(now, this.sizeOf(demand));
   }
 
   /** Records a prefill that took `ms`. */
-  prefilled(prefill: PrefillState, pending: PendingPrompt, ms: number): void {
-    if (pending.aheadTokens === 0) this.#costs.read(pending.tokens, ms);
-    updateSlowness(prefill, expectedReadMs(this.#costs, pending), ms);
+  recordPrefill(prefill: PrefillState, pending: PendingPrompt, ms: number): void {
+    if (pending.aheadTokens === 0) this.#costs.recordPrefill(pending.tokens, ms);
+    updateSlowness(prefill, expectedPrefillMs(this.#costs, pending), ms);
   }
 
   /**
@@ -57,9 +57,9 @@
    * pending. If only prefills that finish in time were measured, a runner that falls behind would
    * still look fast.
    */
-  givenUp(now: number, prefill: PrefillState, pending: PendingPrompt): void {
-    const ms = now - pending.givenAt;
-    const expectedMs = expectedReadMs(this.#costs, pending);
+  recordAbandonedPrefill(now: number, prefill: PrefillState, pending: PendingPrompt): void {
+    const ms = now - pending.queuedAt;
+    const expectedMs = expectedPrefillMs(this.#costs, pending);
     if (ms > expectedMs) updateSlowness(prefill, expectedMs, ms);
   }
 
@@ -67,46 +67,46 @@
    * Records that the first event came `ms` after both the prefill and the assignment of a decode
    * runner.
    */
-  began(ms: number): void {
-    this.#costs.began(ms);
+  recordFirstEvent(ms: number): void {
+    this.#costs.recordFirstEvent(ms);
   }
 
   /** Records the output length of a finished request. */
-  finished(demand: Demand, outputTokens: number): void {
-    this.#lengths.learn(demand, outputTokens);
+  recordOutput(demand: Demand, outputTokens: number): void {
+    this.#lengths.record(demand, outputTokens);
   }
 
   /** Records a stream whose output took `ms` after its first event. */
-  streamed(decode: DecodeState, outputTokens: number, eventTokens: number, ms: number): void {
+  recordStream(decode: DecodeState, outputTokens: number, eventTokens: number, ms: number): void {
     const tokens = outputTokens - eventTokens;
     if (tokens >= MIN_EVENTS * eventTokens) this.#recordTokenTime(decode, ms / tokens);
   }
 
   /** Records a runner's report of its running requests. */
-  reported(now: number, decode: DecodeState, runs: readonly ReportedRun[]): void {
-    const ms = decode.pace.next(now, runs);
+  recordReport(now: number, decode: DecodeState, runs: readonly ReportedRun[]): void {
+    const ms = decode.pace.update(now, runs);
     if (ms !== undefined) this.#recordTokenTime(decode, ms);
   }
 
   /** Records a measured token time of a decode runner, in milliseconds. */
   #recordTokenTime(decode: DecodeState, ms: number): void {
-    this.#costs.made(ms);
+    this.#costs.recordTokenTime(ms);
     updateSlowness(decode, this.#costs.tokenMs, ms);
   }
 
   /** Expected output tokens of a request. */
-  expect(demand: Demand): number {
-    return this.#lengths.expect(demand);
+  expectedOutputTokens(demand: Demand): number {
+    return this.#lengths.expectedTokens(demand);
   }
 
   /** Usual error of that estimate, in tokens. */
-  deviation(demand: Demand): number {
-    return this.#lengths.deviation(demand);
+  deviationTokens(demand: Demand): number {
+    return this.#lengths.deviationTokens(demand);
   }
 
   /** Tokens of memory that a request will take. */
   sizeOf(demand: Demand): number {
-    return demand.promptTokens + this.#lengths.expect(demand);
+    return demand.promptTokens + this.#lengths.expectedTokens(demand);
   }
 
   /** Usual sizes of the requests. */
@@ -118,7 +118,7 @@
    * Tokens that one ending request usually frees. A larger request would have to wait for several
    * ends on one runner.
    */
-  get usualSize(): number {
+  get usualSizeTokens(): number {
     const { promptTokens, outputTokens } = this.#flow.sizes;
     return promptTokens + outputTokens;
   }
@@ -130,7 +130,7 @@
   }
 
   /** Time of a usual prefill, in milliseconds. */
-  get readMs(): number {
+  get prefillMs(): number {
     return prefillMs(this.#costs, this.#flow.sizes.promptTokens);
   }
 
@@ -138,7 +138,7 @@
    * Tokens per millisecond that are not used by first attempts.
    * @param capacity tokens freed per millisecond when all memory is in use
    */
-  spare(now: number, capacity: number): number {
-    return this.#flow.spare(now, capacity);
+  spareTokensPerMs(now: number, capacity: number): number {
+    return this.#flow.spareTokensPerMs(now, capacity);
   }
 }
--- a/src/node/router/owner.ts
+++ b/src/node/router/owner.ts
@@ -160,7 +160,7 @@
       waiting: planner.waiting,
       placed: planner.placed,
       ...planner.load(now),
-      distrusted: planner.distrusted(now),
+      distrusted: planner.ejected(now),
       heardAgoMs: Object.fromEntries(
         [...heard].map(([vm, at]) => [vm, Math.round(now - at)] as const),
       ),
@@ -184,7 +184,7 @@
 
   /** How an order was taken. */
   ordered(now: number, service: string, runner: string, outcome: OrderOutcome): void {
-    this.#plans.get(service)?.planner.ordered(now, runner, outcome === 'accepted');
+    this.#plans.get(service)?.planner.recordOrder(now, runner, outcome === 'accepted');
   }
 
   /** A VM that is dead took its requests with it. */
@@ -213,7 +213,7 @@
 
   /** Holds back for a moment, and has the VMs tell at once: left to their period they took two seconds, in which full runners looked free or free ones full. */
   #beCautious(now: number, service: string, { planner }: Plan): void {
-    planner.startCautiously(now);
+    planner.startWarmUp(now);
     this.#surroundings.onUnsure(service);
   }
 
@@ -264,7 +264,7 @@
 
   /** A runner gets no work for a while: one line with the event that was held against it. */
   #logDistrust(service: string, { planner }: Plan, event: PlanEvent): void {
-    for (const runner of planner.takeDistrusted()) {
+    for (const runner of planner.takeEjected()) {
       const request = 'id' in event ? event.id : undefined;
       this.#log.info({ request, service, runner, event: event.kind }, 'Distrusted a runner.');
     }
--- a/test/router/tries.test.ts
+++ b/test/router/attempts.test.ts
@@ -1,4 +1,4 @@
-import { EarlierTries } from '../../src/core/memory/tries';
+import { PreviousAttempts } from '../../src/core/memory/attempts';
 import type { Demand } from '../../src/core/memory/types';
 
 const demand = (id: string, now: number, promptId: string | undefined): Demand => ({
@@ -27,18 +27,18 @@
    * requests that can still be served in time.
    */
   test('is detected by its prompt', () => {
-    const attempts = new EarlierTries();
-    expect(seen(attempts.note(0, demand('a/1', 0, 'p')))).toEqual([900, false]);
-    expect(seen(attempts.note(2000, demand('b/1', 2000, 'p')))).toEqual([900, true]);
-    expect(seen(attempts.note(2000, demand('c/1', 2000, 'q')))).toEqual([2900, false]);
-    expect(seen(attempts.note(3000, demand('d/1', 3000, undefined)))).toEqual([3900, false]);
-    expect(seen(attempts.note(3000, demand('e/1', 3000, undefined)))).toEqual([3900, false]);
+    const attempts = new PreviousAttempts();
+    expect(seen(attempts.record(0, demand('a/1', 0, 'p')))).toEqual([900, false]);
+    expect(seen(attempts.record(2000, demand('b/1', 2000, 'p')))).toEqual([900, true]);
+    expect(seen(attempts.record(2000, demand('c/1', 2000, 'q')))).toEqual([2900, false]);
+    expect(seen(attempts.record(3000, demand('d/1', 3000, undefined)))).toEqual([3900, false]);
+    expect(seen(attempts.record(3000, demand('e/1', 3000, undefined)))).toEqual([3900, false]);
   });
 
   test('counts as a new request after an answer or after a long time', () => {
-    const attempts = new EarlierTries();
-    attempts.answered(attempts.note(0, demand('a/1', 0, 'p')));
-    expect(seen(attempts.note(5000, demand('b/1', 5000, 'p')))).toEqual([5900, false]);
-    expect(seen(attempts.note(30_000, demand('c/1', 30_000, 'p')))).toEqual([30_900, false]);
+    const attempts = new PreviousAttempts();
+    attempts.forget(attempts.record(0, demand('a/1', 0, 'p')));
+    expect(seen(attempts.record(5000, demand('b/1', 5000, 'p')))).toEqual([5900, false]);
+    expect(seen(attempts.record(30_000, demand('c/1', 30_000, 'p')))).toEqual([30_900, false]);
   });
 });
--- a/test/router/cost.test.ts
+++ b/test/router/cost.test.ts
@@ -1,4 +1,9 @@
-import { LearntCosts, learntSlowness, pauseOfRead, prefillMs } from '../../src/core/memory/cost';
+import {
+  MeasuredCosts,
+  updatedSlowness,
+  localPrefillPauseMs,
+  prefillMs,
+} from '../../src/core/memory/cost';
 import { Estimate } from '../../src/core/memory/estimate';
 
 describe('measured times of an engine', () => {
@@ -15,13 +20,13 @@
   });
 
   test('are fitted to prefills of different sizes', () => {
-    const costs = new LearntCosts();
+    const costs = new MeasuredCosts();
     for (let i = 0; i < 100; i += 1) {
       const tokens = 2000 + 80 * i;
-      costs.read(tokens, 20 + tokens / 100);
+      costs.recordPrefill(tokens, 20 + tokens / 100);
     }
-    expect(costs.readBaseMs).toBeCloseTo(20, 0);
-    expect(costs.readTokenMs).toBeCloseTo(0.01, 3);
+    expect(costs.prefillBaseMs).toBeCloseTo(20, 0);
+    expect(costs.prefillTokenMs).toBeCloseTo(0.01, 3);
     expect(prefillMs(costs, 5000)).toBeCloseTo(70, 0);
   });
 
@@ -31,16 +36,16 @@
    * reservation any more.
    */
   test('ignore a request that seems to take no time', () => {
-    const costs = new LearntCosts();
-    costs.made(0);
+    const costs = new MeasuredCosts();
+    costs.recordTokenTime(0);
     expect(costs.tokenMs).toBe(7);
-    costs.made(2);
+    costs.recordTokenTime(2);
     expect(costs.tokenMs).toBe(2);
   });
 
   test('bound the effect of an outlier on the slowness of a runner', () => {
-    expect(learntSlowness(1, 100, 100_000)).toBeCloseTo(2.05, 2);
-    expect(learntSlowness(1, 100, 0)).toBeCloseTo(0.895, 3);
+    expect(updatedSlowness(1, 100, 100_000)).toBeCloseTo(2.05, 2);
+    expect(updatedSlowness(1, 100, 0)).toBeCloseTo(0.895, 3);
   });
 
   /*
@@ -48,9 +53,9 @@
    * many tokens for the whole prompt.
    */
   test('give the pause that a local prefill causes in the other streams', () => {
-    const costs = new LearntCosts();
+    const costs = new MeasuredCosts();
     const pauses = [2, 7, 59].map((eventTokens) =>
-      Math.round(pauseOfRead(costs, 5000, eventTokens) - eventTokens * costs.tokenMs),
+      Math.round(localPrefillPauseMs(costs, 5000, eventTokens) - eventTokens * costs.tokenMs),
     );
     expect(pauses).toEqual([37, 129, 180]);
   });
--- a/test/router/trust.test.ts
+++ b/test/router/ejection.test.ts
@@ -1,5 +1,5 @@
 import { planPolicy } from '../../src/core/memory/policy';
-import { FULL_TRUST, afterFailure, afterSuccess } from '../../src/core/memory/trust';
+import { NO_FAILURES, afterFailure, afterSuccess } from '../../src/core/memory/ejection';
 import { Pace } from '../../src/node/router/pace';
 
 describe('the failure score of a runner', () => {
@@ -8,16 +8,16 @@
    * would never detect it; it must be ejected most of the time.
    */
   test('ejects a runner that fails every second request most of the time', () => {
-    let score = FULL_TRUST;
+    let score = NO_FAILURES;
     let now = 0;
     let given = 0;
     while (now < 20_000) {
-      if (now >= score.avoidUntil) {
+      if (now >= score.ejectedUntil) {
         given += 1;
         score =
           given % 2 === 0
-            ? afterFailure(planPolicy.trust, now, score)
-            : afterSuccess(planPolicy.trust, score);
+            ? afterFailure(planPolicy.ejection, now, score)
+            : afterSuccess(planPolicy.ejection, score);
       }
       now += 100;
     }
@@ -25,11 +25,11 @@
   });
 
   test('recovers soon after one failure', () => {
-    const score = afterFailure(planPolicy.trust, 1000, FULL_TRUST);
-    expect(score.avoidUntil).toBe(1400);
-    expect(afterSuccess(planPolicy.trust, afterSuccess(planPolicy.trust, score)).strikes).toBe(
-      0.25,
-    );
+    const score = afterFailure(planPolicy.ejection, 1000, NO_FAILURES);
+    expect(score.ejectedUntil).toBe(1400);
+    expect(
+      afterSuccess(planPolicy.ejection, afterSuccess(planPolicy.ejection, score)).failures,
+    ).toBe(0.25);
   });
 
   /*
@@ -40,10 +40,10 @@
   test('counts simultaneous failures as one', () => {
     const together = Array.from({ length: 10 }, (_, i) => 1000 + i * 10);
     const score = together.reduce(
-      (before, now) => afterFailure(planPolicy.trust, now, before),
-      FULL_TRUST,
+      (before, now) => afterFailure(planPolicy.ejection, now, before),
+      NO_FAILURES,
     );
-    expect(score).toEqual({ strikes: 1, avoidUntil: 1400 });
+    expect(score).toEqual({ failures: 1, ejectedUntil: 1400 });
   });
 });
 
--- a/test/router/turns.test.ts
+++ b/test/router/order.test.ts
@@ -1,8 +1,8 @@
 import { Planner } from '../../src/core/memory/planner';
 import { planPolicy } from '../../src/core/memory/policy';
-import type { Turn, Turns } from '../../src/core/memory/turns';
+import type { QueueEntry, QueueOrder } from '../../src/core/memory/order';
 import type { Demand } from '../../src/core/memory/types';
-import { FairTurns, SmallestFirst } from '../../src/core/memory/turns';
+import { FairOrder, SmallestFirst } from '../../src/core/memory/order';
 import { MemoryBench } from '../fakes/memory/bench';
 import { tightFigures } from '../fakes/memory/engines';
 import type { MemoryJob } from '../fakes/memory/load';
@@ -57,13 +57,13 @@
  * Shares of the flood's and of the other customers' requests that were served while the flood
  * lasts.
  */
-function play(turns: () => Turns, sizePart: number): { flood: number; others: number } {
+function play(turns: () => QueueOrder, sizePart: number): { flood: number; others: number } {
   const sums = { flood: 0, others: 0 };
   const seeds = [1, 2, 3];
   for (const seed of seeds) {
     const bench = new MemoryBench({
       jobs: jobsOf(seed, sizePart),
-      policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, turns } }),
+      policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
       figures: tightFigures,
       prefillRunners: 2,
       decodeRunners: 4,
@@ -84,7 +84,7 @@
    * answer in time although their load had not changed.
    */
   test('keeps the others in time while one customer floods', () => {
-    const fair = play(() => new FairTurns(), 1);
+    const fair = play(() => new FairOrder(), 1);
     const bySize = play(() => new SmallestFirst(), 1);
     expect(fair.others).toBeGreaterThan(0.9);
     expect(fair.others).toBeGreaterThan(bySize.others);
@@ -93,7 +93,7 @@
   });
 
   test('helps customers with larger requests than the flood', () => {
-    const fair = play(() => new FairTurns(), 0.3);
+    const fair = play(() => new FairOrder(), 0.3);
     const bySize = play(() => new SmallestFirst(), 0.3);
     expect(fair.others).toBeGreaterThan(bySize.others);
   });
@@ -101,10 +101,10 @@
   /* Without customers there is nothing to share, and the order must remain that of the sizes. */
   test('is the order of sizes where requests name no customer', () => {
     const jobs = drawMemoryJobs({ perSecond: 12, bursts: [], untilMs: UNTIL_MS }, 5);
-    const results = [() => new FairTurns(), () => new SmallestFirst()].map((turns) =>
+    const results = [() => new FairOrder(), () => new SmallestFirst()].map((turns) =>
       new MemoryBench({
         jobs,
-        policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, turns } }),
+        policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
         figures: tightFigures,
         prefillRunners: 2,
         decodeRunners: 4,
@@ -115,14 +115,14 @@
 
   /* A customer of priority 0 has twice the share of one of priority 1. */
   test('prefers a customer with a higher priority', () => {
-    const turns = new FairTurns();
-    const entryOf = (customer: string, rank: number, i: number): Turn => ({
+    const turns = new FairOrder();
+    const entryOf = (customer: string, rank: number, i: number): QueueEntry => ({
       demand: { ...demand, id: `${customer}${i}`, customer, rank },
       size: 100,
       cost: 100,
     });
     const all = [0, 1, 2, 3].flatMap((i) => [entryOf('high', 0, i), entryOf('low', 1, i)]);
-    all.slice(0, 2).forEach((entry) => turns.entered(entry.demand));
+    all.slice(0, 2).forEach((entry) => turns.customerQueued(entry.demand));
     const order = turns.order(all).map(({ demand: { id } }) => id);
     expect(order.slice(0, 6).filter((id) => id.startsWith('high'))).toHaveLength(4);
   });
--- a/test/router/planner.test.ts
+++ b/test/router/planner.test.ts
@@ -1,4 +1,4 @@
-import { StageBalance, wantedPrefill } from '../../src/core/memory/balance';
+import { StageBalancer, optimalPrefillCount } from '../../src/core/memory/balance';
 import { Planner } from '../../src/core/memory/planner';
 import { planPolicy } from '../../src/core/memory/policy';
 import type { Demand, PlanAction } from '../../src/core/memory/types';
@@ -78,9 +78,9 @@
     };
     planner.handle(0, { kind: 'told', vm: 'vm2', holdings: [held] });
     planner.handle(1000, { kind: 'slow', id: 'held' });
-    expect(planner.distrusted(1001)).toEqual([]);
+    expect(planner.ejected(1001)).toEqual([]);
     planner.handle(3000, { kind: 'slow', id: 'held' });
-    expect(planner.distrusted(3001)).toEqual(['d1']);
+    expect(planner.ejected(3001)).toEqual(['d1']);
   });
 
   /*
@@ -204,7 +204,7 @@
     planner.handle(150, { ...ready, shedBy: undefined });
     const again = planner.handle(160, { ...ready, shedBy: 'd1' });
     expect(again).toEqual([{ kind: 'bind', id: 'r', decode: 'd1' }]);
-    expect(planner.distrusted(160)).toEqual(['p1']);
+    expect(planner.ejected(160)).toEqual(['p1']);
   });
 
   /*
@@ -219,7 +219,7 @@
     const ready = { kind: 'prefilled', id: 'r', ms: 150, unreachable: undefined } as const;
     const shed = planner.handle(160, { ...ready, shedBy: 'd1' });
     expect(shed).toEqual([{ kind: 'refuse', id: 'r', retryAfterMs: 1000 }]);
-    expect(planner.distrusted(160)).toEqual([]);
+    expect(planner.ejected(160)).toEqual([]);
   });
 
   /*
@@ -233,7 +233,7 @@
     const other = grants.find(({ grant }) => grant.prefill !== undefined)?.id ?? '';
     const slow = (now: number): boolean => {
       planner.handle(now, { kind: 'slow', id: other });
-      return planner.distrusted(now).includes('d1');
+      return planner.ejected(now).includes('d1');
     };
     expect(slow(100)).toBe(false);
     planner.handle(300, { kind: 'started', id: direct });
@@ -319,7 +319,7 @@
    */
   test('uses only half of the memory during the warm-up', () => {
     const planner = plannerOf(pool);
-    planner.startCautiously(500);
+    planner.startWarmUp(500);
     const now = 10;
     const started = [...granted(flood(planner, now, 20))];
     for (let t = 20; t < 400; t += 20) {
@@ -417,12 +417,17 @@
        ],
      }
     `);
-    expect(planner.distrusted(210)).toEqual([]);
+    expect(planner.ejected(210)).toEqual([]);
   });
 });
 
 describe('stage balancing', () => {
-  const workload = { promptTokens: 5200, readTokenMs: 0.018, outputTokens: 480, residenceMs: 3500 };
+  const workload = {
+    promptTokens: 5200,
+    prefillTokenMs: 0.018,
+    outputTokens: 480,
+    residenceMs: 3500,
+  };
 
   /*
    * Six runners need two prefill runners. When one of the six is lost for good, one prefill runner
@@ -431,7 +436,7 @@
    */
   test('wants the number of prefill runners that serves the most requests', () => {
     const wanted = [2, 4, 5, 6, 7, 13, 63].map((count) =>
-      wantedPrefill(planPolicy.stages, engine, count, 1, workload),
+      optimalPrefillCount(planPolicy.stages, engine, count, 1, workload),
     );
     expect(wanted).toEqual([1, 1, 1, 2, 2, 4, 20]);
   });
@@ -441,16 +446,16 @@
    * runner out of service for ten seconds and gain little.
    */
   test('orders no change that gains less than it costs', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const state = (id: string): never =>
       ({
         runner: runner(id, 'decode'),
         pending: new Map(),
-        holders: new Map(),
+        allocations: new Map(),
         slowness: 1,
       }) as never;
     const changes = (now: number, prefill: readonly string[]): number =>
-      balance.consider(
+      balance.changes(
         now,
         engine,
         prefill.map(state),
@@ -467,19 +472,18 @@
     ({
       runner: runner(id, 'prefill'),
       pending: new Map(),
-      holders: new Map(),
+      allocations: new Map(),
       slowness: 1,
     }) as never;
 
   /** Number of orders given at a time with these runners of each stage. */
   const orderedAt = (
-    balance: StageBalance,
+    balance: StageBalancer,
     now: number,
     prefill: readonly string[],
     decode: readonly string[],
   ): number =>
-    balance.consider(now, engine, prefill.map(stateOf), decode.map(stateOf), workload, false)
-      .length;
+    balance.changes(now, engine, prefill.map(stateOf), decode.map(stateOf), workload, false).length;
 
   /*
    * Two decode runners crash and return after six seconds. While they are missing, one prefill
@@ -487,7 +491,7 @@
    * runner would be needed again after it; no change is ordered.
    */
   test('orders no change for a temporary crash', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const all = ['d1', 'd2', 'd3', 'd4', 'd5'];
     for (let now = 0; now < 4000; now += 500) {
       expect(orderedAt(balance, now, ['p1', 'p2'], all)).toBe(0);
@@ -505,7 +509,7 @@
    * might return.
    */
   test('orders a change for a permanent crash', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const all = ['d1', 'd2', 'd3', 'd4', 'd5'];
     const orders: number[] = [];
     for (let now = 0; now < 20_000; now += 500) {
@@ -520,7 +524,7 @@
    * changed, requests are refused for lack of decode memory.
    */
   test('corrects a lasting excess as soon as the number of runners is stable', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const orders: number[] = [];
     for (let now = 0; now < 5000; now += 500) {
       const count = orderedAt(balance, now, ['p1', 'p2', 'p3', 'p4'], ['d1', 'd2', 'd3', 'd4']);
