--- a/src/core/memory/account.ts
+++ b/src/core/memory/account.ts
@@ -42,7 +42,7 @@
   /** Tokens that the runner reports as used and that this account does not explain. */
   unexplainedTokens: number;
   /** Tokens freed recently, which a delayed report may still include. */
-  readonly recentlyFreed: { readonly at: number; readonly tokens: number }[];
+  readonly freed: { readonly at: number; readonly tokens: number }[];
   /** The runner gets no work before this time, since it is changing its stage. */
   switchingUntil: number;
   /** Failure score by the results of its requests. */
@@ -92,14 +92,14 @@
 /** Whether the decode runner of an allocation is prefilling its prompt at the moment. */
 function isInLocalPrefill(
   now: number,
-  { isLocalPrefill: direct, startedAt, grantedAt }: Allocation,
+  { isLocalPrefill, startedAt, grantedAt }: Allocation,
 ): boolean {
-  return direct && startedAt === undefined && now - grantedAt < LOCAL_PREFILL_LIMIT_MS;
+  return isLocalPrefill && startedAt === undefined && now - grantedAt < LOCAL_PREFILL_LIMIT_MS;
 }
 
 /** Whether a decode runner is running a local prefill at the moment. */
-export function isPrefillingLocally(now: number, { allocations: holders }: DecodeState): boolean {
-  return [...holders.values()].some((allocation) => isInLocalPrefill(now, allocation));
+export function isPrefillingLocally(now: number, { allocations }: DecodeState): boolean {
+  return [...allocations.values()].some((allocation) => isInLocalPrefill(now, allocation));
 }
 
 /**
@@ -109,14 +109,11 @@
 const LOCAL_PREFILL_EFFECT_MS = 800;
 
 /** Whether a current or recent local prefill explains slow streams on a decode runner. */
-export function isSlowedByLocalPrefill(
-  now: number,
-  { allocations: holders }: DecodeState,
-): boolean {
-  return [...holders.values()].some((allocation) => {
-    const { isLocalPrefill: direct, startedAt } = allocation;
+export function isSlowedByLocalPrefill(now: number, { allocations }: DecodeState): boolean {
+  return [...allocations.values()].some((allocation) => {
+    const { isLocalPrefill, startedAt } = allocation;
     const hadLocalPrefill =
-      direct && startedAt !== undefined && now - startedAt < LOCAL_PREFILL_EFFECT_MS;
+      isLocalPrefill && startedAt !== undefined && now - startedAt < LOCAL_PREFILL_EFFECT_MS;
     return hadLocalPrefill || isInLocalPrefill(now, allocation);
   });
 }
@@ -145,11 +142,11 @@
 export function eligibleOf<T extends DecodeState | PrefillState>(
   now: number,
   states: Iterable<T>,
-  { maxEjectedShare: distrustedPart }: EjectionRules,
+  { maxEjectedShare }: EjectionRules,
 ): readonly T[] {
-  const notSwitching = [...states].filter(({ switchingUntil: avoidUntil }) => now >= avoidUntil);
-  const notEjected = notSwitching.filter(({ failureScore: trust }) => now >= trust.ejectedUntil);
-  return notEjected.length >= notSwitching.length * (1 - distrustedPart)
+  const notSwitching = [...states].filter(({ switchingUntil }) => now >= switchingUntil);
+  const notEjected = notSwitching.filter(({ failureScore }) => now >= failureScore.ejectedUntil);
+  return notEjected.length >= notSwitching.length * (1 - maxEjectedShare)
     ? notEjected
     : notSwitching;
 }
@@ -179,16 +176,19 @@
   /** Tokens that can still be reserved at a runner. */
   freeTokens(now: number, state: DecodeState): number {
     if (now < state.switchingUntil) return 0;
-    const { reservableShare: fill, deviationFactor: deviations, peak } = this.#rules;
+    const { reservableShare, deviationFactor, peak } = this.#rules;
     const taken = peak.estimate(now, state.allocations.values(), this.tokenMs(state));
-    const margin = deviations * deviationOf(state.allocations.values());
-    return Math.max(0, state.memoryTokens * fill - state.unexplainedTokens - taken - margin);
+    const margin = deviationFactor * deviationOf(state.allocations.values());
+    return Math.max(
+      0,
+      state.memoryTokens * reservableShare - state.unexplainedTokens - taken - margin,
+    );
   }
 
   /** Runners that are ejected at the moment because their requests failed or were slow. */
   ejected(now: number): readonly string[] {
     return [...this.prefill.values(), ...this.decode.values()]
-      .filter(({ failureScore: trust }) => now < trust.ejectedUntil)
+      .filter(({ failureScore }) => now < failureScore.ejectedUntil)
       .map(({ runner }) => runner.id);
   }
 
@@ -205,7 +205,7 @@
           memoryTokens: engine.memoryTokens,
           allocations: new Map(),
           unexplainedTokens: 0,
-          recentlyFreed: [],
+          freed: [],
           switchingUntil: 0,
           failureScore: NO_FAILURES,
           slowness: 1,
@@ -235,10 +235,9 @@
   applyReport(now: number, id: string, usedTokens: number): void {
     const state = this.decode.get(id);
     if (!state) return;
-    while ((state.recentlyFreed[0]?.at ?? Infinity) < now - REPORT_LAG_MS)
-      state.recentlyFreed.shift();
+    while ((state.freed[0]?.at ?? Infinity) < now - REPORT_LAG_MS) state.freed.shift();
     let explained = REPORT_SLACK_TOKENS;
-    for (const { tokens } of state.recentlyFreed) explained += tokens;
+    for (const { tokens } of state.freed) explained += tokens;
     const tokenMs = this.tokenMs(state);
     for (const entry of state.allocations.values()) explained += peakTokens(now, entry, tokenMs);
     state.unexplainedTokens = Math.max(0, usedTokens - explained);
@@ -265,6 +264,6 @@
     const allocation = state?.allocations.get(id);
     if (!state || !allocation) return;
     state.allocations.delete(id);
-    state.recentlyFreed.push({ at: now, tokens: peakTokens(now, allocation, this.tokenMs(state)) });
+    state.freed.push({ at: now, tokens: peakTokens(now, allocation, this.tokenMs(state)) });
   }
 }
--- a/src/core/memory/ahead.ts
+++ b/src/core/memory/ahead.ts
@@ -6,8 +6,8 @@
 import type { AheadRules } from './policy';
 
 /** Time for which a finished prefill may wait for decode memory, in milliseconds. */
-export function maxWaitMs({ maxWaitShare: keepPart }: AheadRules, keepMs: number): number {
-  return keepMs * keepPart;
+export function maxWaitMs({ maxWaitShare }: AheadRules, keepMs: number): number {
+  return keepMs * maxWaitShare;
 }
 
 /**
--- a/src/core/memory/balance.ts
+++ b/src/core/memory/balance.ts
@@ -40,14 +40,14 @@
   prefill: number,
   decode: number,
   slowness: number,
-  { promptTokens, prefillTokenMs: readTokenMs, outputTokens, residenceMs }: Workload,
+  { promptTokens, prefillTokenMs, outputTokens, residenceMs }: Workload,
 ): number {
-  const promptMs = headroom * promptTokens * readTokenMs;
+  const promptMs = headroom * promptTokens * prefillTokenMs;
   const prefillRate = prefill / (promptMs * slowness);
   const decodeMs = ((promptTokens + outputTokens) * residenceMs) / memoryTokens;
   if (prefillRate * decodeMs >= decode) return decode / decodeMs;
-  const readMs = LOCAL_PREFILL_COST * promptMs;
-  return (decode + prefillRate * readMs) / (decodeMs + readMs);
+  const localPrefillMs = LOCAL_PREFILL_COST * promptMs;
+  return (decode + prefillRate * localPrefillMs) / (decodeMs + localPrefillMs);
 }
 
 /**
@@ -150,7 +150,7 @@
     const runners = prefill.length + decode.length;
     if (this.#changing.size > 0 || runners < 2 || engine.switchMs === undefined) return [];
     const slowness = mean(prefill.map((state) => state.slowness));
-    const { steadyMs, shortageMs: lackMs } = this.#rules;
+    const { steadyMs, shortageMs } = this.#rules;
     const surplusOf = (prefills: number, decodes: number): number =>
       worthwhileSurplus(this.#rules, engine, prefills, decodes, slowness, workload);
     const surplus = surplusOf(prefill.length, decode.length);
@@ -167,7 +167,7 @@
     if (sign === 0 || now - this.#steadySince.at < steadyMs) return [];
     // An excess that remains even if lost runners return costs decode memory until it is corrected.
     const excessMs = lastingSign > 0 ? steadyMs : this.#rules.excessMs;
-    const requiredMs = sign > 0 ? excessMs : lackMs;
+    const requiredMs = sign > 0 ? excessMs : shortageMs;
     if (!isIdle && now - this.#imbalance.at < requiredMs) return [];
     // While requests run, changes are ordered one at a time, so that the effect of each is visible
     // before the next.
--- a/src/core/memory/capacity.ts
+++ b/src/core/memory/capacity.ts
@@ -145,13 +145,13 @@
     need: number,
     { slots, eventTokens }: Engine,
   ): DecodeState | undefined {
-    const { localFreeShare: directSpare, localPauseShare: pausePart } = this.#policy.prefill;
+    const { localFreeShare, localPauseShare } = this.#policy.prefill;
     const pauseMs = localPrefillPauseMs(this.#costs, demand.promptTokens, eventTokens);
     return this.#findMostFree(now, demand, (state, free) => {
-      const hasSpareMemory = free - need > state.memoryTokens * directSpare;
+      const hasSpareMemory = free - need > state.memoryTokens * localFreeShare;
       const isCandidate =
         hasSpareMemory && slots > state.allocations.size && !isPrefillingLocally(now, state);
-      const isShortPause = pauseMs <= minGapMs(state) * pausePart;
+      const isShortPause = pauseMs <= minGapMs(state) * localPauseShare;
       return isCandidate && (isShortPause || this.#account.prefill.size === 0);
     });
   }
@@ -188,7 +188,7 @@
    * limit; undefined if there is none.
    */
   findPrefill(now: number, demand: Demand, domain: string): PrefillState | undefined {
-    const { backlogLimitMs, crossDomainMs: farMs } = this.#policy.prefill;
+    const { backlogLimitMs, crossDomainMs } = this.#policy.prefill;
     let best: PrefillState | undefined;
     let bestMs = Infinity;
     for (const state of eligibleOf(now, this.#account.prefill.values(), this.#policy.ejection)) {
@@ -197,7 +197,7 @@
       // Between failure domains the KV cache is transferred at half the speed; a tie goes to the
       // closer runner.
       const ms = backlog + prefillMs(this.#costs, demand.promptTokens, state.slowness);
-      const cost = state.runner.domain === domain ? ms : ms + farMs;
+      const cost = state.runner.domain === domain ? ms : ms + crossDomainMs;
       const isBest = isCandidate && cost < bestMs && !demand.avoid.includes(state.runner.id);
       if (isBest && this.#isWithinRate(now, state)) {
         best = state;
@@ -232,11 +232,11 @@
   }
 
   /** Expected ends of a runner's requests, and the tokens that each frees. */
-  #expectedEnds(now: number, { allocations: holders, slowness }: DecodeState): readonly Release[] {
+  #expectedEnds(now: number, { allocations, slowness }: DecodeState): readonly Release[] {
     // Uses the lower bound of the token time: overestimated waits would refuse callers that can be
     // served.
     const tokenMs = this.#costs.minTokenMs * slowness;
-    return [...holders.values()].map((allocation) => ({
+    return [...allocations.values()].map((allocation) => ({
       at: expectedEndOf(now, allocation, tokenMs),
       tokens: allocation.demand.promptTokens + allocation.expectedTokens,
     }));
@@ -326,9 +326,9 @@
 }
 
 /** The smallest pause between events that the streams of a runner allow, in milliseconds. */
-function minGapMs({ allocations: holders }: DecodeState): number {
+function minGapMs({ allocations }: DecodeState): number {
   let leastMs = Infinity;
-  for (const { demand } of holders.values()) {
+  for (const { demand } of allocations.values()) {
     if (demand.gapMs > 0) leastMs = Math.min(leastMs, demand.gapMs);
   }
   return leastMs;
--- a/src/core/memory/cost.ts
+++ b/src/core/memory/cost.ts
@@ -65,12 +65,8 @@
 const PREFILL_DECAY = 0.98;
 
 /** Time that a prompt occupies a runner of the given slowness, in milliseconds. */
-export function prefillWorkMs(
-  { prefillTokenMs: readTokenMs }: Costs,
-  tokens: number,
-  slowness = 1,
-): number {
-  return tokens * readTokenMs * slowness;
+export function prefillWorkMs({ prefillTokenMs }: Costs, tokens: number, slowness = 1): number {
+  return tokens * prefillTokenMs * slowness;
 }
 
 /** Time of a prefill on an idle runner, in milliseconds. */
--- a/src/core/memory/ejection.ts
+++ b/src/core/memory/ejection.ts
@@ -26,19 +26,19 @@
  * anyway are therefore not counted again.
  */
 export function afterFailure(
-  { firstMs, maxMs: limitMs }: EjectionRules,
+  { firstMs, maxMs }: EjectionRules,
   now: number,
   score: FailureScore,
 ): FailureScore {
   if (now < score.ejectedUntil) return score;
-  const avoidMs = Math.min(limitMs, firstMs * 2 ** score.failures);
-  return { failures: score.failures + 1, ejectedUntil: now + avoidMs };
+  const ejectionMs = Math.min(maxMs, firstMs * 2 ** score.failures);
+  return { failures: score.failures + 1, ejectedUntil: now + ejectionMs };
 }
 
 /** Score after a success. */
 export function afterSuccess(
-  { successFactor: goodEnd }: EjectionRules,
-  { failures: strikes, ejectedUntil: avoidUntil }: FailureScore,
+  { successFactor }: EjectionRules,
+  { failures, ejectedUntil }: FailureScore,
 ): FailureScore {
-  return { failures: strikes * goodEnd, ejectedUntil: avoidUntil };
+  return { failures: failures * successFactor, ejectedUntil };
 }
--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -343,13 +343,13 @@
       const localPrefill = decode && !prefill ? this.#findLocalPrefill(now, demand) : undefined;
       const target = prefill ? candidate : localPrefill;
       if (target) {
-        const bound = decode !== undefined;
-        if (!bound) prefillsLeft -= 1;
+        const isAssigned = decode !== undefined;
+        if (!isAssigned) prefillsLeft -= 1;
         const grant = { prefill: prefill?.runner.id, decode: target.runner.id };
         this.#queue.removeReserved(demand);
         if (prefill) this.#allowance.take(now, prefill.runner.id);
-        if (bound) this.#allowance.take(now, target.runner.id);
-        this.#reservations.add(now, demand, grant, bound, undefined);
+        if (isAssigned) this.#allowance.take(now, target.runner.id);
+        this.#reservations.add(now, demand, grant, isAssigned, undefined);
         this.#actions.push({ kind: 'grant', id: demand.id, grant });
         largest = this.#capacity.largestFreeTokens(now);
       }
@@ -391,25 +391,25 @@
     let allocations = 0;
     for (const state of this.#account.decode.values()) allocations += state.allocations.size;
     const unassigned = this.#reservations.unassignedCount;
-    const { prefillMs: readMs, residenceMs } = this.#stats;
+    const { prefillMs, residenceMs } = this.#stats;
     const keepMs = this.#engine?.keepMs ?? 0;
     return (
-      maxPrefillsAhead(this.#policy.ahead, allocations, readMs, residenceMs, keepMs) - unassigned
+      maxPrefillsAhead(this.#policy.ahead, allocations, prefillMs, residenceMs, keepMs) - unassigned
     );
   }
 
   /** Refuses requests that cannot be served before their callers disconnect. */
   #refuseUnservable(now: number, order: readonly Demand[]): void {
-    const { usualSizeTokens: usualSize, residenceMs } = this.#stats;
+    const { usualSizeTokens, residenceMs } = this.#stats;
     const stillWaiting = order.filter(({ id }) => this.#queue.has(id));
     const unservable = findUnservable(this.#policy.refusal, now, stillWaiting, {
       sizeOf: (demand) => this.#stats.sizeOf(demand),
       minFirstEventMs: (demand) => minFirstEventMs(this.#costs, demand),
       spareTokensPerMs: this.#stats.spareTokensPerMs(
         now,
-        this.#capacity.capacity(usualSize, residenceMs),
+        this.#capacity.capacity(usualSizeTokens, residenceMs),
       ),
-      releases: this.#capacity.releases(now, usualSize),
+      releases: this.#capacity.releases(now, usualSizeTokens),
       prefillWaitMs: this.#capacity.prefillWaitMs(now),
     });
     for (const request of unservable) {
--- a/src/core/memory/policy.ts
+++ b/src/core/memory/policy.ts
@@ -166,7 +166,7 @@
   maxStepMs: 230,
 };
 
-const reading: PrefillRules = {
+const prefill: PrefillRules = {
   crossDomainMs: 20,
   // Large enough that a prefill runner never idles.
   backlogLimitMs: 120,
@@ -192,7 +192,7 @@
   shortageMs: 4000,
 };
 
-const trust: EjectionRules = {
+const ejection: EjectionRules = {
   firstMs: 400,
   maxMs: 6000,
   successFactor: 0.5,
@@ -202,7 +202,7 @@
 
 const lengths: LengthRules = { hintWeights: [0, 0.25, 0.5, 0.75, 1] };
 
-const caution: WarmUpRules = { durationMs: 500, minFreeShare: 0.5 };
+const warmUp: WarmUpRules = { durationMs: 500, minFreeShare: 0.5 };
 
 /** The policy in use. */
 export const planPolicy: PlanPolicy = {
@@ -210,9 +210,9 @@
   ahead,
   order,
   refusal,
-  prefill: reading,
+  prefill,
   stages,
-  ejection: trust,
+  ejection,
   lengths,
-  warmUp: caution,
+  warmUp,
 };
--- a/src/core/memory/queue.ts
+++ b/src/core/memory/queue.ts
@@ -13,13 +13,13 @@
 
 /** Share of a decode runner's memory that must stay free beside a request. */
 export function requiredFreeShare(
-  { lateFreeShare: lateSpare }: OrderRules,
+  { lateFreeShare }: OrderRules,
   costs: Costs,
   now: number,
   demand: Demand,
 ): number {
   const late = now + minFirstEventMs(costs, demand) > demand.dueAt;
-  return late && !demand.resuming ? lateSpare : 0;
+  return late && !demand.resuming ? lateFreeShare : 0;
 }
 
 /** Waiting requests of one service. */
@@ -100,9 +100,9 @@
     const all = [...this.#demands.values()];
     const resuming = all.filter((demand) => demand.resuming);
     const others = all.filter((demand) => !demand.resuming);
-    const inTime = others.filter((demand) => this.#isInTime(now, demand));
+    const onTime = others.filter((demand) => this.#isInTime(now, demand));
     const late = others.filter((demand) => !this.#isInTime(now, demand));
-    const ordered = this.#queueOrder.order(inTime.map((demand) => this.#entryOf(demand)));
+    const ordered = this.#queueOrder.order(onTime.map((demand) => this.#entryOf(demand)));
     late.sort((a, b) => a.lostAt - b.lostAt);
     return [...resuming, ...ordered.map(({ demand }) => demand), ...late];
   }
--- a/src/core/memory/refusal.ts
+++ b/src/core/memory/refusal.ts
@@ -40,16 +40,10 @@
  * @param order waiting requests in scheduling order
  */
 export function findUnservable(
-  { lastAttemptFactor: lastTryDoubt }: RefusalRules,
+  { lastAttemptFactor }: RefusalRules,
   now: number,
   order: readonly Demand[],
-  {
-    sizeOf,
-    minFirstEventMs: leastMs,
-    spareTokensPerMs: spare,
-    releases,
-    prefillWaitMs: readMs,
-  }: CapacityForecast,
+  { sizeOf, minFirstEventMs, spareTokensPerMs, releases, prefillWaitMs }: CapacityForecast,
 ): readonly UnservableRequest[] {
   const found: UnservableRequest[] = [];
   let tokensAhead = 0;
@@ -57,16 +51,19 @@
   for (const demand of order) {
     const size = sizeOf(demand);
     tokensAhead += size;
-    const waitMs = Math.max(waitForTokensMs(now, releases, tokensAhead), readMs(tokensAhead));
-    const isInTime = now + waitMs + leastMs(demand) <= demand.dueAt;
-    const lateMs = waitMs + (lateTokens + size) / spare;
-    const latestStartAt = demand.lostAt - DISCONNECT_MARGIN_MS - leastMs(demand);
-    const likelyMs = demand.returned ? lateMs * lastTryDoubt : lateMs;
+    const waitMs = Math.max(
+      waitForTokensMs(now, releases, tokensAhead),
+      prefillWaitMs(tokensAhead),
+    );
+    const isInTime = now + waitMs + minFirstEventMs(demand) <= demand.dueAt;
+    const lateMs = waitMs + (lateTokens + size) / spareTokensPerMs;
+    const latestStartAt = demand.lostAt - DISCONNECT_MARGIN_MS - minFirstEventMs(demand);
+    const likelyMs = demand.returned ? lateMs * lastAttemptFactor : lateMs;
     const keepsWaiting = now + (demand.resuming ? 0 : likelyMs) <= latestStartAt;
     if (!isInTime && keepsWaiting) lateTokens += size;
     if (!isInTime && !keepsWaiting) {
       tokensAhead -= size;
-      found.push({ demand, waitMs: lateMs, slotMs: size / spare });
+      found.push({ demand, waitMs: lateMs, slotMs: size / spareTokensPerMs });
     }
   }
   return found;
@@ -83,11 +80,11 @@
   }
 
   /** Retry-After of the next refused request, in milliseconds. */
-  next(now: number, { waitMs, slotMs: turnMs }: UnservableRequest): number {
-    const { minMs: leastMs, maxMs: mostMs, maxStepMs: stepMs } = this.#rules;
-    const earliest = now + Math.min(waitMs, mostMs / 2);
-    const next = Math.max(this.#lastAt, earliest) + Math.min(turnMs, stepMs);
-    this.#lastAt = next > now + mostMs ? earliest : next;
-    return Math.max(leastMs, this.#lastAt - now);
+  next(now: number, { waitMs, slotMs }: UnservableRequest): number {
+    const { minMs, maxMs, maxStepMs } = this.#rules;
+    const earliest = now + Math.min(waitMs, maxMs / 2);
+    const next = Math.max(this.#lastAt, earliest) + Math.min(slotMs, maxStepMs);
+    this.#lastAt = next > now + maxMs ? earliest : next;
+    return Math.max(minMs, this.#lastAt - now);
   }
 }
--- a/src/core/memory/reservations.ts
+++ b/src/core/memory/reservations.ts
@@ -55,7 +55,7 @@
   /** Number of reservations whose prefill runs or is kept and that have no decode memory yet. */
   get unassignedCount(): number {
     let count = 0;
-    for (const { isAssigned: bound } of this.#reservations.values()) if (!bound) count += 1;
+    for (const { isAssigned } of this.#reservations.values()) if (!isAssigned) count += 1;
     return count;
   }
 
@@ -77,21 +77,21 @@
     now: number,
     demand: Demand,
     grant: Grant,
-    bound: boolean,
+    isAssigned: boolean,
     startedAt: number | undefined,
   ): void {
-    const readyAt = startedAt === undefined ? undefined : now;
+    const prefilledAt = startedAt === undefined ? undefined : now;
     const reservation: Reservation = {
       demand,
       grant,
       grantedAt: now,
-      prefilledAt: readyAt,
-      isAssigned: bound,
+      prefilledAt,
+      isAssigned,
       assignedAt: undefined,
     };
     this.#reservations.set(demand.id, reservation);
-    if (bound) this.#allocate(now, reservation, startedAt);
-    if (readyAt !== undefined) return;
+    if (isAssigned) this.#allocate(now, reservation, startedAt);
+    if (prefilledAt !== undefined) return;
     const state = this.prefillOf(grant);
     if (state) addPending(this.#costs, now, state, demand.id, demand.promptTokens);
   }
--- a/src/core/memory/stages.ts
+++ b/src/core/memory/stages.ts
@@ -31,9 +31,9 @@
   changes(now: number, engine: Engine, isIdle: boolean): readonly StageChange[] {
     const { prefill, decode } = this.#account;
     const { sizes, residenceMs } = this.#stats;
-    const needs = { ...sizes, residenceMs, prefillTokenMs: this.#costs.prefillTokenMs };
+    const workload = { ...sizes, residenceMs, prefillTokenMs: this.#costs.prefillTokenMs };
     const states = [[...prefill.values()], [...decode.values()]] as const;
-    return this.#balance.changes(now, engine, ...states, needs, isIdle);
+    return this.#balance.changes(now, engine, ...states, workload, isIdle);
   }
 
   /**
--- a/test/router/order.test.ts
+++ b/test/router/order.test.ts
@@ -57,13 +57,13 @@
  * Shares of the flood's and of the other customers' requests that were served while the flood
  * lasts.
  */
-function play(turns: () => QueueOrder, sizePart: number): { flood: number; others: number } {
+function play(createOrder: () => QueueOrder, sizePart: number): { flood: number; others: number } {
   const sums = { flood: 0, others: 0 };
   const seeds = [1, 2, 3];
   for (const seed of seeds) {
     const bench = new MemoryBench({
       jobs: jobsOf(seed, sizePart),
-      policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
+      policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder } }),
       figures: tightFigures,
       prefillRunners: 2,
       decodeRunners: 4,
@@ -101,10 +101,10 @@
   /* Without customers there is nothing to share, and the order must remain that of the sizes. */
   test('is the order of sizes where requests name no customer', () => {
     const jobs = drawMemoryJobs({ perSecond: 12, bursts: [], untilMs: UNTIL_MS }, 5);
-    const results = [() => new FairOrder(), () => new SmallestFirst()].map((turns) =>
+    const results = [() => new FairOrder(), () => new SmallestFirst()].map((createOrder) =>
       new MemoryBench({
         jobs,
-        policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
+        policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder } }),
         figures: tightFigures,
         prefillRunners: 2,
         decodeRunners: 4,
@@ -115,15 +115,15 @@
 
   /* A customer of priority 0 has twice the share of one of priority 1. */
   test('prefers a customer with a higher priority', () => {
-    const turns = new FairOrder();
+    const order = new FairOrder();
     const entryOf = (customer: string, rank: number, i: number): QueueEntry => ({
       demand: { ...demand, id: `${customer}${i}`, customer, rank },
       size: 100,
       cost: 100,
     });
     const all = [0, 1, 2, 3].flatMap((i) => [entryOf('high', 0, i), entryOf('low', 1, i)]);
-    all.slice(0, 2).forEach((entry) => turns.customerQueued(entry.demand));
-    const order = turns.order(all).map(({ demand: { id } }) => id);
-    expect(order.slice(0, 6).filter((id) => id.startsWith('high'))).toHaveLength(4);
+    all.slice(0, 2).forEach((entry) => order.customerQueued(entry.demand));
+    const ids = order.order(all).map(({ demand: { id } }) => id);
+    expect(ids.slice(0, 6).filter((id) => id.startsWith('high'))).toHaveLength(4);
   });
 });
