--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -255,8 +255,8 @@
     const allocation = this.#reservations.allocationOf(id);
     if (!allocation || allocation.startedAt !== undefined) return;
     allocation.startedAt = now;
-    const boundAt = this.#reservations.get(id)?.assignedAt;
-    if (boundAt !== undefined) this.#stats.recordFirstEvent(now - boundAt);
+    const assignedAt = this.#reservations.get(id)?.assignedAt;
+    if (assignedAt !== undefined) this.#stats.recordFirstEvent(now - assignedAt);
   }
 
   #recordFinish(now: number, id: string, outputTokens: number): void {
--- a/src/core/memory/policy.ts
+++ b/src/core/memory/policy.ts
@@ -60,7 +60,7 @@
   /** Largest backlog at which a prefill runner still gets prompts, in milliseconds of its work. */
   readonly backlogLimitMs: number;
   /**
-   * Share of a decode runner's memory that must stay free beside a local prefill; 1 disables local
+   * Share of a decode runner's memory that must stay free in addition to a local prefill; 1 disables local
    * prefills.
    */
   readonly localFreeShare: number;
@@ -135,8 +135,9 @@
   // The rest covers requests in transit and rounding to blocks.
   reservableShare: 0.99,
   // A fixed share of 3 % fits outputs that are a tenth of their request. Where an output is half of
-  // it, requests were preempted and prefilled again, and their answers paused: on stand-in engines
-  // of that kind, bursts score a goodput of 0.84 with this margin and 0.73 with the fixed share.
+  // it, requests were preempted and prefilled again, and their answers paused: in bursts on stand-in
+  // engines of that kind, the value served is 0.84 of the value requested with this margin and 0.73
+  // with the fixed share.
   deviationFactor: 1.5,
   peak: new JointPeak(),
 };
@@ -180,9 +181,9 @@
   // A change takes a runner out of service for some ten seconds. One made for a smaller gain right
   // before a burst left a quarter of the decode memory unused while requests were refused.
   minGain: 0.1,
-  // Rates are estimates and assume that decode runners prefill what prefill runners cannot. With
-  // 0.03, six runners were left with one prefill runner, the bottleneck in each burst: the goodput
-  // of a day with faults fell from 0.77 to 0.66.
+  // Rates derive from measurements and assume that decode runners prefill what prefill runners
+  // cannot. With 0.03, six runners were left with one prefill runner, the bottleneck in each burst:
+  // on a day with faults, the value served fell from 0.77 to 0.66 of the value requested.
   tieTolerance: 0.08,
   // Runners register one after the other.
   steadyMs: 2500,
--- a/src/core/memory/queue.ts
+++ b/src/core/memory/queue.ts
@@ -11,7 +11,7 @@
   return prefillMs(costs, promptTokens) + costs.firstEventMs;
 }
 
-/** Share of a decode runner's memory that must stay free beside a request. */
+/** Share of a decode runner's memory that must stay free in addition to a request. */
 export function requiredFreeShare(
   { lateFreeShare }: OrderRules,
   costs: Costs,
--- a/src/core/memory/reservations.ts
+++ b/src/core/memory/reservations.ts
@@ -71,7 +71,7 @@
 
   /**
    * Adds a reservation.
-   * @param bound whether memory is allocated on the decode runner from now on
+   * @param isAssigned whether memory is allocated on the decode runner from now on
    */
   add(
     now: number,
--- a/test/router/overload.test.ts
+++ b/test/router/overload.test.ts
@@ -96,9 +96,9 @@
           decodeRunners: 5,
         }).run(),
       ).reduce((sum, { worth }) => sum + worth / SEEDS.length, 0);
-    const learnt = worthOf(() => undefined);
-    expect(learnt).toBeGreaterThan(0.95 * worthOf(() => new KnownCosts(fastFigures)));
-    expect(learnt).toBeGreaterThan(worthOf(() => new KnownCosts(tightFigures)));
+    const measured = worthOf(() => undefined);
+    expect(measured).toBeGreaterThan(0.95 * worthOf(() => new KnownCosts(fastFigures)));
+    expect(measured).toBeGreaterThan(worthOf(() => new KnownCosts(tightFigures)));
   }, 60_000);
 
   /*
