--- a/src/core/memory/account.ts
+++ b/src/core/memory/account.ts
@@ -72,6 +72,7 @@
   slowness: number;
   /** The runner gets no work before this time, since it is changing its stage. */
   switchingUntil: number;
+  /** Failure score by the results of its requests. */
   failureScore: FailureScore;
 }
 
@@ -104,7 +105,7 @@
 
 /**
  * Time for which a finished local prefill still slows the measured pace of the other streams on
- * that runner, in milliseconds: the number of events over which the pace is measured.
+ * that runner, in milliseconds: the span of events over which the pace is measured.
  */
 const LOCAL_PREFILL_EFFECT_MS = 800;
 
