--- a/src/core/memory/order.ts
+++ b/src/core/memory/order.ts
@@ -106,7 +106,7 @@
   }
 }
 
-/** The lane with the smallest tag; the first of them if several are equal. */
+/** The lane with the smallest tag; among equal ones the one whose first request is smallest. */
 function leastLane(lanes: readonly Lane[]): Lane | undefined {
   let least: Lane | undefined;
   for (const lane of lanes) {
--- a/src/core/memory/policy.ts
+++ b/src/core/memory/policy.ts
@@ -96,7 +96,7 @@
 export interface EjectionRules {
   /** Ejection time after the first failure, in milliseconds; doubles with each further one. */
   readonly firstMs: number;
-  /** Longest ejection time, in milliseconds; after it, the runner gets requests again. */
+  /** Longest ejection time, in milliseconds; after it, a request tries the runner again. */
   readonly maxMs: number;
   /** Factor on the failure score with each success. */
   readonly successFactor: number;
