--- a/src/core/memory/cost.ts
+++ b/src/core/memory/cost.ts
@@ -1,7 +1,7 @@
 /**
- * Measured times of an engine's work: prefill, first event, output tokens. Engines differ by an
- * order of magnitude; with fixed figures of one engine, estimates of growth, ends and waits were
- * off by a factor of seven on another.
+ * Measured times of an engine's work: prefill, first event, output tokens. Engines differ by
+ * factors of ten and more; with fixed figures of one engine, estimates of growth, ends and waits
+ * were off by a factor of seven on another.
  */
 
 import type { PendingPrompt, PrefillState } from './account';
