--- a/test/router/planner.test.ts
+++ b/test/router/planner.test.ts
@@ -175,7 +175,7 @@
     const prefill = (actions: readonly PlanAction[]): string | undefined =>
       actions[0]?.kind === 'grant' ? actions[0].grant.prefill : undefined;
     expect(prefill(ask(0, 'lost'))).toBe('p1');
-    expect(prefill(ask(10, 'local prefill'))).toBeUndefined();
+    expect(prefill(ask(10, 'reads itself'))).toBeUndefined();
     expect(prefill(ask(600, 'later'))).toBe('p1');
   });
 
