--- a/src/core/memory/capacity.ts
+++ b/src/core/memory/capacity.ts
@@ -3,7 +3,7 @@
  * first, and when memory will be freed.
  */
 
-import type { Ration } from '../ratelimits/types';
+import type { RateAllowance } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, MemoryAccount, PrefillState } from './account';
 import { eligibleOf, expectedEndOf, isPrefillingLocally } from './account';
@@ -50,7 +50,7 @@
 
   readonly #costs: Costs;
 
-  readonly #allowance: Ration;
+  readonly #allowance: RateAllowance;
 
   /** Cached free tokens at `#freeAt`; cleared with each change of the account. */
   readonly #freeCache = new Map<DecodeState, number>();
@@ -62,7 +62,7 @@
    */
   #warmUpUntil = 0;
 
-  constructor(policy: PlanPolicy, account: MemoryAccount, costs: Costs, allowance: Ration) {
+  constructor(policy: PlanPolicy, account: MemoryAccount, costs: Costs, allowance: RateAllowance) {
     this.#policy = policy;
     this.#account = account;
     this.#costs = costs;
--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -6,7 +6,7 @@
 
 import { match } from 'ts-pattern';
 
-import type { Ration } from '../ratelimits/types';
+import type { RateAllowance } from '../ratelimits/types';
 import { unlimited } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, PrefillState } from './account';
@@ -58,7 +58,7 @@
 
   readonly #capacity: CapacityView;
 
-  readonly #allowance: Ration;
+  readonly #allowance: RateAllowance;
 
   readonly #reservations: Reservations;
 
@@ -73,7 +73,7 @@
   constructor(
     policy: PlanPolicy,
     costs: CostModel = new MeasuredCosts(),
-    allowance: Ration = unlimited,
+    allowance: RateAllowance = unlimited,
   ) {
     this.#policy = policy;
     this.#allowance = allowance;
--- a/src/node/router/accountowners.ts
+++ b/src/node/router/accountowners.ts
@@ -6,10 +6,10 @@
 import { toFailure } from '../../core/failure';
 import type { Member } from '../../core/membership/types';
 import { isPresent } from '../../core/membership/types';
-import { PauseWatch } from '../../core/pause';
+import { PauseDetector } from '../../core/pause';
 import type { QuotaAccounts } from '../../core/quotas/accounts';
 import type { QuotaMembers } from '../../core/quotas/share';
-import { renewMs } from '../../core/quotas/share';
+import { renewIntervalMs } from '../../core/quotas/share';
 import type { Metrics } from '../metrics';
 import type { RouterFleet } from './fleet';
 
@@ -69,7 +69,7 @@
 export class AccountOwners {
   readonly #context: AccountContext;
 
-  readonly #pauses = new PauseWatch(LOOK_MS);
+  readonly #pauses = new PauseDetector(LOOK_MS);
 
   readonly #timer: NodeJS.Timeout;
 
@@ -174,7 +174,7 @@
       const [owner] = this.#ownersOf(now, group);
       const before = this.#owners.get(group);
       if (owner?.vm === vm) owned.add(group);
-      const isDue = !isSame(owner, before) || now - before.toldAt > renewMs(this.members);
+      const isDue = !isSame(owner, before) || now - before.toldAt > renewIntervalMs(this.members);
       if (owner && isDue) {
         const { vm: name, address, incarnation } = owner;
         this.#owners.set(group, { vm: name, address, incarnation, toldAt: now });
@@ -185,7 +185,7 @@
     for (const group of this.#owners.keys()) {
       if (!groups.includes(group)) this.#owners.delete(group);
     }
-    accounts.own(now, owned);
+    accounts.setOwned(now, owned);
     for (const [address, moved] of left.byAddress) this.#say(now, address, moved, true);
     for (const [address, moved] of joined.byAddress) this.#say(now, address, moved, false);
   }
--- a/src/node/router/desks.ts
+++ b/src/node/router/desks.ts
@@ -6,12 +6,12 @@
 import type { Metrics } from '../metrics';
 import { PeerCalls } from './calls';
 import type { RouterFleet } from './fleet';
-import type { Gate } from './gate';
+import type { Authorizer } from './authorizer';
 import type { Knowledge } from './knowledge';
 import { NewsDesk } from './news';
-import type { PlanHost } from './owner';
+import type { PlannerHost } from './plannerhost';
 import { PermitDesk } from './permits';
-import { Places } from './places';
+import { ReservationClient } from './reservations';
 import { QuarantineDesk } from './quarantine';
 import { QuotaDesk } from './quotas';
 import type { RateChange } from './ratelimits';
@@ -23,9 +23,9 @@
 export interface DesksContext {
   readonly settings: RouterSettings;
   readonly knowledge: Knowledge;
-  readonly gate: Gate;
+  readonly gate: Authorizer;
   readonly fleet: RouterFleet;
-  readonly host: PlanHost;
+  readonly host: PlannerHost;
   readonly feed: Feed;
   readonly archive: SuspectArchive;
   readonly metrics: Metrics;
@@ -44,7 +44,7 @@
 
   readonly quotas: QuotaDesk;
 
-  readonly places: Places;
+  readonly places: ReservationClient;
 
   readonly news: NewsDesk;
 
@@ -84,7 +84,7 @@
       metrics,
       log: logOf(log, 'quotas'),
     });
-    this.places = new Places(vm, fleet, host, logOf(log, 'places'));
+    this.places = new ReservationClient(vm, fleet, host, logOf(log, 'places'));
     const sync = new FactSync({ knowledge, quarantine, rateLimits, fleet });
     this.news = new NewsDesk({
       knowledge,
@@ -101,7 +101,15 @@
       onDescription: context.onDescription,
     });
     const { places, quotas, permits } = this;
-    this.calls = new PeerCalls({ vm, fleet, host, places, sync, quotas, permits });
+    this.calls = new PeerCalls({
+      vm,
+      fleet,
+      planners: host,
+      reservations: places,
+      sync,
+      quotas,
+      permits,
+    });
   }
 
   stop(): void {
--- a/src/node/router/fleet.ts
+++ b/src/node/router/fleet.ts
@@ -4,8 +4,8 @@
 
 import { setTimeout as pause } from 'node:timers/promises';
 
-import type { Description, Member, Members, Rumour } from '../../core/membership/types';
-import { isPresent, mayOwn } from '../../core/membership/types';
+import type { MemberStatus, Member, Members, GossipUpdate } from '../../core/membership/types';
+import { isPresent, canOwn } from '../../core/membership/types';
 import { addressesNear, rankByCores } from '../../core/ownership';
 import { toFailure } from '../../core/failure';
 import { LineBudget } from '../budget';
@@ -34,7 +34,7 @@
   /** Another VM knows other things than this one. */
   onDiffers(address: string): void;
   /** Another VM tells news. */
-  onRumour(rumour: Rumour, address: string): void;
+  onRumour(rumour: GossipUpdate, address: string): void;
 }
 
 /** Period of membership probes, in milliseconds: a dead VM is found in about a second and a half. */
@@ -202,7 +202,7 @@
   }
 
   /** Tells the others of this VM. */
-  describe(description: Description): void {
+  describe(description: MemberStatus): void {
     this.#members.tell({ kind: 'described', description });
   }
 
@@ -215,7 +215,7 @@
     this.#members.tell({ kind: 'leaving' });
   }
 
-  spread(rumours: readonly Rumour[]): void {
+  spread(rumours: readonly GossipUpdate[]): void {
     if (rumours.length > 0) this.#members.tell({ kind: 'rumours', rumours });
   }
 
@@ -254,7 +254,7 @@
   #ranked(key: string): readonly Member[] {
     const known = this.#ranking.get(key);
     if (known) return known;
-    const owners = rankByCores(key, this.all.filter(mayOwn));
+    const owners = rankByCores(key, this.all.filter(canOwn));
     this.#ranking.set(key, owners);
     return owners;
   }
--- a/src/node/router/knowledge.ts
+++ b/src/node/router/knowledge.ts
@@ -5,11 +5,11 @@
 
 import type { Logger } from 'pino';
 
-import type { RunnerFact } from '../../core/routing/directory';
+import type { RunnerRecord } from '../../core/routing/directory';
 import { RunnerDirectory } from '../../core/routing/directory';
-import type { Proof } from '../../core/routing/freshness';
+import type { FreshnessProof } from '../../core/routing/freshness';
 import { Freshness } from '../../core/routing/freshness';
-import type { History, Position } from '../../core/routing/position';
+import type { StoreHistory, Position } from '../../core/routing/position';
 import { isLater } from '../../core/routing/position';
 import { RouteTable } from '../../core/routing/table';
 import { Failure } from '../../core/failure';
@@ -38,7 +38,7 @@
 /** A newer configuration, or runners that changed. */
 export type News =
   | { readonly kind: 'config' }
-  | { readonly kind: 'runners'; readonly facts: readonly RunnerFact[] }
+  | { readonly kind: 'runners'; readonly facts: readonly RunnerRecord[] }
   /** `cameBack`: another era was known before. */
   | { readonly kind: 'era'; readonly cameBack: boolean };
 
@@ -61,7 +61,7 @@
   /** How old the configuration can be. */
   readonly freshness = new Freshness();
 
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   #table: RouteTable | undefined;
 
@@ -78,7 +78,7 @@
 
   readonly #lines: LineBudget;
 
-  constructor(history: History, log: Logger, listener: KnowledgeListener) {
+  constructor(history: StoreHistory, log: Logger, listener: KnowledgeListener) {
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
@@ -99,15 +99,15 @@
   /** The proof as members exchange it with their probes. */
   get proofExchange(): ProofExchange {
     return {
-      tell: () => this.freshness.tell(bootNow(), this.configVersion),
-      ask: (seq) => this.freshness.ask(bootNow(), seq),
-      answer: (seq, proof) => this.freshness.answer(seq, proof, this.configVersion),
+      tell: () => this.freshness.proofAt(bootNow(), this.configVersion),
+      ask: (seq) => this.freshness.recordQuery(bootNow(), seq),
+      answer: (seq, proof) => this.freshness.recordReply(seq, proof, this.configVersion),
     };
   }
 
   /** What this VM tells others of the age of its configuration, as a field of a message. */
-  proof(now: number): { readonly proof?: Proof } {
-    const proof = this.freshness.tell(now, this.configVersion);
+  proof(now: number): { readonly proof?: FreshnessProof } {
+    const proof = this.freshness.proofAt(now, this.configVersion);
     return proof ? { proof } : {};
   }
 
@@ -137,8 +137,8 @@
   }
 
   /** Facts of the parts of the digest in which another VM's differ, at most about `most`. */
-  factsBeside(now: number, theirs: readonly number[], most: number): readonly RunnerFact[] {
-    return this.#directory.factsIn(now, this.#directory.digest.differing(theirs), most);
+  factsBeside(now: number, theirs: readonly number[], most: number): readonly RunnerRecord[] {
+    return this.#directory.factsIn(now, this.#directory.digest.differingParts(theirs), most);
   }
 
   heardStore(now: number): void {
@@ -156,7 +156,7 @@
    */
   learnEras(now: number, starts: readonly Position[], source: string): void {
     const { era: before } = this.#history;
-    const cameBack = this.#history.learn(starts);
+    const cameBack = this.#history.apply(starts);
     const [start] = this.#history.starts;
     if (cameBack) {
       this.storeFailed(now);
@@ -211,8 +211,8 @@
   }
 
   /** Takes facts of runners over, each if it is newer. */
-  learnRunners(now: number, facts: readonly RunnerFact[], source: string): void {
-    const changed: RunnerFact[] = [];
+  learnRunners(now: number, facts: readonly RunnerRecord[], source: string): void {
+    const changed: RunnerRecord[] = [];
     for (const fact of facts) {
       const { id, position, runner, unreadable } = fact;
       if (unreadable !== undefined && !this.#directory.isKnown(fact)) {
@@ -221,7 +221,7 @@
       const gone = !runner && unreadable === undefined;
       // Another VM that tells of it knows whether its store had trouble; this one may not read it at all.
       const graceMs = gone ? (fact.graceMs ?? this.#graceMs(now, position)) : 0;
-      if (this.#directory.learn(now, fact, graceMs)) {
+      if (this.#directory.apply(now, fact, graceMs)) {
         changed.push(gone ? { ...fact, graceMs } : fact);
         this.#checkService(fact);
         const leaving = runner?.leaving;
@@ -238,18 +238,18 @@
 
   /** A runner told of its start itself; the one that is listed may be over by it. */
   learnStart(listing: string, bornAt: number): void {
-    if (!this.#directory.learnStart(listing, bornAt)) return;
+    if (!this.#directory.applyInstanceStart(listing, bornAt)) return;
     this.#log.info({ runner: listing, bornAt, source: 'report' }, 'Runner started anew.');
     this.#listener.onNews({ kind: 'runners', facts: [] });
   }
 
   /** The latest start that is known of a listing, in Unix milliseconds; 0 if none is. */
   latestStart(listing: string): number {
-    return this.#directory.latestStart(listing);
+    return this.#directory.latestInstanceStart(listing);
   }
 
   /** An entry of a service that the configuration does not name gets no request; the configuration may still come. */
-  #checkService({ id, position, runner }: RunnerFact): void {
+  #checkService({ id, position, runner }: RunnerRecord): void {
     if (!runner || !this.#table || this.#table.service(runner.service)) return;
     this.#noteUnfit(
       id,
@@ -270,7 +270,7 @@
     this.#returnedAt ??= position;
     const gone = this.#directory
       .missing(listed)
-      .map((id): RunnerFact => ({ id, position, runner: undefined }));
+      .map((id): RunnerRecord => ({ id, position, runner: undefined }));
     this.learnRunners(now, gone, 'list');
   }
 
--- a/src/node/router/news.ts
+++ b/src/node/router/news.ts
@@ -8,16 +8,16 @@
 
 import { toFailure } from '../../core/failure';
 import { isIsolated, joinTargets, readersOf, shouldRead } from '../../core/membership/readers';
-import type { Rumour } from '../../core/membership/types';
+import type { GossipUpdate } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
 import type { RunnerRate } from '../../core/ratelimits/types';
 import { isPresent } from '../../core/membership/types';
-import { ProofPace } from '../../core/routing/freshness';
-import { ERA_PATH, NewsSpread, RUNNER_PATH } from '../../core/routing/spread';
+import { ProofBackoff } from '../../core/routing/freshness';
+import { ERA_PATH, UpdatePropagation, RUNNER_PATH } from '../../core/routing/propagation';
 import { bootNow } from '../../utils/clock';
 import type { Metrics } from '../metrics';
 import type { RouterFleet } from './fleet';
-import type { Gate } from './gate';
+import type { Authorizer } from './authorizer';
 import type { Knowledge, News } from './knowledge';
 import type { QuarantineDesk } from './quarantine';
 import type { RateLimitDesk } from './ratelimits';
@@ -31,7 +31,7 @@
 /** What the desk works with. */
 export interface NewsContext {
   readonly knowledge: Knowledge;
-  readonly gate: Gate;
+  readonly gate: Authorizer;
   readonly quarantine: QuarantineDesk;
   readonly rateLimits: RateLimitDesk;
   readonly fleet: RouterFleet;
@@ -66,7 +66,7 @@
 export class NewsDesk {
   readonly #context: NewsContext;
 
-  readonly #spread = new NewsSpread();
+  readonly #spread = new UpdatePropagation();
 
   readonly #startedAt = performance.now();
 
@@ -94,7 +94,7 @@
 
   #lostAt = -Infinity;
 
-  readonly #proofPace = new ProofPace();
+  readonly #proofPace = new ProofBackoff();
 
   /** Whether the members changed since the readers were worked out; that takes a hash for each VM of the failure domain. */
   #membersChanged = true;
@@ -140,9 +140,9 @@
     const { fleet, knowledge, metrics } = this.#context;
     this.setDigest();
     const rumours = match(news)
-      .with({ kind: 'config' }, () => this.#spread.configRumours(knowledge.configVersion))
-      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerRumours(facts, encodeFact))
-      .with({ kind: 'era' }, () => this.#spread.eraRumours(knowledge.eras))
+      .with({ kind: 'config' }, () => this.#spread.configUpdates(knowledge.configVersion))
+      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerUpdates(facts, encodeFact))
+      .with({ kind: 'era' }, () => this.#spread.eraUpdates(knowledge.eras))
       .exhaustive();
     if (news.kind === 'era' && news.cameBack) metrics.count('store.returns');
     fleet.spread(rumours);
@@ -168,7 +168,7 @@
   }
 
   /** A member tells news. */
-  heard(rumour: Rumour, address: string): void {
+  heard(rumour: GossipUpdate, address: string): void {
     const { knowledge, quarantine, rateLimits, log } = this.#context;
     const now = performance.now();
     const { path, text } = rumour;
@@ -181,7 +181,7 @@
       else if (path.startsWith(RUNNER_PATH) && text !== undefined) {
         knowledge.learnRunners(now, [decodeFact(text)], address);
       } else {
-        this.#spread.heard(rumour, address, knowledge);
+        this.#spread.receive(rumour, address, knowledge);
         this.#fetchDue();
       }
     } catch (error) {
@@ -191,7 +191,7 @@
 
   /** A member knows other things. */
   differs(address: string): void {
-    this.#spread.differs(performance.now(), address);
+    this.#spread.reportMismatch(performance.now(), address);
     this.#fetchDue();
   }
 
@@ -233,7 +233,7 @@
     this.#reading = reading;
     if (reading && !this.#wasTold) log.info('Goes by the store alone: no other VM told anything.');
     feed.setReading(reading);
-    const { chosen, deputies } = readersOf(self.domain, all);
+    const { primaries: chosen, standbys: deputies } = readersOf(self.domain, all);
     const names = [...chosen, ...deputies].map(({ vm }) => vm);
     log.info({ reading, readers: names }, 'Readers of the store changed.');
   }
@@ -250,9 +250,9 @@
       this.#proofPace.reset();
       return;
     }
-    const { chosen, deputies } = readersOf(fleet.self.domain, fleet.all);
+    const { primaries: chosen, standbys: deputies } = readersOf(fleet.self.domain, fleet.all);
     fleet.contact([...chosen, ...deputies].map(({ address }) => address));
-    if (source !== 'store' || !this.#proofPace.asks(now, this.#reading)) return;
+    if (source !== 'store' || !this.#proofPace.tryQuery(now, this.#reading)) return;
     metrics.count('proofs.asked');
     feed.confirm();
   }
@@ -284,10 +284,10 @@
 
   #fetchDue(): void {
     const now = performance.now();
-    const address = this.#spread.takeDue(now);
+    const address = this.#spread.takeFetchTarget(now);
     if (address !== undefined) this.#fetch(address, false);
     clearTimeout(this.#fetchTimer);
-    const { dueAt } = this.#spread;
+    const { nextFetchAt: dueAt } = this.#spread;
     if (Number.isFinite(dueAt)) {
       this.#fetchTimer = setTimeout(() => this.#fetchDue(), Math.max(1, dueAt - now)).unref();
     }
--- a/src/node/router/quarantine.ts
+++ b/src/node/router/quarantine.ts
@@ -7,7 +7,7 @@
 import type { Logger } from 'pino';
 
 import { Failure, toFailure } from '../../core/failure';
-import { KEPT_MS, Quarantine } from '../../core/quarantine/quarantine';
+import { TTL_MS, Quarantine } from '../../core/quarantine/quarantine';
 import type { Suspect } from '../../core/quarantine/types';
 import type { Metrics } from '../metrics';
 import type { SuspectArchive } from './types';
@@ -67,25 +67,25 @@
   refusal(now: number, fingerprint: string): Failure | undefined {
     const retryAfterMs = this.#quarantine.refusedForMs(now, fingerprint);
     if (retryAfterMs === undefined) return undefined;
-    const ends = this.#quarantine.endsOf(fingerprint);
+    const ends = this.#quarantine.crashCount(fingerprint);
     return new Failure('quarantined', `${ends} runners ended under this request`, { retryAfterMs });
   }
 
   /** A runner ended under a request. Gives the runners that are known to have. */
   ended(now: number, fingerprint: string, runner: string): number {
-    this.#changed(now, this.#quarantine.ended(now, fingerprint, runner), 'own');
-    return this.#quarantine.endsOf(fingerprint);
+    this.#changed(now, this.#quarantine.recordCrash(now, fingerprint, runner), 'own');
+    return this.#quarantine.crashCount(fingerprint);
   }
 
   /** A runner ran a request to a whole answer. */
   completed(now: number, fingerprint: string): void {
-    this.#changed(now, this.#quarantine.completed(now, fingerprint), 'own');
+    this.#changed(now, this.#quarantine.recordCompletion(now, fingerprint), 'own');
   }
 
   /** @param source address of the VM that tells, or `store` */
   learn(now: number, suspects: readonly Suspect[], source: string): void {
     for (const suspect of suspects) {
-      this.#changed(now, this.#quarantine.learn(now, suspect), source);
+      this.#changed(now, this.#quarantine.apply(now, suspect), source);
     }
   }
 
@@ -155,7 +155,7 @@
     const over = [...before].filter((fingerprint) => !this.#refused.has(fingerprint));
     for (const { fingerprint, ends } of begun) {
       const runners = ends.map(({ runner }) => runner);
-      log.warn({ fingerprint, runners, source, forMs: KEPT_MS }, 'Refuses a request.');
+      log.warn({ fingerprint, runners, source, forMs: TTL_MS }, 'Refuses a request.');
     }
     for (const fingerprint of over) log.info({ fingerprint, source }, 'Takes a request again.');
     if (begun.length + over.length === 0) return;
@@ -181,7 +181,7 @@
     this.#saveAt.set(fingerprint, now + SAVE_AGAIN_MS);
     const { archive, log } = this.#context;
     archive
-      .save(suspect, KEPT_MS)
+      .save(suspect, TTL_MS)
       .then(() => {
         log.info({ fingerprint }, 'Saved a request that is refused.');
         this.#stored.add(fingerprint);
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -7,7 +7,7 @@
 import { sizeOf } from '../../core/customers/size';
 import type { Quota } from '../../core/customers/types';
 import { Failure } from '../../core/failure';
-import type { QuotaBounds, QuotaVerdict } from '../../core/quotas/account';
+import type { QuotaBounds, QuotaDecision } from '../../core/quotas/account';
 import type { QuotaKey } from '../../core/quotas/accounts';
 import { QuotaAccounts } from '../../core/quotas/accounts';
 import { LineBudget } from '../budget';
@@ -93,7 +93,7 @@
   async cover(exchange: Exchange): Promise<Failure | undefined> {
     const { request, charge } = exchange;
     const quota = this.#quotaOf(request.customer);
-    if (request.customer === undefined || !quota || charge.covered) return undefined;
+    if (request.customer === undefined || !quota || charge.isCovered) return undefined;
     const size = sizeOf(quota, request.usage);
     const version = this.#context.knowledge.configVersion;
     const verdict = await this.#ask({ customer: request.customer, quota, version, size });
@@ -108,11 +108,11 @@
     const size = charge.settle();
     if (customer === undefined || size === 0) return;
     const isTold = this.#owners.tell(groupOf(customer), 'quotaBack', { customer, size });
-    if (!isTold) this.#accounts.giveBack(keyOf(customer), size);
+    if (!isTold) this.#accounts.refund(keyOf(customer), size);
   }
 
   /** A VM asks for a run. */
-  onAsk(now: number, vm: string, params: unknown): QuotaVerdict {
+  onAsk(now: number, vm: string, params: unknown): QuotaDecision {
     return this.#take(now, vm, askSchema.parse(params));
   }
 
@@ -122,7 +122,7 @@
 
   onBack(params: unknown): void {
     const { customer, size } = backSchema.parse(params);
-    this.#accounts.giveBack(keyOf(customer), size);
+    this.#accounts.refund(keyOf(customer), size);
   }
 
   /** Members or customers changed. */
@@ -146,7 +146,7 @@
   }
 
   /** The word of the first owner that answers; with none, this VM gives out its own part. */
-  async #ask(ask: Ask): Promise<QuotaVerdict> {
+  async #ask(ask: Ask): Promise<QuotaDecision> {
     const verdict = await this.#owners.ask(groupOf(ask.customer), 'quota', ask, (answer) =>
       verdictSchema.parse(answer),
     );
@@ -154,7 +154,7 @@
   }
 
   /** The quota is that of the newer configuration of the two VMs. */
-  #take(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaVerdict {
+  #take(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaDecision {
     const isBehind = version > this.#context.knowledge.configVersion;
     const valid = isBehind ? quota : this.#quotaOf(customer);
     if (!valid) return { granted: true, waitMs: 0 };
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -114,13 +114,13 @@
     const { rateNotice: notice } = reply;
     if (notice.kind === 'unreadable') this.#noteUnreadable(now, runner, notice.text);
     const provesEnd = notice.kind === 'none' && isInOrder(runner, reply);
-    const news = this.#rates.saw(now, runner, { sentAt, notice, provesEnd });
+    const news = this.#rates.observe(now, runner, { sentAt, notice, provesEnd });
     if (news) this.#changed(now, news, OWN);
   }
 
   /** @param source address or name of the VM that tells */
   learn(now: number, rates: readonly RunnerRate[], source: string): void {
-    for (const rate of rates) if (this.#rates.learn(now, rate)) this.#changed(now, rate, source);
+    for (const rate of rates) if (this.#rates.apply(now, rate)) this.#changed(now, rate, source);
   }
 
   #changed(now: number, rate: RunnerRate, source: string): void {
--- a/src/node/router/ratewire.ts
+++ b/src/node/router/ratewire.ts
@@ -2,7 +2,7 @@
 
 import { z } from 'zod';
 
-import type { Rumour } from '../../core/membership/types';
+import type { GossipUpdate } from '../../core/membership/types';
 import type { RunnerRate } from '../../core/ratelimits/types';
 import { toRumour } from './rumours';
 
@@ -19,6 +19,6 @@
 });
 
 /** News of one runner's limit. */
-export function rateRumour(rate: RunnerRate): Rumour {
+export function rateRumour(rate: RunnerRate): GossipUpdate {
   return toRumour(`${RATE_PATH}${rate.runner}`, rate.version, rate);
 }
--- a/src/node/router/suspects.ts
+++ b/src/node/router/suspects.ts
@@ -2,7 +2,7 @@
 
 import { z } from 'zod';
 
-import type { Rumour } from '../../core/membership/types';
+import type { GossipUpdate } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
 import { toRumour } from './rumours';
 
@@ -19,7 +19,7 @@
 });
 
 /** News of one request. */
-export function suspectRumour(suspect: Suspect): Rumour {
+export function suspectRumour(suspect: Suspect): GossipUpdate {
   const { fingerprint, ends } = suspect;
   return toRumour(`${SUSPECT_PATH}${fingerprint}`, ends.length, suspect);
 }
--- a/src/node/router/sync.ts
+++ b/src/node/router/sync.ts
@@ -6,7 +6,7 @@
 import type { Member } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
 import { DIGEST_PARTS } from '../../core/routing/digest';
-import type { RunnerFact } from '../../core/routing/directory';
+import type { RunnerRecord } from '../../core/routing/directory';
 import type { Position } from '../../core/routing/position';
 import { bootNow } from '../../utils/clock';
 import { memberSchema } from '../scheduler/members';
@@ -80,7 +80,7 @@
 type Answer = Readonly<z.infer<typeof answerSchema>>;
 type WireFact = Answer['facts'][number];
 
-function toWire({ id, position, runner, graceMs }: RunnerFact): WireFact {
+function toWire({ id, position, runner, graceMs }: RunnerRecord): WireFact {
   return {
     id,
     position,
@@ -97,7 +97,7 @@
   return { ...suspect, ends: [...suspect.ends] };
 }
 
-function fromWire({ id, position, runner, graceMs }: WireFact): RunnerFact {
+function fromWire({ id, position, runner, graceMs }: WireFact): RunnerRecord {
   return { id, position, runner, graceMs };
 }
 
@@ -109,12 +109,12 @@
 }
 
 /** One fact as the text of a message. */
-export function encodeFact(fact: RunnerFact): string {
+export function encodeFact(fact: RunnerRecord): string {
   return JSON.stringify(toWire(fact));
 }
 
 /** Rejects with `peerRejected` by throwing. */
-export function decodeFact(text: string): RunnerFact {
+export function decodeFact(text: string): RunnerRecord {
   const parsed = factSchema.safeParse(parseJson(text));
   if (!parsed.success) throw new Failure('peerRejected', 'found a fact that does not fit');
   return fromWire(parsed.data);
@@ -174,7 +174,7 @@
     rateLimits.learn(now, answer.rates, address);
     if (answer.config) knowledge.learnConfig(now, unpackConfig(answer.config), address);
     if (answer.proof) {
-      knowledge.freshness.told(askedAt, answer.proof, knowledge.configVersion);
+      knowledge.freshness.acceptProof(askedAt, answer.proof, knowledge.configVersion);
     }
     knowledge.learnEras(now, answer.eras, address);
     knowledge.learnRunners(now, answer.facts.map(fromWire), address);
--- a/src/node/router/types.ts
+++ b/src/node/router/types.ts
@@ -7,7 +7,7 @@
 import type { MemoryReport } from '../../core/memory/types';
 import type { Suspect } from '../../core/quarantine/types';
 import type { RateNotice } from '../../core/ratelimits/types';
-import type { RunnerFact } from '../../core/routing/directory';
+import type { RunnerRecord } from '../../core/routing/directory';
 import type { Position } from '../../core/routing/position';
 import type { RetryBounds } from '../../core/retries';
 import type { Runner, RoutingConfig } from '../../core/routing/types';
@@ -164,7 +164,7 @@
 /** What a feed of facts tells. */
 export interface FeedListener {
   onConfig(config: RoutingConfig): void;
-  onRunners(facts: readonly RunnerFact[]): void;
+  onRunners(facts: readonly RunnerRecord[]): void;
   /** The store is of another era than was known. Told before what it holds. */
   onEra(start: Position): void;
   /** The full list of runners as of a position. */
--- a/test/router/ejection.test.ts
+++ b/test/router/ejection.test.ts
@@ -1,6 +1,6 @@
 import { planPolicy } from '../../src/core/memory/policy';
 import { NO_FAILURES, afterFailure, afterSuccess } from '../../src/core/memory/ejection';
-import { Pace } from '../../src/node/router/pace';
+import { PaceMonitor } from '../../src/node/router/pace';
 
 describe('the failure score of a runner', () => {
   /*
@@ -49,14 +49,14 @@
 
 describe('the pace of a stream', () => {
   test('is reported as slow once, by its mean pause', () => {
-    const pace = new Pace(300);
-    const reports = Array.from({ length: 13 }, (_, i) => pace.next(i * 400, i));
+    const pace = new PaceMonitor(300);
+    const reports = Array.from({ length: 13 }, (_, i) => pace.observe(i * 400, i));
     expect(reports.filter(Boolean).length).toBe(1);
   });
 
   test('is not reported as slow for one pause', () => {
-    const pace = new Pace(300);
+    const pace = new PaceMonitor(300);
     const times = [0, 50, 100, 450, 500, 550, 600, 650, 700];
-    expect(times.map((at, i) => pace.next(at, i))).not.toContain(true);
+    expect(times.map((at, i) => pace.observe(at, i))).not.toContain(true);
   });
 });
--- a/test/router/news.test.ts
+++ b/test/router/news.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import type { Member } from '../../src/core/membership/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import { Knowledge } from '../../src/node/router/knowledge';
 import type { NewsContext } from '../../src/node/router/news';
 import { NewsDesk } from '../../src/node/router/news';
@@ -36,7 +36,7 @@
     const log = pino({ base: null }, { write: (line) => this.lines.push(line) });
     const self = memberOf('new');
     const all = [self, ...others.map(memberOf)];
-    const knowledge = new Knowledge(new History(), log, silentListener);
+    const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
     this.desk = new NewsDesk({
       knowledge,
       gate: gateOf(knowledge),
--- a/test/router/planner.test.ts
+++ b/test/router/planner.test.ts
@@ -3,7 +3,7 @@
 import { planPolicy } from '../../src/core/memory/policy';
 import type { Demand, PlanAction } from '../../src/core/memory/types';
 import type { Engine, Runner } from '../../src/core/routing/types';
-import { startId } from '../../src/core/routing/types';
+import { instanceId } from '../../src/core/routing/types';
 import { runnerOf as runner } from '../fakes/runner';
 
 const engine: Engine = {
@@ -381,7 +381,7 @@
    */
   test('resets the account of a runner that restarts under its id', () => {
     const startOf = (listing: string, role: 'prefill' | 'decode', bornAt: number): Runner =>
-      runner(startId(listing, bornAt), role, { listing, bornAt });
+      runner(instanceId(listing, bornAt), role, { listing, bornAt });
     const poolOf = (bornAt: number): readonly Runner[] => [
       startOf('p', 'prefill', bornAt),
       startOf('d', 'decode', bornAt),
--- a/test/router/returns.test.ts
+++ b/test/router/returns.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 
-import type { RunnerFact } from '../../src/core/routing/directory';
+import type { RunnerRecord } from '../../src/core/routing/directory';
 import type { Position } from '../../src/core/routing/position';
 import type { News } from '../../src/node/router/knowledge';
 import { seeded } from '../fakes/virtual/workload';
@@ -71,7 +71,7 @@
   readonly #mail: {
     readonly at: number;
     readonly to: number;
-    readonly facts: readonly RunnerFact[];
+    readonly facts: readonly RunnerRecord[];
   }[] = [];
 
   constructor(random: () => number) {
--- a/test/router/sync.test.ts
+++ b/test/router/sync.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import type { RoutingConfig } from '../../src/core/routing/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import type { RouterFleet } from '../../src/node/router/fleet';
 import { Knowledge } from '../../src/node/router/knowledge';
 import { FactSync, decodeFact, encodeFact } from '../../src/node/router/sync';
@@ -19,9 +19,9 @@
 
 /** Two VMs: what one asks, the other answers. */
 class Pair {
-  readonly asking = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  readonly asking = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
 
-  readonly asked = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  readonly asked = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
 
   readonly quarantines = { asking: quarantineOf(), asked: quarantineOf() };
 
