--- /dev/null
+++ b/src/core/memory/capacity.ts
@@ -0,0 +1,351 @@
+/**
+ * Free capacity by the account: which runner has free memory now, which is likely to have some
+ * first, and when memory will be freed.
+ */
+
+import type { RateAllowance } from '../ratelimits/types';
+import type { Engine } from '../routing/types';
+import type { DecodeState, MemoryAccount, PrefillState } from './account';
+import { eligibleOf, expectedEndOf, isPrefillingLocally } from './account';
+import type { Costs } from './cost';
+import {
+  LOCAL_PREFILL_COST,
+  backlogMs,
+  localPrefillPauseMs,
+  prefillMs,
+  prefillWorkMs,
+} from './cost';
+import type { PlanPolicy } from './policy';
+import type { Demand } from './types';
+
+/** Load of a service as logged with each decision. */
+export interface PlanLoad {
+  /** Reserved share of all decode memory. */
+  readonly memory: number;
+  /**
+   * For the first decode runners: number of requests, reserved share of the memory, unexplained
+   * tokens.
+   */
+  readonly decode: readonly string[];
+  /** For the first prefill runners: backlog in milliseconds. */
+  readonly prefill: readonly number[];
+}
+
+/** Total number of tokens expected to be free at a time. */
+export interface Release {
+  readonly at: number;
+  readonly tokens: number;
+}
+
+/**
+ * Largest number of runners of a stage whose load is logged; a large service would fill the log.
+ */
+const MAX_LOGGED_RUNNERS = 6;
+
+/** View of the account's free capacity at one moment. */
+export class CapacityView {
+  readonly #policy: PlanPolicy;
+
+  readonly #account: MemoryAccount;
+
+  readonly #costs: Costs;
+
+  readonly #allowance: RateAllowance;
+
+  /** Cached free tokens at `#freeAt`; cleared with each change of the account. */
+  readonly #freeCache = new Map<DecodeState, number>();
+
+  #freeAt = -1;
+
+  /**
+   * End of the warm-up. Until then only runners that are mostly empty by the account get requests.
+   */
+  #warmUpUntil = 0;
+
+  constructor(policy: PlanPolicy, account: MemoryAccount, costs: Costs, allowance: RateAllowance) {
+    this.#policy = policy;
+    this.#account = account;
+    this.#costs = costs;
+    this.#allowance = allowance;
+  }
+
+  /**
+   * Starts the warm-up, in which the account may lack reservations that other VMs have not reported
+   * yet.
+   */
+  startWarmUp(now: number): void {
+    this.#warmUpUntil = now + this.#policy.warmUp.durationMs;
+  }
+
+  /** Clears the cache; must be called after each change of the account. */
+  invalidate(): void {
+    this.#freeCache.clear();
+  }
+
+  /**
+   * Current load: reserved share of all decode memory and of each decode runner, and the backlog of
+   * the prefill runners.
+   */
+  load(now: number): PlanLoad {
+    const states = [...this.#account.decode.values()];
+    const free = states.reduce((sum, state) => sum + this.free(now, state), 0);
+    const memory = Math.round((1 - free / Math.max(1, this.memory)) * 100) / 100;
+    const decode = states.slice(0, MAX_LOGGED_RUNNERS).map((state) => {
+      const share = 1 - this.free(now, state) / state.memoryTokens;
+      return `${state.allocations.size}:${share.toFixed(2)}:${Math.round(state.unexplainedTokens)}`;
+    });
+    const prefill = [...this.#account.prefill.values()]
+      .slice(0, MAX_LOGGED_RUNNERS)
+      .map((state) => Math.round(backlogMs(this.#costs, now, state)));
+    return { memory, decode, prefill };
+  }
+
+  /**
+   * Largest free memory among the decode runners whose rate limit allows a request now, in tokens.
+   */
+  largestFreeTokens(now: number): number {
+    let most = 0;
+    for (const state of this.#account.decode.values()) {
+      if (this.#isWithinRate(now, state)) most = Math.max(most, this.free(now, state));
+    }
+    return most;
+  }
+
+  /** Whether a runner's rate limit allows one more request now. */
+  #isWithinRate(now: number, { runner }: DecodeState | PrefillState): boolean {
+    return this.#allowance.waitMs(now, runner.id) === 0;
+  }
+
+  /**
+   * The decode runner with the most free memory that fits a request; undefined if there is none.
+   */
+  findDecode(
+    now: number,
+    demand: Demand,
+    need: number,
+    mostSlots: number,
+  ): DecodeState | undefined {
+    return this.#findMostFree(
+      now,
+      demand,
+      (state, free) => free >= need && mostSlots > state.allocations.size,
+    );
+  }
+
+  /**
+   * The decode runner with the most free memory among those that may prefill the prompt themselves.
+   * Local prefills are allowed where the prefill runners are overloaded while decode memory is
+   * idle, one at a time on each runner: after the loss of a prefill runner, half of the decode
+   * memory was idle while requests were refused. A local prefill slows the other streams on the
+   * runner, so a nearly full runner does not run one.
+   */
+  findLocalPrefill(
+    now: number,
+    demand: Demand,
+    need: number,
+    { slots, eventTokens }: Engine,
+  ): DecodeState | undefined {
+    const { localFreeShare, localPauseShare } = this.#policy.prefill;
+    const pauseMs = localPrefillPauseMs(this.#costs, demand.promptTokens, eventTokens);
+    return this.#findMostFree(now, demand, (state, free) => {
+      const hasSpareMemory = free - need > state.memoryTokens * localFreeShare;
+      const isCandidate =
+        hasSpareMemory && slots > state.allocations.size && !isPrefillingLocally(now, state);
+      const isShortPause = pauseMs <= minGapMs(state) * localPauseShare;
+      return isCandidate && (isShortPause || this.#account.prefill.size === 0);
+    });
+  }
+
+  /** The eligible decode runner with the most free memory that satisfies a condition. */
+  #findMostFree(
+    now: number,
+    { avoid }: Demand,
+    meets: (state: DecodeState, free: number) => boolean,
+  ): DecodeState | undefined {
+    let best: DecodeState | undefined;
+    let bestFree = -Infinity;
+    for (const state of eligibleOf(now, this.#account.decode.values(), this.#policy.ejection)) {
+      const free = this.free(now, state);
+      const isCandidate = free > bestFree && meets(state, free) && !avoid.includes(state.runner.id);
+      if (isCandidate && this.#isAllowedInWarmUp(now, state) && this.#isWithinRate(now, state)) {
+        best = state;
+        bestFree = free;
+      }
+    }
+    return best;
+  }
+
+  /**
+   * The decode runner that is likely to have free memory first; only an estimate until the request
+   * is assigned.
+   */
+  findSoonest(now: number, demand: Demand): DecodeState | undefined {
+    return this.#findMostFree(now, demand, () => true);
+  }
+
+  /**
+   * The prefill runner that is expected to finish a prompt first and whose backlog is below the
+   * limit; undefined if there is none.
+   */
+  findPrefill(now: number, demand: Demand, domain: string): PrefillState | undefined {
+    const { backlogLimitMs, crossDomainMs } = this.#policy.prefill;
+    let best: PrefillState | undefined;
+    let bestMs = Infinity;
+    for (const state of eligibleOf(now, this.#account.prefill.values(), this.#policy.ejection)) {
+      const backlog = backlogMs(this.#costs, now, state);
+      const isCandidate = backlog <= backlogLimitMs;
+      // Between failure domains the KV cache is transferred at half the speed; a tie goes to the
+      // closer runner.
+      const ms = backlog + prefillMs(this.#costs, demand.promptTokens, state.slowness);
+      const cost = state.runner.domain === domain ? ms : ms + crossDomainMs;
+      const isBest = isCandidate && cost < bestMs && !demand.avoid.includes(state.runner.id);
+      if (isBest && this.#isWithinRate(now, state)) {
+        best = state;
+        bestMs = cost;
+      }
+    }
+    return best;
+  }
+
+  /**
+   * Expected total of free tokens after each expected end of a request, in order of time. For a
+   * runner with a rate limit, tokens count only as fast as the limit allows requests.
+   * @param usualSize tokens of memory that a request usually takes
+   */
+  releases(now: number, usualSize: number): readonly Release[] {
+    const ends: Release[] = [];
+    let free = 0;
+    for (const state of this.#account.decode.values()) {
+      const ratePerS = this.#allowance.ratePerS(state.runner.id);
+      if (ratePerS === undefined) {
+        free += this.free(now, state);
+        ends.push(...this.#expectedEnds(now, state));
+      } else ends.push(...this.#rateLimitedReleases(now, state, ratePerS, usualSize));
+    }
+    ends.sort((a, b) => a.at - b.at);
+    const sums: Release[] = [{ at: now, tokens: free }];
+    for (const { at, tokens } of ends) {
+      free += tokens;
+      sums.push({ at, tokens: free });
+    }
+    return sums;
+  }
+
+  /** Expected ends of a runner's requests, and the tokens that each frees. */
+  #expectedEnds(now: number, { allocations, slowness }: DecodeState): readonly Release[] {
+    // Uses the lower bound of the token time: overestimated waits would refuse callers that can be
+    // served.
+    const tokenMs = this.#costs.minTokenMs * slowness;
+    return [...allocations.values()].map((allocation) => ({
+      at: expectedEndOf(now, allocation, tokenMs),
+      tokens: allocation.demand.promptTokens + allocation.expectedTokens,
+    }));
+  }
+
+  /**
+   * Times at which a runner's rate limit allows further requests, each counted with the usual size.
+   */
+  #rateLimitedReleases(
+    now: number,
+    state: DecodeState,
+    ratePerS: number,
+    usualSize: number,
+  ): readonly Release[] {
+    const firstAt = now + this.#allowance.waitMs(now, state.runner.id);
+    const count = Math.floor(state.memoryTokens / Math.max(1, usualSize));
+    const releases = Array.from({ length: count }, (_, index): Release => ({
+      at: firstAt + (index * 1000) / ratePerS,
+      tokens: usualSize,
+    }));
+    return releases.filter(({ at }) => Number.isFinite(at));
+  }
+
+  /**
+   * Returns a function that gives the time until a number of prompt tokens will have been
+   * prefilled, in milliseconds. If no prefill runner without a rate limit exists, the estimate uses
+   * local prefills on the decode runners; without it, every request that could not start at once
+   * was refused.
+   */
+  prefillWaitMs(now: number): (tokens: number) => number {
+    const { decode } = this.#account;
+    const prefill = [...this.#account.prefill.values()].filter(
+      ({ runner }) => this.#allowance.ratePerS(runner.id) === undefined,
+    );
+    if (prefill.length === 0) {
+      return (tokens) =>
+        (LOCAL_PREFILL_COST * prefillWorkMs(this.#costs, tokens)) / Math.max(1, decode.size);
+    }
+    let backlog = 0;
+    for (const state of prefill) backlog += backlogMs(this.#costs, now, state);
+    return (tokens) => (backlog + prefillWorkMs(this.#costs, tokens)) / prefill.length;
+  }
+
+  /**
+   * Tokens freed per millisecond when all runners are fully loaded.
+   * @param usualSize tokens of memory that a request usually takes
+   * @param residenceMs time for which it usually holds them
+   */
+  capacity(usualSize: number, residenceMs: number): number {
+    let total = 0;
+    for (const { runner, memoryTokens } of this.#account.decode.values()) {
+      const ratePerS = this.#allowance.ratePerS(runner.id) ?? Infinity;
+      total += Math.min(memoryTokens / residenceMs, (ratePerS * usualSize) / 1000);
+    }
+    return total;
+  }
+
+  /** Total KV cache memory of all decode runners, in tokens. */
+  get memory(): number {
+    let tokens = 0;
+    for (const { memoryTokens } of this.#account.decode.values()) tokens += memoryTokens;
+    return tokens;
+  }
+
+  /**
+   * Free tokens of a runner, cached for each runner and moment: scheduling asks for them once per
+   * waiting request.
+   */
+  free(now: number, state: DecodeState): number {
+    if (this.#freeAt !== now) this.#freeCache.clear();
+    this.#freeAt = now;
+    const cached = this.#freeCache.get(state);
+    if (cached !== undefined) return cached;
+    const free = this.#account.freeTokens(now, state);
+    this.#freeCache.set(state, free);
+    return free;
+  }
+
+  /**
+   * Whether a runner may get requests during the warm-up: a share of its memory must be free, until
+   * all VMs have reported their reservations.
+   */
+  #isAllowedInWarmUp(now: number, state: DecodeState): boolean {
+    if (now >= this.#warmUpUntil) return true;
+    return this.free(now, state) > state.memoryTokens * this.#policy.warmUp.minFreeShare;
+  }
+}
+
+/** The smallest pause between events that the streams of a runner allow, in milliseconds. */
+function minGapMs({ allocations }: DecodeState): number {
+  let leastMs = Infinity;
+  for (const { demand } of allocations.values()) {
+    if (demand.gapMs > 0) leastMs = Math.min(leastMs, demand.gapMs);
+  }
+  return leastMs;
+}
+
+/**
+ * Time until a number of tokens will be free, in milliseconds; Infinity if never. The releases are
+ * sorted by time.
+ */
+export function waitForTokensMs(now: number, releases: readonly Release[], tokens: number): number {
+  let low = 0;
+  let high = releases.length;
+  while (low < high) {
+    const middle = Math.floor((low + high) / 2);
+    if ((releases[middle]?.tokens ?? 0) >= tokens) high = middle;
+    else low = middle + 1;
+  }
+  const release = releases[low];
+  return release ? Math.max(0, release.at - now) : Infinity;
+}
