--- a/src/node/router/accountowners.ts
+++ b/src/node/router/accountowners.ts
@@ -1,4 +1,7 @@
-/** The VMs that own accounts, as one VM sees them: asks them in turn, and tells them that it goes by them. */
+/**
+ * The VMs that own accounts. Each VM chooses an owner per group of accounts by rank, registers with
+ * it and asks it to charge accounts. An owner grants the shares of the VMs that are registered with it.
+ */
 
 import type { Logger } from 'pino';
 import { z } from 'zod';
@@ -13,13 +16,13 @@
 import type { Metrics } from '../metrics';
 import type { RouterFleet } from './fleet';
 
-/** What the owners of accounts are worked out from. */
+/** Dependencies of the choice of owners. */
 export interface AccountContext {
   readonly vm: string;
   readonly fleet: RouterFleet;
-  /** The accounts that this VM owns, or is taken for the owner of. */
+  /** The accounts that this VM owns, or that other VMs assume it to own. */
   readonly accounts: QuotaAccounts;
-  /** Groups that have accounts now; a group's name is what its owners are ranked by. */
+  /** Groups that have accounts now; owners are ranked by the group's name. */
   readonly groups: () => readonly string[];
   /** Names of the calls between VMs and of the metrics. */
   readonly names: { readonly join: string; readonly unanswered: string };
@@ -27,35 +30,38 @@
   readonly log: Logger;
 }
 
-/** Time that an owner has to answer, in milliseconds: many round trips, and little of a request's aim. */
-const ASK_LIMIT_MS = 150;
-/** Owners asked for one run before this VM goes by its own part. */
-const OWNERS_ASKED = 2;
-/** Time for which an owner that did not answer a word of this VM is passed over, in milliseconds. */
-const PASSED_MS = 1500;
-/** Period of looking whether this VM stood still, in milliseconds. */
-const LOOK_MS = 250;
-/** Most groups in one message: more than there are customers' groups, or services of a deployment. */
-const GROUPS_MOST = 2000;
-
-/** Tells that the sender goes by the receiver for these groups, or no longer. */
+/**
+ * Time that an owner has to answer, in milliseconds: many round trips, but a small part of a
+ * request's latency target.
+ */
+const CALL_TIMEOUT_MS = 150;
+/** Owners asked per attempt before this VM grants from its own share. */
+const MAX_OWNERS_ASKED = 2;
+/** Time for which an owner that did not answer a registration is ranked last, in milliseconds. */
+const SKIP_MS = 1500;
+/** Period of the check whether this process was paused, in milliseconds. */
+const CHECK_MS = 250;
+/** Most groups in one message; more than the groups of customers or the services of a deployment. */
+const MAX_GROUPS = 2000;
+
+/** Registers the sender with the receiver as the owner of these groups, or ends the registration. */
 const joinSchema = z.object({
-  groups: z.array(z.string()).max(GROUPS_MOST),
+  groups: z.array(z.string()).max(MAX_GROUPS),
   leaves: z.boolean().default(false),
 });
 
-/** The owner by which this VM goes for a group. */
-interface Chosen {
+/** The owner that this VM uses for a group. */
+interface CurrentOwner {
   readonly vm: string;
   readonly address: string;
-  /** A VM that was started anew knows of nobody who goes by it. */
+  /** A VM that was restarted has lost all registrations. */
   readonly incarnation: number;
-  /** When this VM told it last, by a word of its own or by asking. */
-  toldAt: number;
+  /** When this VM last contacted the owner, by a registration or by a call of `ask`. */
+  contactedAt: number;
 }
 
-/** Groups by the address of the owner that is told of them. */
-class Moves {
+/** Groups by the address of the owner to which a change of registration is sent. */
+class GroupsByAddress {
   readonly byAddress = new Map<string, string[]>();
 
   add(address: string, group: string): void {
@@ -65,32 +71,36 @@
   }
 }
 
-/** Owners by group. */
+/** Chooses the owner of each group and registers with it. */
 export class AccountOwners {
   readonly #context: AccountContext;
 
-  readonly #pauses = new PauseWatch(LOOK_MS);
+  readonly #pauseWatch = new PauseWatch(CHECK_MS);
 
   readonly #timer: NodeJS.Timeout;
 
-  /** Whom this VM went by last, by group. */
-  readonly #owners = new Map<string, Chosen>();
+  /** The current owner by group. */
+  readonly #owners = new Map<string, CurrentOwner>();
 
-  /** Until when owners are passed over that did not answer, by VM. */
-  readonly #passedUntil = new Map<string, number>();
+  /** Until when owners that did not answer are ranked last, by VM. */
+  readonly #skippedUntil = new Map<string, number>();
 
   #members: QuotaMembers | undefined;
 
   constructor(context: AccountContext) {
     this.#context = context;
-    this.#timer = setInterval(() => this.#look(performance.now()), LOOK_MS).unref();
+    this.#timer = setInterval(() => this.#check(performance.now()), CHECK_MS).unref();
   }
 
+  /** Stops the timer. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** Worked out once for each membership: it is needed for each run. */
+  /**
+   * The members among which accounts are shared; cached until the membership changes, since each
+   * attempt needs them.
+   */
   get members(): QuotaMembers {
     const { all } = this.#context.fleet;
     this.#members ??= {
@@ -100,11 +110,12 @@
     return this.#members;
   }
 
-  /** By whom this VM goes, for operators. */
+  /** Owners by group, for operators. */
   beliefs(): Readonly<Record<string, string>> {
     return Object.fromEntries([...this.#owners].map(([group, { vm }]) => [group, vm]));
   }
 
+  /** Handles a registration of another VM; throws if the message does not fit. */
   onJoin(now: number, vm: string, params: unknown): void {
     const { accounts } = this.#context;
     const { groups, leaves } = joinSchema.parse(params);
@@ -114,13 +125,16 @@
     }
   }
 
-  /** The members or the groups changed: others may own accounts now. */
+  /** Must be called when the members or the groups changed: other VMs may own accounts now. */
   changed(now: number): void {
     this.#members = undefined;
-    this.#review(now);
+    this.#updateOwners(now);
   }
 
-  /** The answer of the first owner of a group that answers; undefined if this VM is to answer itself. */
+  /**
+   * Resolves to the answer of the first owner of a group that answers; undefined if this VM must
+   * decide itself.
+   */
   async ask<T>(
     group: string,
     method: string,
@@ -128,11 +142,11 @@
     decode: (answer: unknown) => T,
   ): Promise<T | undefined> {
     const { vm, fleet, log, metrics, names } = this.#context;
-    for (const owner of this.#ownersOf(performance.now(), group).slice(0, OWNERS_ASKED)) {
+    for (const owner of this.#ownersOf(performance.now(), group).slice(0, MAX_OWNERS_ASKED)) {
       if (owner.vm === vm) return undefined;
       try {
-        const answer = decode(await fleet.call(owner.address, method, params, ASK_LIMIT_MS));
-        this.#told(performance.now(), group, owner);
+        const answer = decode(await fleet.call(owner.address, method, params, CALL_TIMEOUT_MS));
+        this.#renewed(performance.now(), group, owner);
         return answer;
       } catch (error) {
         fleet.shun(performance.now(), owner.vm);
@@ -143,41 +157,44 @@
     return undefined;
   }
 
-  /** Tells something to the owner of a group; whether that is another VM. */
+  /**
+   * Calls the owner of a group without waiting for the answer; returns false if this VM is the
+   * owner itself.
+   */
   tell(group: string, method: string, params: unknown): boolean {
     const { vm, fleet, log } = this.#context;
     const [owner] = this.#ownersOf(performance.now(), group);
     if (!owner || owner.vm === vm) return false;
-    fleet.call(owner.address, method, params, ASK_LIMIT_MS).catch((error) => {
+    fleet.call(owner.address, method, params, CALL_TIMEOUT_MS).catch((error) => {
       log.debug({ owner: owner.vm, method }, toFailure(error).line);
     });
     return true;
   }
 
-  /** An owner that is asked knows who goes by it. */
-  #told(now: number, group: string, owner: Member): void {
+  /** Records that an owner answered `ask`, which renews the registration as well. */
+  #renewed(now: number, group: string, owner: Member): void {
     const state = this.#owners.get(group);
-    if (state && isSame(owner, state)) state.toldAt = now;
+    if (state && isSameOwner(owner, state)) state.contactedAt = now;
   }
 
   /**
-   * Works out by whom this VM goes. It says so to the new owner, from time to time, and to the
-   * one before, so that each knows whose parts it gives out.
+   * Chooses the owners again. Registers with new owners, renews old registrations and ends those
+   * with previous owners, so that each owner knows which VMs' shares it grants.
    */
-  #review(now: number): void {
+  #updateOwners(now: number): void {
     const { vm, accounts } = this.#context;
     const owned = new Set<string>();
-    const joined = new Moves();
-    const left = new Moves();
+    const joined = new GroupsByAddress();
+    const left = new GroupsByAddress();
     const groups = this.#context.groups();
     for (const group of groups) {
       const [owner] = this.#ownersOf(now, group);
       const before = this.#owners.get(group);
       if (owner?.vm === vm) owned.add(group);
-      const isDue = !isSame(owner, before) || now - before.toldAt > renewMs(this.members);
+      const isDue = !isSameOwner(owner, before) || now - before.contactedAt > renewMs(this.members);
       if (owner && isDue) {
         const { vm: name, address, incarnation } = owner;
-        this.#owners.set(group, { vm: name, address, incarnation, toldAt: now });
+        this.#owners.set(group, { vm: name, address, incarnation, contactedAt: now });
         joined.add(address, group);
         if (before && before.vm !== name) left.add(before.address, group);
       }
@@ -186,53 +203,56 @@
       if (!groups.includes(group)) this.#owners.delete(group);
     }
     accounts.own(now, owned);
-    for (const [address, moved] of left.byAddress) this.#say(now, address, moved, true);
-    for (const [address, moved] of joined.byAddress) this.#say(now, address, moved, false);
+    for (const [address, moved] of left.byAddress) this.#sendJoin(now, address, moved, true);
+    for (const [address, moved] of joined.byAddress) this.#sendJoin(now, address, moved, false);
   }
 
-  #say(now: number, address: string, groups: readonly string[], leaves: boolean): void {
+  #sendJoin(now: number, address: string, groups: readonly string[], leaves: boolean): void {
     const { vm, fleet, names, log } = this.#context;
     const message = { groups, leaves };
     if (address === fleet.self.address) {
       this.onJoin(now, vm, message);
       return;
     }
-    fleet.call(address, names.join, message, ASK_LIMIT_MS).catch((error) => {
+    fleet.call(address, names.join, message, CALL_TIMEOUT_MS).catch((error) => {
       log.debug({ address, groups, leaves }, toFailure(error).line);
-      if (!leaves) this.#unanswered(performance.now(), address, groups);
+      if (!leaves) this.#onUnanswered(performance.now(), address, groups);
     });
   }
 
-  /** An owner does not answer: the next one is told, before the membership finds out. */
-  #unanswered(now: number, address: string, groups: readonly string[]): void {
+  /** Switches to the next owner when one does not answer, before the membership detects its failure. */
+  #onUnanswered(now: number, address: string, groups: readonly string[]): void {
     for (const group of groups) {
       const chosen = this.#owners.get(group);
       if (chosen?.address === address) {
-        this.#passedUntil.set(chosen.vm, now + PASSED_MS);
-        chosen.toldAt = -Infinity;
+        this.#skippedUntil.set(chosen.vm, now + SKIP_MS);
+        chosen.contactedAt = -Infinity;
       }
     }
-    this.#review(now);
+    this.#updateOwners(now);
   }
 
   #ownersOf(now: number, group: string): readonly Member[] {
     const owners = this.#context.fleet.ownersOf(now, group);
-    const isPassed = ({ vm }: Member): boolean => (this.#passedUntil.get(vm) ?? 0) > now;
-    if (this.#passedUntil.size === 0 || !owners.some(isPassed)) return owners;
-    return [...owners.filter((owner) => !isPassed(owner)), ...owners.filter(isPassed)];
+    const isSkipped = ({ vm }: Member): boolean => (this.#skippedUntil.get(vm) ?? 0) > now;
+    if (this.#skippedUntil.size === 0 || !owners.some(isSkipped)) return owners;
+    return [...owners.filter((owner) => !isSkipped(owner)), ...owners.filter(isSkipped)];
   }
 
-  #look(now: number): void {
-    for (const [vm, until] of this.#passedUntil) if (until < now) this.#passedUntil.delete(vm);
-    if (this.#pauses.tick(now, Date.now())) {
+  #check(now: number): void {
+    for (const [vm, until] of this.#skippedUntil) if (until < now) this.#skippedUntil.delete(vm);
+    if (this.#pauseWatch.tick(now, Date.now())) {
       this.#context.accounts.reset();
       this.#owners.clear();
     }
-    // Owners that did not answer lately are passed over without any change of the members.
-    if (this.#context.groups().length > 0) this.#review(now);
+    // The ranking of owners that did not answer changes without a change of the members.
+    if (this.#context.groups().length > 0) this.#updateOwners(now);
   }
 }
 
-function isSame(owner: Member | undefined, before: Chosen | undefined): before is Chosen {
+function isSameOwner(
+  owner: Member | undefined,
+  before: CurrentOwner | undefined,
+): before is CurrentOwner {
   return owner?.vm === before?.vm && owner?.incarnation === before?.incarnation;
 }
--- a/src/node/router/configwire.ts
+++ b/src/node/router/configwire.ts
@@ -1,4 +1,7 @@
-/** A configuration on its way between VMs: decoded already, with digests in place of keys, and packed. */
+/**
+ * Encodes configurations for the messages between VMs: decoded, with digests in place of API keys,
+ * and compressed.
+ */
 
 import { gunzipSync, gzipSync } from 'node:zlib';
 
@@ -7,8 +10,8 @@
 import { Failure } from '../../core/failure';
 import type { RoutingConfig } from '../../core/routing/types';
 
-/** Most bytes of a configuration once it is unpacked. */
-const CONFIG_BYTES = 16 * 1024 * 1024;
+/** Largest size of a decompressed configuration. */
+const MAX_CONFIG_BYTES = 16 * 1024 * 1024;
 
 const routeSchema = z.object({
   name: z.string(),
@@ -63,19 +66,22 @@
   }),
 });
 
-/** Packs with gzip: a configuration of 1,400 routes takes a tenth so. */
+/** Compresses a configuration with gzip, to about a tenth of its size at 1,400 routes. */
 export function packConfig(config: RoutingConfig): Uint8Array {
   return gzipSync(JSON.stringify(config));
 }
 
-/** Rejects with `peerRejected` by throwing. */
+/**
+ * Decompresses and decodes a configuration; throws a `peerRejected` failure if it does not fit the
+ * schema.
+ */
 export function unpackConfig(bytes: Uint8Array): RoutingConfig {
-  const text = gunzipSync(bytes, { maxOutputLength: CONFIG_BYTES }).toString();
+  const text = gunzipSync(bytes, { maxOutputLength: MAX_CONFIG_BYTES }).toString();
   const parsed = configSchema.safeParse(JSON.parse(text));
-  if (!parsed.success) throw new Failure('peerRejected', 'found a configuration that does not fit');
-  const { services, ...same } = parsed.data;
+  if (!parsed.success) throw new Failure('peerRejected', 'found a malformed configuration');
+  const { services, ...rest } = parsed.data;
   return {
-    ...same,
+    ...rest,
     services: services.map(({ name, connections, engine }) => ({
       name,
       connections,
--- a/src/node/router/control.ts
+++ b/src/node/router/control.ts
@@ -1,4 +1,4 @@
-/** Answers the directory's look-ups and the question whether this VM is ready. */
+/** HTTP servers for directory look-ups and readiness checks. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -6,13 +6,13 @@
 import { listenOn } from '../../utils/http';
 import type { ControlCodec } from './types';
 
-/** What the answers are made of. */
+/** Dependencies of the control servers. */
 export interface ControlContext {
   readonly codec: ControlCodec;
   readonly isReady: () => boolean;
-  /** Addresses of VMs that take callers, for those in a failure domain; the best first. */
+  /** Addresses of VMs that accept callers, for callers in a failure domain; the best first. */
   readonly callerAddresses: (domain: string) => readonly string[];
-  /** How long callers may keep an answer, in milliseconds. */
+  /** How long callers may cache a look-up answer, in milliseconds. */
   readonly addressTtlMs: () => number;
 }
 
@@ -20,7 +20,7 @@
 const HTTP_NOT_FOUND = 404;
 const HTTP_UNAVAILABLE = 503;
 
-/** Listens on the ready and the directory address. */
+/** Serves readiness checks and directory look-ups. */
 export class Control {
   readonly #context: ControlContext;
 
@@ -30,7 +30,10 @@
     this.#context = context;
   }
 
-  /** Both questions may come to one address. */
+  /**
+   * Listens on the given addresses; the readiness and the directory address may be the same.
+   * Rejects if one cannot be bound.
+   */
   async listen(addresses: readonly (string | undefined)[]): Promise<void> {
     for (const address of new Set(addresses)) {
       if (address !== undefined) {
@@ -41,6 +44,7 @@
     }
   }
 
+  /** Stops listening. */
   close(): void {
     this.#servers.forEach((server) => server.close());
   }
--- a/src/node/router/daemon.ts
+++ b/src/node/router/daemon.ts
@@ -1,4 +1,7 @@
-/** The router daemon: one process a VM that takes callers, answers the directory and plans services. */
+/**
+ * The router daemon: one process per VM that serves callers, answers directory look-ups and plans
+ * services.
+ */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
@@ -38,9 +41,9 @@
   SuspectArchive,
 } from './types';
 
-/** The system around the router. */
+/** Adapters to the systems outside the router. */
 export interface RouterPorts {
-  /** The store's history, which the feed writes and reads too. */
+  /** The store's eras, shared with the feed, which reads and updates it. */
   readonly history: History;
   readonly feed: Feed;
   readonly runners: RunnerClient;
@@ -50,11 +53,14 @@
   readonly archive: SuspectArchive;
 }
 
-/** How long a leaving VM goes on taking connections, as a part of the grace: callers keep old addresses for a while. */
-const LEAVE_PART = 0.6;
-/** Time before the kill at which the process ends whatever still runs, in milliseconds. */
-const LAST_MS = 400;
-/** Period of looking whether all requests have ended, in milliseconds. */
+/**
+ * Fraction of the grace period for which a VM that shuts down still accepts connections:
+ * callers cache directory answers and use old addresses until these expire.
+ */
+const ACCEPT_GRACE_FRACTION = 0.6;
+/** Time before the kill at which the process cuts off the requests that still run, in milliseconds. */
+const CUT_OFF_MS = 400;
+/** Period of the check whether all requests have ended, in milliseconds. */
 const DRAIN_CHECK_MS = 50;
 
 /** A running router. */
@@ -65,7 +71,7 @@
 
   readonly #log: Logger;
 
-  readonly #knowledge: Knowledge;
+  readonly #state: Knowledge;
 
   readonly #fleet: RouterFleet;
 
@@ -73,9 +79,9 @@
 
   readonly #runners: InflightClient;
 
-  readonly #host: PlanHost;
+  readonly #planHost: PlanHost;
 
-  readonly #desks: Desks;
+  readonly #controllers: Desks;
 
   readonly #front: Front;
 
@@ -97,43 +103,44 @@
 
   #orders: OrderDesk | undefined;
 
-  #leaving = false;
+  #isLeaving = false;
 
   constructor(settings: RouterSettings, ports: RouterPorts, log: Logger) {
     this.#settings = settings;
     this.#ports = ports;
     this.#log = logOf(log, 'router');
-    this.#knowledge = new Knowledge(ports.history, logOf(log, 'knowledge'), {
-      onNews: (news) => this.#onNews(news),
+    this.#state = new Knowledge(ports.history, logOf(log, 'knowledge'), {
+      onNews: (news) => this.#onStateChange(news),
       onUnfitEntry: () => this.#metrics.count('entries.unfit'),
     });
     this.#runners = new InflightClient(
       ports.runners,
-      (listing) => this.#knowledge.latestStart(listing),
+      (listing) => this.#state.latestStart(listing),
       logOf(log, 'runner'),
     );
-    this.#host = new PlanHost(this.#knowledge, this.#runners, logOf(log, 'cell'), {
-      onUnsure: (service) => this.#desks.calls.gather(service),
-      rationOf: (service) => this.#desks.permits.rationOf(service),
+    this.#planHost = new PlanHost(this.#state, this.#runners, logOf(log, 'cell'), {
+      onUnsure: (service) => this.#controllers.calls.gather(service),
+      rationOf: (service) => this.#controllers.permits.rationOf(service),
     });
-    this.#gate = new Gate(this.#knowledge, () => this.#settings.ages);
-    const proofs = this.#knowledge.proofExchange;
+    this.#gate = new Gate(this.#state, () => this.#settings.ages);
+    const proofs = this.#state.proofExchange;
     this.#fleet = new RouterFleet(settings, proofs, this.#metrics, logOf(log, 'members'), {
-      onCall: (vm, method, params, push) => this.#desks.calls.answer(vm, method, params, push),
-      onLost: (vm) => this.#host.vmLost(performance.now(), vm),
+      onCall: (vm, method, params, push) =>
+        this.#controllers.calls.answer(vm, method, params, push),
+      onLost: (vm) => this.#planHost.vmLost(performance.now(), vm),
       onMembers: () => {
         this.#warmLinks();
-        this.#desks.membersChanged(performance.now());
+        this.#controllers.membersChanged(performance.now());
       },
-      onDiffers: (address) => this.#desks.news.differs(address),
-      onRumour: (rumour, address) => this.#desks.news.heard(rumour, address),
+      onDiffers: (address) => this.#controllers.news.differs(address),
+      onRumour: (rumour, address) => this.#controllers.news.heard(rumour, address),
     });
-    this.#desks = new Desks({
+    this.#controllers = new Desks({
       settings,
-      knowledge: this.#knowledge,
+      knowledge: this.#state,
       gate: this.#gate,
       fleet: this.#fleet,
-      host: this.#host,
+      host: this.#planHost,
       feed: ports.feed,
       archive: ports.archive,
       metrics: this.#metrics,
@@ -142,7 +149,7 @@
     });
     const mayRepeat = (now: number, service: string): boolean =>
       this.#retries.get(service).spend(now, this.#fleet.alive.length);
-    const { quarantine, rateLimits, permits, quotas, places } = this.#desks;
+    const { quarantine, rateLimits, permits, quotas, places } = this.#controllers;
     this.#runs = new Runs({
       quarantine,
       gate: this.#gate,
@@ -151,7 +158,7 @@
       log: logOf(log, 'runner'),
     });
     this.#plain = new PlainCaller({
-      knowledge: this.#knowledge,
+      knowledge: this.#state,
       runners: this.#runners,
       health: (service) => this.#health.get(service),
       runs: this.#runs,
@@ -161,7 +168,7 @@
       domain: settings.domain,
     });
     this.#model = new ModelCaller({
-      knowledge: this.#knowledge,
+      knowledge: this.#state,
       runners: this.#runners,
       places,
       runs: this.#runs,
@@ -171,12 +178,12 @@
     });
     this.#control = new Control({
       codec: ports.control,
-      isReady: () => this.#serves,
+      isReady: () => this.#isServing,
       callerAddresses: (domain) => this.#callerAddresses(domain),
       addressTtlMs: () => this.#settings.addressTtlMs,
     });
     this.#front = new Front({
-      knowledge: this.#knowledge,
+      knowledge: this.#state,
       gate: this.#gate,
       codec: ports.ingress,
       metrics: this.#metrics,
@@ -186,27 +193,28 @@
     });
   }
 
+  /** Joins the fleet, starts to read state and listens; rejects if an address cannot be bound. */
   async start(): Promise<void> {
     const { listen, vm } = this.#settings;
     await this.#fleet.start();
     this.#ports.feed.start({
       onConfig: (config) => {
-        this.#knowledge.learnConfig(performance.now(), config, 'store');
+        this.#state.learnConfig(performance.now(), config, 'store');
       },
-      onRunners: (facts) => this.#knowledge.learnRunners(performance.now(), facts, 'store'),
-      onEra: (start) => this.#knowledge.learnEras(performance.now(), [start], 'store'),
-      onListed: (ids, position) => this.#knowledge.learnList(performance.now(), ids, position),
+      onRunners: (facts) => this.#state.learnRunners(performance.now(), facts, 'store'),
+      onEra: (start) => this.#state.learnEras(performance.now(), [start], 'store'),
+      onListed: (ids, position) => this.#state.learnList(performance.now(), ids, position),
       onVms: (vms) => this.#fleet.list(vms.filter((entry) => entry.vm !== vm)),
       onSuspects: (suspects, isAll) =>
-        this.#desks.quarantine.stored(performance.now(), suspects, isAll),
-      onProof: (askedAt) => this.#knowledge.freshness.storeAnswered(askedAt),
-      onStore: (up, detail) => this.#desks.news.storeAnswered(performance.now(), up, detail),
+        this.#controllers.quarantine.stored(performance.now(), suspects, isAll),
+      onProof: (askedAt) => this.#state.freshness.storeAnswered(askedAt),
+      onStore: (up, detail) => this.#controllers.news.storeAnswered(performance.now(), up, detail),
     });
-    this.#desks.news.start();
+    this.#controllers.news.start();
     this.#orders = new OrderDesk({
       vm,
-      knowledge: this.#knowledge,
-      host: this.#host,
+      knowledge: this.#state,
+      host: this.#planHost,
       runners: this.#runners,
       lock: this.#ports.lock,
       owns: (service) => this.#owns(service),
@@ -216,32 +224,40 @@
     await this.#front.listen(listen.front);
     await this.#control.listen([listen.ready, listen.directory]);
     if (listen.metrics !== undefined) {
-      await this.#metrics.listen(listen.metrics, () => this.#beliefs(performance.now()));
+      await this.#metrics.listen(listen.metrics, () => this.#snapshot(performance.now()));
     }
     this.#describe();
     this.#log.info({ vm, listen }, 'Started.');
   }
 
-  /** Takes changed settings over as far as a running process can; bad ones leave the old ones in force. */
+  /**
+   * Applies changed settings as far as a running process can. Invalid settings are logged and the
+   * old ones stay in force.
+   */
   reload(read: () => RouterSettings): void {
     try {
       this.#settings = read();
       const { retries, graceMs, leaseMs, seeds } = this.#settings;
-      this.#log.info({ retries, graceMs, leaseMs, seeds }, 'Read the settings again.');
+      this.#log.info({ retries, graceMs, leaseMs, seeds }, 'Reloaded the settings.');
     } catch (error) {
-      this.#log.error(`Kept the old settings. ${toFailure(error).line}.`);
+      this.#log.error(
+        `Kept the old settings: failed to load the new ones. ${toFailure(error).line}.`,
+      );
     }
   }
 
-  /** Leaves the directory, serves what old answers still bring, and ends when all is answered. */
+  /**
+   * Leaves the directory, serves requests of callers that still use cached addresses, and stops once
+   * all requests are answered or the grace period is about to end.
+   */
   async stop(): Promise<void> {
     const { graceMs } = this.#settings;
-    const endAt = performance.now() + graceMs - LAST_MS;
-    const leaveUntil = performance.now() + graceMs * LEAVE_PART;
-    this.#log.info({ active: this.#front.active }, 'Leaving.');
-    this.#leaving = true;
+    const endAt = performance.now() + graceMs - CUT_OFF_MS;
+    const leaveUntil = performance.now() + graceMs * ACCEPT_GRACE_FRACTION;
+    this.#log.info({ active: this.#front.active }, 'Draining.');
+    this.#isLeaving = true;
     this.#orders?.stop();
-    this.#host.leave();
+    this.#planHost.leave();
     this.#front.leave();
     this.#fleet.leave();
     this.#describe();
@@ -250,40 +266,40 @@
     while (this.#front.active > 0 && performance.now() < endAt) await pause(DRAIN_CHECK_MS);
     this.#log.info({ active: this.#front.active }, 'Stopped.');
     this.#front.cutOff();
-    this.#desks.stop();
-    this.#host.stop();
+    this.#controllers.stop();
+    this.#planHost.stop();
     this.#control.close();
     this.#metrics.close();
     await this.#fleet.stop();
   }
 
-  /** What this VM goes by: for operators who ask why it decides as it does. */
-  #beliefs(now: number): Readonly<Record<string, unknown>> {
-    const services = this.#knowledge.table?.config.services ?? [];
+  /** The state on which this VM bases its decisions, for operators. */
+  #snapshot(now: number): Readonly<Record<string, unknown>> {
+    const services = this.#state.table?.config.services ?? [];
     const models = services.filter(({ engine }) => engine).map(({ name }) => name);
     return {
       vm: this.#settings.vm,
-      ready: this.#ready,
+      ready: this.#isReady,
       active: this.#front.active,
-      ...this.#desks.beliefs(now),
-      ...this.#knowledge.beliefs(now),
+      ...this.#controllers.beliefs(now),
+      ...this.#state.beliefs(now),
       vms: this.#fleet.all.map(({ vm, state, draining }) => ({ vm, state, draining })),
       owners: Object.fromEntries(
         models.map((name) => [name, this.#fleet.ownersOf(now, name)[0]?.vm ?? null]),
       ),
-      plans: this.#host.beliefs(now),
+      plans: this.#planHost.beliefs(now),
     };
   }
 
-  /** Callers' addresses, without the own one while this VM can serve nobody. */
+  /** Addresses for callers; without this VM's own while it cannot serve requests. */
   #callerAddresses(domain: string): readonly string[] {
     const addresses = this.#fleet.callerAddresses(domain);
-    if (this.#serves) return addresses;
+    if (this.#isServing) return addresses;
     return addresses.filter((address) => address !== this.#settings.listen.front);
   }
 
   #warmLinks(): void {
-    const services = this.#knowledge.table?.config.services ?? [];
+    const services = this.#state.table?.config.services ?? [];
     const now = performance.now();
     this.#fleet.cool();
     for (const { name, engine } of services) if (engine) this.#fleet.warm(now, name);
@@ -291,7 +307,7 @@
 
   #owns(service: string): boolean {
     const [owner] = this.#fleet.ownersOf(performance.now(), service);
-    return !this.#leaving && owner?.vm === this.#settings.vm;
+    return !this.#isLeaving && owner?.vm === this.#settings.vm;
   }
 
   async #serve(exchange: Exchange): Promise<void> {
@@ -303,48 +319,51 @@
       exchange.fail(now, refusal);
       return;
     }
-    const engine = this.#knowledge.table?.service(service)?.engine;
+    const engine = this.#state.table?.service(service)?.engine;
     if (engine) await this.#model.run(exchange, engine);
     else await this.#plain.run(exchange);
-    this.#desks.quotas.settle(exchange);
+    this.#controllers.quotas.settle(exchange);
   }
 
   #done(exchange: Exchange, ms: number): void {
     const { service, status, code } = exchange;
     this.#metrics.ended(service, status, code, ms);
-    this.#log.info(endLineOf(exchange, ms, this.#knowledge.configVersion), 'Request ended.');
+    this.#log.info(endLineOf(exchange, ms, this.#state.configVersion), 'Request ended.');
   }
 
-  /** Whether this VM takes callers; see `#serves` for whether it can serve them now. */
-  get #ready(): boolean {
-    return !this.#leaving && this.#knowledge.table !== undefined;
+  /** Whether this VM accepts callers; see `#isServing` for whether it can serve them now. */
+  get #isReady(): boolean {
+    return !this.#isLeaving && this.#state.table !== undefined;
   }
 
-  /** A VM that cannot rely on its keys refuses all that come with one; callers do better elsewhere. */
-  get #serves(): boolean {
-    return this.#ready && this.#gate.isSure(bootNow());
+  /**
+   * Whether this VM can serve requests now. While its API keys may be outdated it rejects every
+   * request that carries one, so callers are sent to other VMs.
+   */
+  get #isServing(): boolean {
+    return this.#isReady && this.#gate.isSure(bootNow());
   }
 
   #describe(): void {
-    if (this.#leaving) return;
+    if (this.#isLeaving) return;
     const { front } = this.#settings.listen;
-    const { storeLost } = this.#desks.news;
-    this.#fleet.describe({ gateways: [front], draining: !this.#ready, storeLost });
+    const { storeLost } = this.#controllers.news;
+    this.#fleet.describe({ gateways: [front], draining: !this.#isReady, storeLost });
   }
 
-  #onNews(news: News): void {
+  #onStateChange(news: News): void {
     match(news)
       .with({ kind: 'config' }, () => {
         this.#describe();
         this.#warmLinks();
-        this.#desks.quotas.changed(performance.now());
+        this.#controllers.quotas.changed(performance.now());
       })
       .with({ kind: 'runners' }, () => this.#runners.endLost())
       .with({ kind: 'era' }, ({ cameBack }) => {
-        this.#knowledge.freshness.storeCameBack(bootNow());
+        this.#state.freshness.storeCameBack(bootNow());
         if (cameBack) this.#orders?.storeCameBack(performance.now());
       })
       .exhaustive();
-    this.#desks.news.learnt(news);
+    this.#controllers.news.learnt(news);
   }
 }
--- a/src/node/router/desks.ts
+++ b/src/node/router/desks.ts
@@ -1,4 +1,7 @@
-/** What a VM shares with the others: news, places, quotas, permits, and requests that are refused. */
+/**
+ * The controllers for what VMs share: replicated state, reservations, quotas, permits and
+ * quarantined requests.
+ */
 
 import type { Logger } from 'pino';
 
@@ -19,7 +22,7 @@
 import { FactSync } from './sync';
 import type { Feed, RouterSettings, SuspectArchive } from './types';
 
-/** What the desks work with. */
+/** Dependencies of the controllers. */
 export interface DesksContext {
   readonly settings: RouterSettings;
   readonly knowledge: Knowledge;
@@ -30,11 +33,11 @@
   readonly archive: SuspectArchive;
   readonly metrics: Metrics;
   readonly log: Logger;
-  /** What this VM tells of itself has changed. */
+  /** Called when the description that this VM announces has changed. */
   readonly onDescription: () => void;
 }
 
-/** The desks of one VM, and the calls of other VMs that reach them. */
+/** The controllers of one VM and the handler for the calls of other VMs. */
 export class Desks {
   readonly quarantine: QuarantineDesk;
 
@@ -65,7 +68,7 @@
       knowledge,
       metrics,
       log: logOf(log, 'ratelimits'),
-      onNews: (changes) => this.#ratesChanged(performance.now(), changes),
+      onNews: (changes) => this.#onRateChanges(performance.now(), changes),
     });
     const { quarantine, rateLimits } = this;
     this.permits = new PermitDesk({
@@ -104,6 +107,7 @@
     this.calls = new PeerCalls({ vm, fleet, host, places, sync, quotas, permits });
   }
 
+  /** Stops the timers of all controllers. */
   stop(): void {
     this.news.stop();
     this.quarantine.stop();
@@ -113,14 +117,14 @@
     this.places.stop();
   }
 
-  /** The members of the fleet changed. */
+  /** Must be called when the members of the fleet have changed. */
   membersChanged(now: number): void {
     this.quotas.changed(now);
     this.permits.changed(now);
     this.news.membersChanged();
   }
 
-  /** What the desks go by, for operators. */
+  /** State of the controllers, for operators. */
   beliefs(now: number): Readonly<Record<string, unknown>> {
     return {
       readsStore: this.news.reading,
@@ -130,7 +134,7 @@
     };
   }
 
-  #ratesChanged(now: number, changes: readonly RateChange[]): void {
+  #onRateChanges(now: number, changes: readonly RateChange[]): void {
     this.permits.limitsChanged(now, changes);
     this.news.rateLimited(changes.map(({ rate }) => rate));
   }
--- a/src/node/router/fleet.ts
+++ b/src/node/router/fleet.ts
@@ -1,4 +1,4 @@
-/** The VMs of the router: who lives, links to them, and what they tell each other. */
+/** The router's fleet of VMs: their membership, the links between them, and the calls over these links. */
 
 import type { Logger } from 'pino';
 
@@ -18,49 +18,52 @@
 import { MembershipDriver } from '../scheduler/members';
 import type { RouterSettings } from './types';
 
-/** What the fleet tells the router. */
+/** Receives calls and events of the fleet. */
 export interface FleetListener {
-  /** A call of another VM. `push` calls back to it. */
+  /** Handles a call of another VM. `push` calls a method of that VM over the same link. */
   onCall(
     vm: string,
     method: string,
     params: unknown,
     push: (method: string, params: unknown) => void,
   ): Promise<unknown>;
-  /** A VM is gone and its requests with it. */
+  /** A VM is gone, and so are its requests. */
   onLost(vm: string): void;
   /** The membership changed. */
   onMembers(): void;
-  /** Another VM knows other things than this one. */
+  /** The digest of another VM's state differs from this VM's. */
   onDiffers(address: string): void;
-  /** Another VM tells news. */
+  /** A gossip update of another VM arrived. */
   onRumour(rumour: Rumour, address: string): void;
 }
 
-/** Period of membership probes, in milliseconds: a dead VM is found in about a second and a half. */
+/** Period of membership probes, in milliseconds; a dead VM is detected within about 1.5 s. */
 const PROBE_MS = 300;
-/** Time that a suspect has to answer, in milliseconds. */
+/** Time that a suspected member has to answer before it counts as dead, in milliseconds. */
 const SUSPECT_MS = 800;
-/** VMs that may plan a service to which links are kept: the owner and the next. */
+/** Number of VMs per service to which links are kept open: the owner and its successor. */
 const WARM_OWNERS = 2;
-/** Time for which a VM that did not answer a call is passed over as an owner, in milliseconds. */
-const SHUNNED_MS = 1500;
+/** Time for which a VM that did not answer a call ranks last among the owners, in milliseconds. */
+const DEPRIORITIZED_MS = 1500;
 
-/** Time after which a link that is not used is closed, in milliseconds: VMs exchange news with all others, one after the other, and each link costs both a descriptor. */
+/**
+ * Idle time after which a link is closed, in milliseconds: over time each VM exchanges state with
+ * all others, and each open link costs a file descriptor at both ends.
+ */
 const IDLE_LINK_MS = 8000;
-/** Period of looking for such links, in milliseconds. */
-const REAP_MS = 2000;
-/** Lines of changed members in a second; all of a fleet that starts would make their square. */
-const MEMBER_LINES = 3;
-/** Time for which changes of members are gathered before others are told of them, in milliseconds. */
-const GATHER_MS = 50;
+/** Period of the check for idle links, in milliseconds. */
+const IDLE_CHECK_MS = 2000;
+/** Log lines about changed members per second; without a limit a fleet of n VMs that starts logs n² lines. */
+const MEMBER_LINES_PER_S = 3;
+/** Time for which membership changes are batched before the listener is called, in milliseconds. */
+const MEMBER_BATCH_MS = 50;
 
 interface OpenLink {
   readonly link: PeerLink;
   usedAt: number;
 }
 
-/** Members and links. */
+/** Membership of the fleet and the links to other VMs. */
 export class RouterFleet {
   readonly #settings: RouterSettings;
 
@@ -74,24 +77,24 @@
 
   readonly #links = new Map<string, OpenLink>();
 
-  /** Links that other VMs opened to this one, by VM. */
-  readonly #callers = new Map<string, Peer>();
+  /** Links that other VMs opened to this VM, by VM name. */
+  readonly #clients = new Map<string, Peer>();
 
-  /** Addresses of VMs that may plan a service, to which links are kept. */
-  readonly #warm = new Set<string>();
+  /** Addresses to which links stay open although they are idle. */
+  readonly #keptOpen = new Set<string>();
 
   readonly #lines: LineBudget;
 
   #reaper: NodeJS.Timeout | undefined;
 
-  #gathering = false;
+  #isBatching = false;
 
-  readonly #shunned = new Map<string, number>();
+  readonly #deprioritizedUntil = new Map<string, number>();
 
-  /** Owners by key, until the membership changes. */
+  /** Cached ranking of owners by key; cleared when the membership changes. */
   readonly #ranking = new Map<string, readonly Member[]>();
 
-  /** Callers' addresses by failure domain, until the membership changes. */
+  /** Cached addresses for callers by failure domain; cleared when the membership changes. */
   readonly #addresses = new Map<string, readonly string[]>();
 
   constructor(
@@ -104,7 +107,7 @@
     this.#settings = settings;
     this.#log = log;
     this.#listener = listener;
-    this.#lines = new LineBudget(MEMBER_LINES, (lines) =>
+    this.#lines = new LineBudget(MEMBER_LINES_PER_S, (lines) =>
       log.info({ lines, present: this.alive.length }, 'More members changed.'),
     );
     const { vm, domain, peer, peerKey, cores } = settings;
@@ -127,7 +130,7 @@
       metrics,
       proofs,
       listener: {
-        onChange: (member) => this.#changed(member),
+        onChange: (member) => this.#onMemberChange(member),
         onRumour: (rumour, address) => listener.onRumour(rumour, address),
         onDiffers: (address) => listener.onDiffers(address),
       },
@@ -139,9 +142,9 @@
       vm,
       log,
       handler: {
-        onOpen: (from) => this.#callers.set(from.vm, from),
+        onOpen: (from) => this.#clients.set(from.vm, from),
         onMessage: () => {},
-        onClose: (from) => this.#linkClosed(from),
+        onClose: (from) => this.#onLinkClosed(from),
         onCall: (from, method, params) =>
           listener.onCall(from.vm, method, params, (name, value) => this.#push(from, name, value)),
       },
@@ -152,7 +155,7 @@
     await this.#server.listen();
     await this.#members.start();
     this.contact(this.#settings.seeds);
-    this.#reaper = setInterval(() => this.#reap(performance.now()), REAP_MS);
+    this.#reaper = setInterval(() => this.#closeIdle(performance.now()), IDLE_CHECK_MS);
   }
 
   async stop(): Promise<void> {
@@ -162,35 +165,38 @@
     await this.#server.close();
   }
 
+  /** The membership protocol's state. */
   get members(): Members {
     return this.#members.members;
   }
 
+  /** This VM as a member. */
   get self(): Member {
     return this.members.self;
   }
 
+  /** All known members, dead and departed ones included. */
   get all(): readonly Member[] {
     return this.#members.members.all;
   }
 
-  /** VMs that live, this one included. */
+  /** Members that are present, this VM included. */
   get alive(): readonly Member[] {
     return this.all.filter(isPresent);
   }
 
-  /** Says hello to addresses at which other VMs may be. */
+  /** Probes addresses at which other VMs may run. */
   contact(addresses: readonly string[]): void {
     const others = addresses.filter((address) => address !== this.#settings.peer);
     this.#members.tell({ kind: 'contact', addresses: others });
   }
 
-  /** Takes over the members that another VM knows. */
+  /** Merges the members that another VM knows. */
   sync(members: readonly Member[]): void {
     this.#members.tell({ kind: 'synced', members });
   }
 
-  /** VMs that the store names; what probes say of them goes first. */
+  /** Adds VMs that the store lists, unless their addresses are known: results of probes take precedence. */
   list(vms: readonly { readonly vm: string; readonly address: string }[]): void {
     const known = new Set(this.all.map(({ address }) => address));
     const fresh = vms.filter(({ address }) => !known.has(address));
@@ -201,25 +207,27 @@
     });
   }
 
-  /** Tells the others of this VM. */
+  /** Sets the description of this VM that is announced to the other members. */
   describe(description: Description): void {
     this.#members.tell({ kind: 'described', description });
   }
 
-  /** What this VM knows, in short, for others to compare. */
+  /** Sets the digest of this VM's state, which other members compare with theirs. */
   setDigest(digest: string): void {
     this.#members.members.setDigest(digest);
   }
 
+  /** Announces that this VM leaves. */
   leave(): void {
     this.#members.tell({ kind: 'leaving' });
   }
 
+  /** Sends gossip updates to the other members. */
   spread(rumours: readonly Rumour[]): void {
     if (rumours.length > 0) this.#members.tell({ kind: 'rumours', rumours });
   }
 
-  /** Addresses for callers in a failure domain, of VMs that live and stay. */
+  /** Addresses for callers in a failure domain, of VMs that are present and do not drain; the best first. */
   callerAddresses(domain: string): readonly string[] {
     const known = this.#addresses.get(domain);
     if (known) return known;
@@ -228,29 +236,33 @@
     return addresses;
   }
 
-  /** VMs that may plan a key, by falling claim; those that did not answer lately come last. */
+  /** VMs that may own a key, by descending rank; those that recently did not answer a call come last. */
   ownersOf(now: number, key: string): readonly Member[] {
     const owners = this.#ranked(key);
-    const isShunned = ({ vm }: Member): boolean => (this.#shunned.get(vm) ?? 0) > now;
-    return [...owners.filter((m) => !isShunned(m)), ...owners.filter(isShunned)];
+    const isDeprioritized = ({ vm }: Member): boolean =>
+      (this.#deprioritizedUntil.get(vm) ?? 0) > now;
+    return [...owners.filter((m) => !isDeprioritized(m)), ...owners.filter(isDeprioritized)];
   }
 
-  /** Opens links to the VMs that may plan a key before they are needed: a request that had to wait for one would lose its time. */
+  /** Opens links to the first owners of a key in advance, so that no request waits for a connection. */
   warm(now: number, key: string): void {
     const owners = this.ownersOf(now, key).slice(0, WARM_OWNERS);
     const others = owners.filter(({ vm }) => vm !== this.#settings.vm);
     for (const { address } of others) {
-      this.#warm.add(address);
+      this.#keptOpen.add(address);
       this.#linkTo(now, address);
     }
   }
 
-  /** Forgets to which VMs links are kept; they are named anew. */
+  /** Clears the set of links that `warm` keeps open. */
   cool(): void {
-    this.#warm.clear();
+    this.#keptOpen.clear();
   }
 
-  /** Worked out once for each membership: a fleet of 65 costs 65 hashes. */
+  /**
+   * Owners of a key by rank. Cached until the membership changes, since a ranking costs one hash per
+   * VM: 65 in a fleet of 65.
+   */
   #ranked(key: string): readonly Member[] {
     const known = this.#ranking.get(key);
     if (known) return known;
@@ -259,20 +271,24 @@
     return owners;
   }
 
+  /** Ranks a VM that did not answer last among the owners for `DEPRIORITIZED_MS`. */
   shun(now: number, vm: string): void {
-    this.#shunned.set(vm, now + SHUNNED_MS);
+    this.#deprioritizedUntil.set(vm, now + DEPRIORITIZED_MS);
   }
 
-  /** Calls another VM; a link that is being opened is waited for. */
+  /**
+   * Calls another VM, waiting for the link if it is still being opened. `limitMs` bounds the wait
+   * and then the call, in milliseconds.
+   */
   async call(address: string, method: string, params: unknown, limitMs: number): Promise<unknown> {
     const link = this.#linkTo(performance.now(), address);
     if (!link.up) await Promise.race([link.opened, pause(limitMs, undefined, { ref: false })]);
     return link.call(method, params, limitMs);
   }
 
-  /** Calls all VMs that have a link to this one, over those links. */
+  /** Calls a method of all VMs that have opened a link to this VM, over these links. */
   callBack(method: string, params: unknown): void {
-    for (const peer of this.#callers.values()) this.#push(peer, method, params);
+    for (const peer of this.#clients.values()) this.#push(peer, method, params);
   }
 
   #push(peer: Peer, method: string, params: unknown): void {
@@ -281,16 +297,16 @@
     });
   }
 
-  #linkClosed(peer: Peer): void {
+  #onLinkClosed(peer: Peer): void {
     const { vm } = peer;
-    if (this.#callers.get(vm) === peer) this.#callers.delete(vm);
+    if (this.#clients.get(vm) === peer) this.#clients.delete(vm);
     const state = this.#members.members.get(vm)?.state;
     if (state === 'left' || state === 'dead') this.#listener.onLost(vm);
   }
 
-  #reap(now: number): void {
+  #closeIdle(now: number): void {
     for (const [address, { link, usedAt }] of this.#links) {
-      if (now - usedAt > IDLE_LINK_MS && !this.#warm.has(address)) {
+      if (now - usedAt > IDLE_LINK_MS && !this.#keptOpen.has(address)) {
         link.close();
         this.#links.delete(address);
       }
@@ -316,7 +332,7 @@
     return link;
   }
 
-  #changed(member: Member): void {
+  #onMemberChange(member: Member): void {
     const { vm, address, state, draining, incarnation } = member;
     if (this.#lines.allows(performance.now())) {
       this.#log.info({ vm, state, draining, incarnation }, 'Member changed.');
@@ -325,20 +341,20 @@
       this.#links.get(address)?.link.close();
       this.#links.delete(address);
     }
-    // A VM that has left still serves what it has; it is lost when its link closes.
+    // A VM that has left still completes its requests; it counts as lost when its link closes.
     if (state === 'dead') this.#listener.onLost(vm);
     this.#ranking.clear();
     this.#addresses.clear();
-    this.#gather();
+    this.#batchChanges();
   }
 
-  /** Changes of members come in swarms; what follows from them is worked out once for all. */
-  #gather(): void {
-    if (this.#gathering) return;
-    this.#gathering = true;
+  /** Batches membership changes, which come in bursts, into one call of the listener. */
+  #batchChanges(): void {
+    if (this.#isBatching) return;
+    this.#isBatching = true;
     setTimeout(() => {
-      this.#gathering = false;
+      this.#isBatching = false;
       this.#listener.onMembers();
-    }, GATHER_MS).unref();
+    }, MEMBER_BATCH_MS).unref();
   }
 }
--- a/src/node/router/knowledge.ts
+++ b/src/node/router/knowledge.ts
@@ -1,6 +1,6 @@
 /**
- * The router's blackboard: configuration, runners and where they were heard of.
- * The feed and the peers write to it; the request paths read it.
+ * The router's view of the fleet: configuration, runners and the age of the store's data.
+ * The feed and other VMs update it; the request paths read it.
  */
 
 import type { Logger } from 'pino';
@@ -18,61 +18,64 @@
 import { LineBudget } from '../budget';
 import type { ProofExchange } from '../scheduler/members';
 
-/** How long after trouble with the store a vanished entry may be one that lapsed meanwhile, in milliseconds. */
-const LAPSE_MS = 3000;
+/**
+ * How long after a failure of the store a missing entry may be one that expired during the outage,
+ * in milliseconds.
+ */
+const EXPIRY_WINDOW_MS = 3000;
 
 /**
- * How long a runner stays in use whose entry was missing when the store came
- * back: leases lapse in an outage and living runners are listed again within two
- * seconds of its end. Without this, the end of an outage would take every runner
- * away at once and all requests would be refused. In milliseconds.
+ * How long a runner stays in use whose entry is missing in the first full list after an
+ * outage of the store, in milliseconds. Leases expire during an outage, and running runners
+ * register again within two seconds of its end. Without the grace period every runner would
+ * be dropped at once at the end of an outage, and all requests would be rejected.
  */
-const LAPSED_GRACE_MS = 2500;
+const OUTAGE_GRACE_MS = 2500;
 
 /**
- * The same for an entry that vanished after the first full list: most likely the
- * runner leaves, and it must get no work two seconds after that. In milliseconds.
+ * The same for an entry that is removed after the first full list, in milliseconds. Most
+ * likely the runner shuts down, and it must get no work two seconds after that.
  */
-const RETURNED_GRACE_MS = 1000;
+const REMOVAL_GRACE_MS = 1000;
 
-/** A newer configuration, or runners that changed. */
+/** A change of the configuration, of runners or of the store's era. */
 export type News =
   | { readonly kind: 'config' }
   | { readonly kind: 'runners'; readonly facts: readonly RunnerFact[] }
-  /** `cameBack`: another era was known before. */
+  /** `cameBack`: a different era was known before, so the store was restored from an older copy. */
   | { readonly kind: 'era'; readonly cameBack: boolean };
 
-/** Lines of changed runners in a second; a fleet that starts would fill the log with them. */
-const RUNNER_LINES = 10;
+/** Log lines about changed runners per second; a fleet that starts would flood the log otherwise. */
+const RUNNER_LINES_PER_S = 10;
 
-/** What knowledge tells of its changes. */
+/** Receives the changes of the routing state. */
 export interface KnowledgeListener {
   onNews(news: News): void;
-  /** An entry came in that names no runner to use. */
+  /** An entry was received that describes no usable runner. */
   onUnfitEntry(): void;
 }
 
-/** What one VM knows. */
+/** Configuration and runners as one VM knows them. */
 export class Knowledge {
   readonly #log: Logger;
 
   readonly #directory = new RunnerDirectory();
 
-  /** How old the configuration can be. */
+  /** Tracks the maximum age of the configuration. */
   readonly freshness = new Freshness();
 
   readonly #history: History;
 
   #table: RouteTable | undefined;
 
-  /** Steady time of the last word of the store. */
-  #storeAt = -Infinity;
+  /** Monotonic time of the last successful call to the store. */
+  #storeAnsweredAt = -Infinity;
 
-  /** Steady time of the last failed call to the store. */
-  #troubleAt = -Infinity;
+  /** Monotonic time of the last failed call to the store. */
+  #storeFailedAt = -Infinity;
 
-  /** Position of the first full list after the last trouble; none yet while it lasts. */
-  #returnedAt: Position | undefined;
+  /** Position of the first full list after the last failure; undefined until there is one. */
+  #relistedAt: Position | undefined;
 
   readonly #listener: KnowledgeListener;
 
@@ -82,7 +85,7 @@
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
-    this.#lines = new LineBudget(RUNNER_LINES, (lines) =>
+    this.#lines = new LineBudget(RUNNER_LINES_PER_S, (lines) =>
       log.info({ lines, ...this.runnersPosition }, 'More runners changed.'),
     );
   }
@@ -92,11 +95,12 @@
     return this.#table;
   }
 
+  /** Version of the configuration in use; 0 until one is known. */
   get configVersion(): number {
     return this.#table?.config.version ?? 0;
   }
 
-  /** The proof as members exchange it with their probes. */
+  /** Callbacks by which members exchange freshness confirmations in their probes. */
   get proofExchange(): ProofExchange {
     return {
       tell: () => this.freshness.tell(bootNow(), this.configVersion),
@@ -105,54 +109,56 @@
     };
   }
 
-  /** What this VM tells others of the age of its configuration, as a field of a message. */
+  /** This VM's freshness confirmation as a field of a message; empty if it has none. */
   proof(now: number): { readonly proof?: Proof } {
     const proof = this.freshness.tell(now, this.configVersion);
     return proof ? { proof } : {};
   }
 
-  /** Latest position of a change of a runner. */
+  /** Latest store position at which a runner changed. */
   get runnersPosition(): Position {
     return this.#directory.position;
   }
 
-  /** Starts of the store's latest eras, the latest first. */
+  /** Start positions of the store's latest eras, the latest first. */
   get eras(): readonly Position[] {
     return this.#history.starts;
   }
 
-  /** Grows with each change of a runner that matters to routing. */
+  /** Counter of the runner changes that affect routing. */
   get runnerChanges(): number {
     return this.#directory.changes;
   }
 
-  /** All that this VM knows in short, for others to compare. */
+  /** Digest of the routing state, by which VMs detect that theirs differ. */
   get digest(): string {
     return `${this.configVersion}/${this.#directory.digest.text}/${this.#history.era ?? 0}`;
   }
 
-  /** The digest of the runners, by parts. */
+  /** The parts of the digest of the runners. */
   get digestParts(): readonly number[] {
     return this.#directory.digest.parts;
   }
 
-  /** Facts of the parts of the digest in which another VM's differ, at most about `most`. */
+  /** Runner records in the parts of the digest that differ from another VM's, about `most` at most. */
   factsBeside(now: number, theirs: readonly number[], most: number): readonly RunnerFact[] {
     return this.#directory.factsIn(now, this.#directory.digest.differing(theirs), most);
   }
 
+  /** Records a successful call to the store. */
   heardStore(now: number): void {
-    this.#storeAt = now;
+    this.#storeAnsweredAt = now;
   }
 
+  /** Records a failed call to the store. */
   storeFailed(now: number): void {
-    this.#troubleAt = now;
-    this.#returnedAt = undefined;
+    this.#storeFailedAt = now;
+    this.#relistedAt = undefined;
   }
 
   /**
-   * Takes over that the store is of another era. What is missing in it may be lost with
-   * the copy, as in an outage: living runners write again within the same time.
+   * Applies a change of the store's era. Entries that are missing in a restored copy are
+   * treated as after an outage: running runners register again within the same time.
    */
   learnEras(now: number, starts: readonly Position[], source: string): void {
     const { era: before } = this.#history;
@@ -160,25 +166,25 @@
     const [start] = this.#history.starts;
     if (cameBack) {
       this.storeFailed(now);
-      this.#log.warn({ ...start, before, source }, 'The store came back from an older copy.');
+      this.#log.warn({ ...start, before, source }, 'The store was restored from an older copy.');
     }
     const isFirst = before === undefined && start !== undefined && start.era > 0;
     if (cameBack || isFirst) this.#listener.onNews({ kind: 'era', cameBack });
   }
 
-  /** How long a runner stays in use whose entry is gone as of a position, in milliseconds. */
+  /** How long a runner stays in use whose entry is missing as of a position, in milliseconds. */
   #graceMs(now: number, position: Position): number {
-    if (now - this.#troubleAt >= LAPSE_MS) return 0;
-    const returned = this.#returnedAt !== undefined && isLater(position, this.#returnedAt);
-    return returned ? RETURNED_GRACE_MS : LAPSED_GRACE_MS;
+    if (now - this.#storeFailedAt >= EXPIRY_WINDOW_MS) return 0;
+    const isRelisted = this.#relistedAt !== undefined && isLater(position, this.#relistedAt);
+    return isRelisted ? REMOVAL_GRACE_MS : OUTAGE_GRACE_MS;
   }
 
-  /** Time since the store was last heard, in milliseconds. */
+  /** Time since the last successful call to the store, in milliseconds. */
   storeAge(now: number): number {
-    return now - this.#storeAt;
+    return now - this.#storeAnsweredAt;
   }
 
-  /** Takes a configuration over if it is newer; a VM never goes back to an older one. */
+  /** Applies a configuration if it is newer than the one in use; returns whether it is. */
   learnConfig(now: number, config: RoutingConfig, source: string): boolean {
     if (this.#table && config.version <= this.#table.config.version) return false;
     const before = this.configVersion;
@@ -193,33 +199,33 @@
         source,
         storeAgeMs: Math.round(this.storeAge(now)),
       },
-      'New config.',
+      'Applied a new configuration.',
     );
-    this.#noteDisputed(version);
+    this.#logDisputedKeys(version);
     this.#listener.onNews({ kind: 'config' });
     return true;
   }
 
-  #noteDisputed(version: number): void {
+  #logDisputedKeys(version: number): void {
     const disputed = this.#table?.keyRing?.disputed ?? 0;
     if (disputed === 0) return;
     const { line } = new Failure(
       'factUnreadable',
-      `found ${disputed} keys that two customers hold, expected one for each; they are refused`,
+      `found ${disputed} keys that two customers share, expected one customer per key; they are rejected`,
     );
     this.#log.warn({ version }, line);
   }
 
-  /** Takes facts of runners over, each if it is newer. */
+  /** Applies runner records, each if it is newer than the known one. */
   learnRunners(now: number, facts: readonly RunnerFact[], source: string): void {
     const changed: RunnerFact[] = [];
     for (const fact of facts) {
       const { id, position, runner, unreadable } = fact;
       if (unreadable !== undefined && !this.#directory.isKnown(fact)) {
-        this.#noteUnfit(id, position, unreadable);
+        this.#reportInvalidEntry(id, position, unreadable);
       }
       const gone = !runner && unreadable === undefined;
-      // Another VM that tells of it knows whether its store had trouble; this one may not read it at all.
+      // The sender's value takes precedence: this VM may not read the store and thus not know of its outage.
       const graceMs = gone ? (fact.graceMs ?? this.#graceMs(now, position)) : 0;
       if (this.#directory.learn(now, fact, graceMs)) {
         changed.push(gone ? { ...fact, graceMs } : fact);
@@ -236,51 +242,60 @@
     if (changed.length > 0) this.#listener.onNews({ kind: 'runners', facts: changed });
   }
 
-  /** A runner told of its start itself; the one that is listed may be over by it. */
+  /**
+   * Applies the start time that a runner reports about itself; a listed instance that started
+   * earlier is gone.
+   */
   learnStart(listing: string, bornAt: number): void {
     if (!this.#directory.learnStart(listing, bornAt)) return;
-    this.#log.info({ runner: listing, bornAt, source: 'report' }, 'Runner started anew.');
+    this.#log.info({ runner: listing, bornAt, source: 'report' }, 'Runner restarted.');
     this.#listener.onNews({ kind: 'runners', facts: [] });
   }
 
-  /** The latest start that is known of a listing, in Unix milliseconds; 0 if none is. */
+  /** The latest known start time of a listing's instances, in Unix milliseconds; 0 if none is known. */
   latestStart(listing: string): number {
     return this.#directory.latestStart(listing);
   }
 
-  /** An entry of a service that the configuration does not name gets no request; the configuration may still come. */
+  /**
+   * Reports a runner whose service the configuration does not define. It gets no requests until a
+   * configuration does.
+   */
   #checkService({ id, position, runner }: RunnerFact): void {
     if (!runner || !this.#table || this.#table.service(runner.service)) return;
-    this.#noteUnfit(
+    this.#reportInvalidEntry(
       id,
       position,
       `runner ${id}: found service ${runner.service}, expected a known one`,
     );
   }
 
-  /** One line and one count for each entry and position, however often it is read. */
-  #noteUnfit(id: string, position: Position, detail: string): void {
+  /**
+   * Logs and counts an invalid entry. Callers ensure that this happens once per entry and position,
+   * however often it is read.
+   */
+  #reportInvalidEntry(id: string, position: Position, detail: string): void {
     const { line } = new Failure('factUnreadable', detail);
     this.#log.warn({ runner: id, ...position }, line);
     this.#listener.onUnfitEntry();
   }
 
-  /** Runners that a full list of the store no longer names are gone as of its position. */
+  /** Applies a full list of the store: runners that it lacks are gone as of its position. */
   learnList(now: number, listed: ReadonlySet<string>, position: Position): void {
-    this.#returnedAt ??= position;
+    this.#relistedAt ??= position;
     const gone = this.#directory
       .missing(listed)
       .map((id): RunnerFact => ({ id, position, runner: undefined }));
     this.learnRunners(now, gone, 'list');
   }
 
-  /** What is known of configuration, store and runners, for operators. */
+  /** State of the configuration, the store and the runners, for operators. */
   beliefs(now: number): Readonly<Record<string, unknown>> {
     const usable = new Set(this.#directory.usable(now).map(({ id }) => id));
     return {
       configVersion: this.configVersion,
       routes: this.#table?.config.routes.length ?? 0,
-      storeAgeMs: Number.isFinite(this.#storeAt) ? Math.round(this.storeAge(now)) : null,
+      storeAgeMs: Number.isFinite(this.#storeAnsweredAt) ? Math.round(this.storeAge(now)) : null,
       era: this.#history.era ?? null,
       runners: this.#directory.facts.map(({ id, position, runner }) => ({
         id,
@@ -291,12 +306,12 @@
     };
   }
 
-  /** Runners that may get work now. */
+  /** Runners that may get requests now. */
   runners(now: number): readonly Runner[] {
     return this.#directory.usable(now);
   }
 
-  /** Those of them that serve a service. */
+  /** Runners of a service, and of a role if one is given, that may get requests now. */
   runnersOf(now: number, service: string, role?: RunnerRole): readonly Runner[] {
     return this.runners(now).filter(
       (runner) => runner.service === service && (!role || runner.role === role),
--- a/src/node/router/metrics.ts
+++ b/src/node/router/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and latency histograms of a router, served as text on the metrics address. */
+/** Counters, gauges and latency histograms of a router, served as text on the metrics address. */
 
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
@@ -9,8 +9,8 @@
 import { BELIEFS_PATH } from '../../types/beliefs';
 import type { Metrics } from '../metrics';
 
-/** Bounds of the latency histograms in seconds: from one round trip to the longest deadline. */
-const LATENCY_BUCKETS: readonly number[] = [0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 0.9, 1.5, 3, 6, 12];
+/** Bucket bounds of the latency histograms in seconds, from one round trip to the longest deadline. */
+const LATENCY_BUCKETS_S: readonly number[] = [0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 0.9, 1.5, 3, 6, 12];
 
 const HTTP_OK = 200;
 
@@ -46,21 +46,23 @@
       name: metricName('request_seconds'),
       help: 'Time from the whole request to the end of its answer, by service.',
       labelNames: ['service'],
-      buckets: [...LATENCY_BUCKETS],
+      buckets: [...LATENCY_BUCKETS_S],
       registers,
     });
   }
 
+  /** Current values of counters and gauges by name. */
   get values(): Readonly<Record<string, number>> {
     return this.#values;
   }
 
-  /** Notes a request that has its final answer. */
+  /** Records a request whose final answer was sent; `ms` is its latency. */
   ended(service: string, status: number, code: string | undefined, ms: number): void {
     this.#ended.inc({ service, status: String(status), code: code ?? '' });
     this.#latency.observe({ service }, ms / 1000);
   }
 
+  /** Increments a counter, which is created on first use. */
   count(name: string, by = 1): void {
     this.#values[name] = (this.#values[name] ?? 0) + by;
     let counter = this.#counters.get(name);
@@ -72,6 +74,7 @@
     counter.inc(by);
   }
 
+  /** Sets a gauge, which is created on first use. */
   gauge(name: string, value: number): void {
     this.#values[name] = value;
     let gauge = this.#gauges.get(name);
@@ -82,19 +85,21 @@
     gauge.set(value);
   }
 
+  /** Adds a duration to the counter `<name>_ms`. */
   timing(name: string, ms: number): void {
     this.count(`${name}_ms`, ms);
   }
 
+  /** All metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
 
-  /** Serves on an address: what the VM believes on one path, the metrics' text on all others. */
-  listen(address: string, beliefs: () => unknown): Promise<void> {
+  /** Serves the state snapshot for operators on one path of an address, and the metrics on all others. */
+  listen(address: string, snapshot: () => unknown): Promise<void> {
     const server = createServer((req, res) => {
       if (req.url === BELIEFS_PATH) {
-        const body = JSON.stringify(beliefs());
+        const body = JSON.stringify(snapshot());
         res.writeHead(HTTP_OK, { 'content-type': 'application/json' }).end(body);
         return;
       }
@@ -108,6 +113,7 @@
     return listenOn(server, address);
   }
 
+  /** Stops listening. */
   close(): void {
     this.#server?.close();
   }
--- a/src/node/router/news.ts
+++ b/src/node/router/news.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps this VM's knowledge in step with the fleet: reads the store if it is one
- * of the readers, tells other VMs of changes, and hears of theirs.
+ * Replicates the routing state between VMs: reads the store if this VM is one of its
+ * readers, announces changes to other VMs and applies theirs.
  */
 
 import type { Logger } from 'pino';
@@ -28,7 +28,7 @@
 import { decodeFact, decodeEras, encodeFact } from './sync';
 import type { Feed } from './types';
 
-/** What the desk works with. */
+/** Dependencies of the replication. */
 export interface NewsContext {
   readonly knowledge: Knowledge;
   readonly gate: Gate;
@@ -39,30 +39,42 @@
   readonly sync: FactSync;
   readonly metrics: Metrics;
   readonly log: Logger;
-  /** Addresses of VMs that may be up already. */
+  /** Addresses through which this VM joins the fleet. */
   readonly seeds: readonly string[];
-  /** This VM's own address. */
+  /** This VM's peer address. */
   readonly self: string;
-  /** What this VM tells of itself has changed. */
+  /** Called when the description that this VM announces has changed. */
   readonly onDescription: () => void;
 }
 
-/** Period of looking whether this VM is to read the store, in milliseconds: little beside the time in which a dead reader is found. */
-const DUTY_MS = 250;
-/** Exchanges with members while this VM is new, and the time between two, in milliseconds: news of many that start together goes round slowly. */
+/**
+ * Period of the check whether this VM must read the store, in milliseconds; short compared with the
+ * time to detect a dead reader.
+ */
+const READER_CHECK_MS = 250;
+/**
+ * Number of state exchanges after the start and the time between two, in milliseconds: gossip is
+ * slow while many VMs start together.
+ */
 const JOIN_ROUNDS = 8;
-const JOIN_PACE_MS = 500;
-/** Time from its start for which a VM waits for another to tell what is in force before it reads the store, in milliseconds: three tries, and little of a start. */
-const TOLD_LIMIT_MS = 1500;
-/** Failed calls one after the other after which the store counts as lost: one watch alone may be cut. */
-const LOST_CALLS = 2;
-/** Time after which a VM that read in place of another, and lost the store too, may be chosen again, in milliseconds. */
-const LOST_MS = 4000;
-
-/** Rate limits that are told one by one; of more at once, the others show in the digests that VMs compare. */
-const RATES_TOLD = 16;
-
-/** The news of one VM. */
+const JOIN_PERIOD_MS = 500;
+/**
+ * Time after its start for which a VM waits for the first state exchange before it reads the store,
+ * in milliseconds: allows three attempts and hardly delays the start.
+ */
+const FIRST_FETCH_LIMIT_MS = 1500;
+/** Consecutive failed calls after which the store counts as lost; a single watch may be interrupted. */
+const LOST_AFTER_FAILURES = 2;
+/**
+ * Time after which a VM that read the store in place of another VM, and lost it as well, may be
+ * chosen as a reader again, in milliseconds.
+ */
+const LOST_PAUSE_MS = 4000;
+
+/** Rate limits that are gossiped one by one; VMs find further ones by comparing digests. */
+const MAX_GOSSIPED_RATES = 16;
+
+/** Replication of the routing state at one VM. */
 export class NewsDesk {
   readonly #context: NewsContext;
 
@@ -70,72 +82,77 @@
 
   readonly #startedAt = performance.now();
 
-  readonly #duty: NodeJS.Timeout;
+  readonly #readerTimer: NodeJS.Timeout;
 
-  #join: NodeJS.Timeout | undefined;
+  #joinTimer: NodeJS.Timeout | undefined;
 
-  #joined = 0;
+  #joinRounds = 0;
 
-  /** Calls to other VMs under way. */
-  #asked = 0;
+  /** Number of pending state exchanges. */
+  #pendingFetches = 0;
 
-  /** Whether another VM told all that it knows. */
-  #wasTold = false;
+  /** Whether a state exchange with another VM has succeeded. */
+  #hasFetched = false;
 
   #fetchTimer: NodeJS.Timeout | undefined;
 
-  #reading = false;
+  #isReading = false;
 
   #shouldRead = false;
 
-  #storeUp = false;
+  #isStoreUp = false;
 
   #failedCalls = 0;
 
   #lostAt = -Infinity;
 
-  readonly #proofPace = new ProofPace();
+  readonly #confirmationPace = new ProofPace();
 
-  /** Whether the members changed since the readers were worked out; that takes a hash for each VM of the failure domain. */
-  #membersChanged = true;
+  /**
+   * Whether the members changed since the readers were chosen. Choosing them costs one hash per VM
+   * of the failure domain.
+   */
+  #haveMembersChanged = true;
 
   constructor(context: NewsContext) {
     this.#context = context;
-    this.#duty = setInterval(() => {
-      this.#checkDuty(performance.now());
-      this.#checkProof(bootNow());
-    }, DUTY_MS);
+    this.#readerTimer = setInterval(() => {
+      this.#updateReading(performance.now());
+      this.#checkFreshness(bootNow());
+    }, READER_CHECK_MS);
   }
 
+  /** Starts the first state exchanges. */
   start(): void {
-    this.#join = setInterval(() => this.#joinOnce(), JOIN_PACE_MS);
+    this.#joinTimer = setInterval(() => this.#joinOnce(), JOIN_PERIOD_MS);
     this.#joinOnce();
   }
 
+  /** Stops all timers and the feed. */
   stop(): void {
-    clearInterval(this.#duty);
-    clearInterval(this.#join);
+    clearInterval(this.#readerTimer);
+    clearInterval(this.#joinTimer);
     clearTimeout(this.#fetchTimer);
     this.#context.feed.stop();
   }
 
   /** Whether this VM's calls to the store fail. */
   get storeLost(): boolean {
-    return this.#failedCalls >= LOST_CALLS;
+    return this.#failedCalls >= LOST_AFTER_FAILURES;
   }
 
-  /** Whether this VM reads the store for others. */
+  /** Whether this VM reads the store on behalf of the fleet. */
   get reading(): boolean {
-    return this.#reading;
+    return this.#isReading;
   }
 
-  /** The members changed: others may be readers now. */
+  /** Must be called when the members changed: other VMs may have to read the store now. */
   membersChanged(): void {
-    this.#membersChanged = true;
-    if (!this.#wasTold && this.#joined > 0 && this.#asked === 0) this.#joinOnce();
+    this.#haveMembersChanged = true;
+    if (!this.#hasFetched && this.#joinRounds > 0 && this.#pendingFetches === 0) this.#joinOnce();
   }
 
-  /** Something came in, from wherever: tells it on. */
+  /** Announces a change of the routing state, whatever its source, to the other members. */
   learnt(news: News): void {
     const { fleet, knowledge, metrics } = this.#context;
     this.setDigest();
@@ -148,7 +165,7 @@
     fleet.spread(rumours);
   }
 
-  /** Others compare what this VM knows with what they know. */
+  /** Publishes the digest of this VM's state, which other VMs compare with theirs. */
   setDigest(): void {
     const { fleet, knowledge, quarantine, rateLimits } = this.#context;
     const now = performance.now();
@@ -156,18 +173,18 @@
     fleet.setDigest(parts.filter((part) => part !== '').join('/'));
   }
 
-  /** Runners ended under requests. */
+  /** Announces requests that crashed runners. */
   suspected(suspects: readonly Suspect[]): void {
     this.#context.fleet.spread(suspects.map(suspectRumour));
   }
 
-  /** Rate limits of runners changed. */
+  /** Announces changed rate limits of runners. */
   rateLimited(rates: readonly RunnerRate[]): void {
     this.setDigest();
-    this.#context.fleet.spread(rates.slice(0, RATES_TOLD).map(rateRumour));
+    this.#context.fleet.spread(rates.slice(0, MAX_GOSSIPED_RATES).map(rateRumour));
   }
 
-  /** A member tells news. */
+  /** Applies a gossip update of a member. */
   heard(rumour: Rumour, address: string): void {
     const { knowledge, quarantine, rateLimits, log } = this.#context;
     const now = performance.now();
@@ -189,49 +206,49 @@
     }
   }
 
-  /** A member knows other things. */
+  /** Schedules a state exchange with a member whose digest differs. */
   differs(address: string): void {
     this.#spread.differs(performance.now(), address);
     this.#fetchDue();
   }
 
-  /** A call to the store has ended; logs where that changes. */
+  /** Records the result of a call to the store; logs when the store becomes reachable or unreachable. */
   storeAnswered(now: number, up: boolean, detail: string): void {
     const { knowledge, log, metrics } = this.#context;
     if (up) knowledge.heardStore(now);
     else knowledge.storeFailed(now);
     metrics.count(up ? 'store.answers' : 'store.failures');
-    this.#setFailed(now, up ? 0 : this.#failedCalls + 1);
-    if (up === this.#storeUp) return;
-    this.#storeUp = up;
-    if (up) log.info({ detail }, 'The store answers.');
-    else log.warn({ detail }, 'The store does not answer.');
+    this.#setFailures(now, up ? 0 : this.#failedCalls + 1);
+    if (up === this.#isStoreUp) return;
+    this.#isStoreUp = up;
+    if (up) log.info({ detail }, 'The store is reachable.');
+    else log.warn({ detail }, 'The store is unreachable.');
   }
 
-  #setFailed(now: number, calls: number): void {
+  #setFailures(now: number, calls: number): void {
     const before = this.storeLost;
     this.#failedCalls = calls;
     if (this.storeLost) this.#lostAt = now;
     if (this.storeLost === before) return;
     this.#context.onDescription();
-    this.#membersChanged = true;
-    this.#checkDuty(now);
+    this.#haveMembersChanged = true;
+    this.#updateReading(now);
   }
 
-  #checkDuty(now: number): void {
+  #updateReading(now: number): void {
     const { fleet, feed, log } = this.#context;
     const { self, all } = fleet;
-    const waitsForOthers = !this.#reading && all.length === 1;
-    if (this.#membersChanged || waitsForOthers) {
-      this.#membersChanged = false;
+    const waitsForOthers = !this.#isReading && all.length === 1;
+    if (this.#haveMembersChanged || waitsForOthers) {
+      this.#haveMembersChanged = false;
       this.#shouldRead = shouldRead(now, this.#startedAt, self, all);
     }
-    const isChosen = this.#shouldRead && this.#mayRead(now);
+    const isChosen = this.#shouldRead && this.#canRead(now);
     const reading = isChosen || isIsolated(now, this.#startedAt, fleet.members);
-    if (this.storeLost && now - this.#lostAt > LOST_MS && !reading) this.#setFailed(now, 0);
-    if (reading === this.#reading) return;
-    this.#reading = reading;
-    if (reading && !this.#wasTold) log.info('Goes by the store alone: no other VM told anything.');
+    if (this.storeLost && now - this.#lostAt > LOST_PAUSE_MS && !reading) this.#setFailures(now, 0);
+    if (reading === this.#isReading) return;
+    this.#isReading = reading;
+    if (reading && !this.#hasFetched) log.info('Configured by the store alone: no VM answered.');
     feed.setReading(reading);
     const { chosen, deputies } = readersOf(self.domain, all);
     const names = [...chosen, ...deputies].map(({ vm }) => vm);
@@ -239,45 +256,47 @@
   }
 
   /**
-   * Asks how old the own configuration is before keys stop counting. Members tell with
-   * their probes, by turns; after an outage that took seconds, in which all keys were refused.
+   * Requests a freshness confirmation before the own configuration becomes too old for API keys
+   * to be accepted. Members also send confirmations with their probes, which reach one member
+   * after the other; after an outage that alone took seconds, in which all keys were rejected.
    */
-  #checkProof(now: number): void {
+  #checkFreshness(now: number): void {
     const { feed, fleet, gate, knowledge, metrics } = this.#context;
     metrics.gauge('config.age_ms', knowledge.freshness.ageMs(now));
-    const source = gate.proofSource(now, this.#reading);
+    const source = gate.proofSource(now, this.#isReading);
     if (source === 'nobody') {
-      this.#proofPace.reset();
+      this.#confirmationPace.reset();
       return;
     }
     const { chosen, deputies } = readersOf(fleet.self.domain, fleet.all);
     fleet.contact([...chosen, ...deputies].map(({ address }) => address));
-    if (source !== 'store' || !this.#proofPace.asks(now, this.#reading)) return;
+    if (source !== 'store' || !this.#confirmationPace.asks(now, this.#isReading)) return;
     metrics.count('proofs.asked');
     feed.confirm();
   }
 
   /**
-   * A store that came back from an older copy has an older configuration than the other
-   * VMs have in force; a new VM that reads it before they told would serve by that.
+   * Whether this VM may read the store yet. A store that was restored from an older copy has an
+   * older configuration than the one in force; a new VM that read it before its first state
+   * exchange would apply that.
    */
-  #mayRead(now: number): boolean {
+  #canRead(now: number): boolean {
     const { fleet, self } = this.#context;
     const isAlone = !fleet.all.some((one) => one.address !== self && isPresent(one));
-    return this.#wasTold || isAlone || now - this.#startedAt > TOLD_LIMIT_MS;
+    return this.#hasFetched || isAlone || now - this.#startedAt > FIRST_FETCH_LIMIT_MS;
   }
 
-  /** A VM that is new learns of the others from those that are there. */
+  /** Exchanges state with a random VM: with a seed first, then with present members. */
   #joinOnce(): void {
     const { fleet, seeds, self } = this.#context;
     const present = fleet.all.filter((member) => member.address !== self && isPresent(member));
-    const strangers = seeds.filter((address) => address !== self);
-    const known = this.#joined > 0 ? joinTargets(fleet.self.domain, present) : [];
-    const choice = known.length > 0 ? known : strangers;
+    const others = seeds.filter((address) => address !== self);
+    const known = this.#joinRounds > 0 ? joinTargets(fleet.self.domain, present) : [];
+    const choice = known.length > 0 ? known : others;
     const address = choice[Math.floor(Math.random() * choice.length)];
-    this.#joined += 1;
-    // Seeds and store may both be away when a VM starts; it goes on asking for as long as it is alone.
-    if (this.#joined >= JOIN_ROUNDS && present.length > 0) clearInterval(this.#join);
+    this.#joinRounds += 1;
+    // Seeds and store may both be unreachable at the start, so this repeats until another VM is present.
+    if (this.#joinRounds >= JOIN_ROUNDS && present.length > 0) clearInterval(this.#joinTimer);
     if (present.length === 0) fleet.contact(seeds);
     if (address !== undefined) this.#fetch(address, true);
   }
@@ -296,16 +315,16 @@
   #fetch(address: string, members: boolean): void {
     const { sync, metrics, log } = this.#context;
     metrics.count('news.fetches');
-    this.#asked += 1;
+    this.#pendingFetches += 1;
     sync
       .fetch(address, members)
       .then(() => {
-        this.#wasTold = true;
-        this.#checkDuty(performance.now());
+        this.#hasFetched = true;
+        this.#updateReading(performance.now());
       })
       .catch((error) => log.debug({ address }, toFailure(error).line))
       .finally(() => {
-        this.#asked -= 1;
+        this.#pendingFetches -= 1;
       });
   }
 }
--- a/src/node/router/permits.ts
+++ b/src/node/router/permits.ts
@@ -1,6 +1,7 @@
 /**
- * Permits for runners that name a rate limit. The owner of a service gives out what they
- * take from all VMs together: to its own planner, or to VMs that ask before they send.
+ * Permits for runners that announce a rate limit. The owner of a service grants permits for its
+ * rate-limited runners to its own planner and to VMs that ask before they send a request, so that
+ * all VMs together stay within the limit.
  */
 
 import type { Logger } from 'pino';
@@ -16,10 +17,10 @@
 import type { RateChange, RateLimitDesk } from './ratelimits';
 import { rateSchema } from './ratewire';
 
-/** What permits work with. */
+/** Dependencies of the permit controller. */
 export interface PermitContext {
   readonly vm: string;
-  /** By how much all VMs together may be over a limit for a while. */
+  /** By how much all VMs together may temporarily exceed a limit. */
   readonly bounds: QuotaBounds;
   readonly rateLimits: RateLimitDesk;
   readonly fleet: RouterFleet;
@@ -27,24 +28,27 @@
   readonly log: Logger;
 }
 
-/** Runners among which an owner chooses for one request. */
-const RUNNERS_MOST = 16;
-/** Time after the last request to a limited runner after which one is sent to it though others are less busy, in milliseconds: that its limit has ended shows only in an answer. */
+/** Most runners among which an owner chooses for one request. */
+const MAX_RUNNERS = 16;
+/**
+ * Idle time of a rate-limited runner after which it gets a trial request although others are less
+ * busy, in milliseconds: only an answer shows that its limit has ended.
+ */
 const TRIAL_MS = 4000;
 
 const ms = z.number().min(0).max(1e9);
 /** Asks for a permit to send one request to one of some runners. */
 const askSchema = z.object({
   service: z.string(),
-  runners: z.array(z.string().min(1)).min(1).max(RUNNERS_MOST),
-  /** What the asking VM knows of their limits. */
-  rates: z.array(rateSchema).max(RUNNERS_MOST),
-  /** Longest time that the request may wait for its turn. */
+  runners: z.array(z.string().min(1)).min(1).max(MAX_RUNNERS),
+  /** The rate limits of these runners that the calling VM knows. */
+  rates: z.array(rateSchema).max(MAX_RUNNERS),
+  /** Longest time that the request may wait before it is sent, in milliseconds. */
   mostWaitMs: ms,
-  /** Whether it is only to see if the limit still holds. */
+  /** Whether the request is a trial that only tests whether the limit still holds. */
   isTrial: z.boolean(),
 });
-const toldSchema = z.object({ rates: z.array(rateSchema).max(RUNNERS_MOST) });
+const ratesSchema = z.object({ rates: z.array(rateSchema).max(MAX_RUNNERS) });
 const permitSchema = z.discriminatedUnion('granted', [
   z.object({ granted: z.literal(true), runner: z.string(), waitMs: ms }),
   z.object({ granted: z.literal(false), retryAfterMs: ms }),
@@ -52,10 +56,13 @@
 
 type Ask = Readonly<z.infer<typeof askSchema>>;
 
-/** An owner's word: the request may go to a runner after a wait, or when to ask again. */
+/**
+ * An owner's decision: the runner to which the request may go after `waitMs`, or the time after
+ * which to ask again.
+ */
 export type Permit = Readonly<z.infer<typeof permitSchema>>;
 
-/** Permits at one VM. */
+/** Requests and grants permits at one VM. */
 export class PermitDesk {
   readonly #context: PermitContext;
 
@@ -63,13 +70,13 @@
 
   readonly #owners: AccountOwners;
 
-  /** Until when it is known that a runner takes no more, by runner. */
+  /** Until when a runner is known to accept no more requests, by runner. */
   readonly #fullUntil = new Map<string, number>();
 
-  /** When this VM is to see whether a limit still holds, by runner. */
+  /** When this VM sends the next trial request, by runner. */
   readonly #trialAt = new Map<string, number>();
 
-  /** When the last permit was given out here, by runner. */
+  /** When this VM granted the last permit, by runner. */
   readonly #grantedAt = new Map<string, number>();
 
   constructor(context: PermitContext) {
@@ -87,47 +94,54 @@
     });
   }
 
+  /** Stops the timer. */
   stop(): void {
     this.#owners.stop();
   }
 
-  /** Whether a runner names a rate limit. */
+  /** Whether a runner has a rate limit. */
   isLimited(runner: string): boolean {
     return this.#context.rateLimits.ratePerS(runner) !== undefined;
   }
 
-  /** Whether a limited runner may take one more request, as far as this VM knows. */
+  /** Whether a rate-limited runner may accept one more request, as far as this VM knows. */
   mayTake(now: number, runner: string): boolean {
     return (this.#fullUntil.get(runner) ?? 0) <= now;
   }
 
-  /** Whether this VM is to see if the limit of a runner still holds. */
+  /** Whether this VM must test whether the limit of a runner still holds. */
   isTrialDue(now: number, runner: string): boolean {
     if (!this.isLimited(runner)) return false;
     const trialAt = this.#trialAt.get(runner);
-    // VMs that hear of a limit together do not try together.
+    // Randomized, so that VMs that learn of a limit at the same time do not send trials at the same time.
     if (trialAt === undefined) this.#trialAt.set(runner, now + TRIAL_MS * (1 + Math.random()));
     return trialAt !== undefined && now >= trialAt;
   }
 
-  /** Asks for a permit to send a request to one of some limited runners of a service; the first ones are preferred. */
+  /**
+   * Asks for a permit to send a request to one of some rate-limited runners of a service, in order
+   * of preference.
+   */
   async ask(service: string, runners: readonly string[], mostWaitMs: number): Promise<Permit> {
-    const asked = runners.slice(0, RUNNERS_MOST);
-    const permit = await this.#ask(service, asked, mostWaitMs, false);
+    const asked = runners.slice(0, MAX_RUNNERS);
+    const permit = await this.#request(service, asked, mostWaitMs, false);
     if (permit.granted) return permit;
     const until = performance.now() + permit.retryAfterMs;
     for (const runner of asked) this.#fullUntil.set(runner, until);
     return permit;
   }
 
-  /** Asks for a permit to see whether the limit of a runner still holds. */
+  /**
+   * Asks for a permit to test whether the limit of a runner still holds; resolves to whether it is
+   * granted.
+   */
   async askTrial(service: string, runner: string): Promise<boolean> {
     this.#trialAt.set(runner, performance.now() + TRIAL_MS);
-    const permit = await this.#ask(service, [runner], 0, true);
+    const permit = await this.#request(service, [runner], 0, true);
     return permit.granted;
   }
 
-  async #ask(
+  async #request(
     service: string,
     runners: readonly string[],
     mostWaitMs: number,
@@ -139,44 +153,48 @@
     const answer = await this.#owners.ask(service, 'permit', ask, (value) =>
       permitSchema.parse(value),
     );
-    const permit = answer ?? this.#give(performance.now(), vm, ask);
+    const permit = answer ?? this.#grant(performance.now(), vm, ask);
     if (!permit.granted) metrics.count('permits.refused');
     return permit;
   }
 
-  /** A VM asks for a permit. */
+  /** Answers a VM that asks for a permit. */
   onAsk(now: number, vm: string, params: unknown): Permit {
     const ask = askSchema.parse(params);
     this.#context.rateLimits.learn(now, ask.rates, vm);
-    return this.#give(now, vm, ask);
+    return this.#grant(now, vm, ask);
   }
 
+  /** Handles the message by which a VM registers with the owner of its accounts; see `AccountOwners`. */
   onJoin(now: number, vm: string, params: unknown): void {
     this.#owners.onJoin(now, vm, params);
   }
 
-  /** A VM tells the owner of a service that limits of its runners changed. */
+  /** Handles changed rate limits that a VM reports to the owner of the service. */
   onTold(now: number, vm: string, params: unknown): void {
-    this.#context.rateLimits.learn(now, toldSchema.parse(params).rates, vm);
+    this.#context.rateLimits.learn(now, ratesSchema.parse(params).rates, vm);
   }
 
-  /** The members changed. */
+  /** Must be called when the members changed. */
   changed(now: number): void {
     this.#owners.changed(now);
   }
 
-  /** Limits of runners changed. */
+  /**
+   * Must be called when rate limits changed, also with no changes when a limit may have been
+   * dropped with its runner.
+   */
   limitsChanged(now: number, changes: readonly RateChange[]): void {
     for (const { rate } of changes) this.#fullUntil.delete(rate.runner);
-    this.#forgetOthers();
+    this.#prune();
     this.#owners.changed(now);
-    // The owner gives out the rest of a limit, so it must not hear of it by chance.
+    // The owner grants permits by the limit, so it is called directly instead of relying on gossip.
     for (const { rate, isOwn } of changes) {
       if (isOwn) this.#owners.tell(rate.service, 'rates', { rates: [rate] });
     }
   }
 
-  /** What the planner of a service may give out. */
+  /** The rate allowance of the planner of a service. */
   rationOf(service: string): Ration {
     const { vm, rateLimits } = this.#context;
     const isFree = (runner: string): boolean => rateLimits.ratePerS(runner) === undefined;
@@ -189,27 +207,27 @@
     };
   }
 
-  /** What this VM goes by, for operators. */
+  /** State of the rate limits, for operators. */
   beliefs(): Readonly<Record<string, unknown>> {
     return { runners: this.#context.rateLimits.limited, owners: this.#owners.beliefs() };
   }
 
-  /** Forgets runners that name no limit, or are gone. */
-  #forgetOthers(): void {
+  /** Removes the state of runners that have no limit or are gone. */
+  #prune(): void {
     this.#accounts.retain((runner) => this.isLimited(runner));
     for (const known of [this.#fullUntil, this.#trialAt, this.#grantedAt]) {
       for (const runner of known.keys()) if (!this.isLimited(runner)) known.delete(runner);
     }
   }
 
-  #give(now: number, vm: string, { service, runners, mostWaitMs, isTrial }: Ask): Permit {
+  #grant(now: number, vm: string, { service, runners, mostWaitMs, isTrial }: Ask): Permit {
     const free = runners.find((runner) => !this.isLimited(runner));
     if (free !== undefined) return { granted: true, runner: free, waitMs: 0 };
-    const turns = runners.map((runner) => ({
+    const waits = runners.map((runner) => ({
       runner,
       waitMs: this.#waitMs(now, service, runner),
     }));
-    const { runner } = turns.reduce((best, turn) => (turn.waitMs < best.waitMs ? turn : best));
+    const { runner } = waits.reduce((best, wait) => (wait.waitMs < best.waitMs ? wait : best));
     const trialMs = (this.#grantedAt.get(runner) ?? -Infinity) + TRIAL_MS - now;
     if (isTrial && trialMs > 0) return { granted: false, retryAfterMs: trialMs };
     const verdict = this.#take(now, vm, { group: service, subject: runner }, mostWaitMs);
--- a/src/node/router/quarantine.ts
+++ b/src/node/router/quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this VM's quarantine in step with the fleet: tells other VMs under which
- * requests runners ended, hears of theirs, and has what is refused outlast all VMs
- * in the platform's store.
+ * Replicates the quarantine of requests that crash runners: announces crashes to other VMs,
+ * applies theirs, and saves quarantined requests in the platform's store, where they survive
+ * a restart of all VMs.
  */
 
 import type { Logger } from 'pino';
@@ -12,29 +12,36 @@
 import type { Metrics } from '../metrics';
 import type { SuspectArchive } from './types';
 
-/** What the desk works with. */
+/** Dependencies of the quarantine controller. */
 export interface QuarantineContext {
   readonly archive: SuspectArchive;
   /** Whether this VM reads the store. */
   readonly readsStore: () => boolean;
   readonly metrics: Metrics;
   readonly log: Logger;
-  /** To be told to other VMs. */
+  /** Called with changes to announce to other VMs. */
   readonly onNews: (suspects: readonly Suspect[]) => void;
-  /** What is refused has changed. */
+  /** Called when the set of quarantined requests has changed. */
   readonly onRefused: () => void;
 }
 
-/** Period of looking at what has run out and what is to be saved, in milliseconds. */
-const LOOK_MS = 250;
-/** Time in which news is gathered before it is told, in milliseconds: a runner that ends breaks all of its runs off at once. */
-const GATHER_MS = 20;
-/** Time after which a reader saves what it has not seen in the store, in milliseconds: the VM that found out saves it at once, and a watch tells within a second. */
-const SEEN_MS = 2500;
-/** Time from one try to save to the next, in milliseconds. */
-const SAVE_AGAIN_MS = 1000;
+/** Period of the check for expired requests and requests to save, in milliseconds. */
+const CHECK_MS = 250;
+/**
+ * Time for which changes are batched before they are announced, in milliseconds: a runner that
+ * crashes aborts all of its runs at once.
+ */
+const BATCH_MS = 20;
+/**
+ * Time after which a reader of the store saves a request that it has not seen there, in
+ * milliseconds: the VM that quarantines the request saves it at once, and watches report it within
+ * a second.
+ */
+const SAVE_DELAY_MS = 2500;
+/** Time between two attempts to save a request, in milliseconds. */
+const SAVE_RETRY_MS = 1000;
 
-/** Requests that are kept from the runners, at one VM. */
+/** The quarantine at one VM. */
 export class QuarantineDesk {
   readonly #context: QuarantineContext;
 
@@ -42,47 +49,56 @@
 
   readonly #timer: NodeJS.Timeout;
 
-  /** News that is still to be told, by fingerprint. */
-  readonly #fresh = new Map<string, Suspect>();
+  /** Changes that are not announced yet, by fingerprint. */
+  readonly #pending = new Map<string, Suspect>();
 
-  /** Fingerprints that were refused when this was looked at last. */
+  /** Fingerprints that were in quarantine at the last check. */
   #refused: ReadonlySet<string> = new Set();
 
-  /** Fingerprints that the store is known to hold. */
+  /** Fingerprints that the store is known to contain. */
   #stored = new Set<string>();
 
-  /** When a request is to be saved, by fingerprint. */
+  /** When a request will be saved, by fingerprint. */
   readonly #saveAt = new Map<string, number>();
 
   constructor(context: QuarantineContext) {
     this.#context = context;
-    this.#timer = setInterval(() => this.#look(performance.now()), LOOK_MS).unref();
+    this.#timer = setInterval(() => this.#check(performance.now()), CHECK_MS).unref();
   }
 
+  /** Stops the timer. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** Why a request is to be kept from runners. Default: it is not. */
+  /** The failure with which a quarantined request is rejected; undefined if it is not in quarantine. */
   refusal(now: number, fingerprint: string): Failure | undefined {
     const retryAfterMs = this.#quarantine.refusedForMs(now, fingerprint);
     if (retryAfterMs === undefined) return undefined;
     const ends = this.#quarantine.endsOf(fingerprint);
-    return new Failure('quarantined', `${ends} runners ended under this request`, { retryAfterMs });
+    return new Failure('quarantined', `${ends} runners crashed while processing this request`, {
+      retryAfterMs,
+    });
   }
 
-  /** A runner ended under a request. Gives the runners that are known to have. */
+  /**
+   * Records that a runner crashed while it processed a request; returns the number of runners known
+   * to have.
+   */
   ended(now: number, fingerprint: string, runner: string): number {
     this.#changed(now, this.#quarantine.ended(now, fingerprint, runner), 'own');
     return this.#quarantine.endsOf(fingerprint);
   }
 
-  /** A runner ran a request to a whole answer. */
+  /** Records that a runner answered a request completely. */
   completed(now: number, fingerprint: string): void {
     this.#changed(now, this.#quarantine.completed(now, fingerprint), 'own');
   }
 
-  /** @param source address of the VM that tells, or `store` */
+  /**
+   * Applies the suspect requests that another VM or the store knows.
+   * @param source address of that VM, or `store`
+   */
   learn(now: number, suspects: readonly Suspect[], source: string): void {
     for (const suspect of suspects) {
       this.#changed(now, this.#quarantine.learn(now, suspect), source);
@@ -90,8 +106,8 @@
   }
 
   /**
-   * The store tells of requests.
-   * @param isAll whether it holds no others: what is missing was lost with it, and is saved again
+   * Applies the requests that the store contains.
+   * @param isAll whether it contains no others: missing ones were lost and are saved again
    */
   stored(now: number, suspects: readonly Suspect[], isAll: boolean): void {
     if (isAll) this.#stored = new Set();
@@ -99,17 +115,17 @@
     this.learn(now, suspects, 'store');
   }
 
-  /** What is refused in short, for others to compare; empty if nothing is. */
+  /** Digest of the quarantine, by which VMs detect that theirs differ; empty if nothing is in quarantine. */
   digest(now: number): string {
     return this.#quarantine.digest(now);
   }
 
-  /** All that is known, for another VM. */
+  /** All known suspect requests, for another VM. */
   suspects(now: number): readonly Suspect[] {
     return this.#quarantine.suspects(now);
   }
 
-  /** What is refused, for operators. */
+  /** Requests in quarantine, for operators. */
   beliefs(now: number): readonly unknown[] {
     return this.#quarantine.refused(now).map(({ fingerprint, ends }) => ({
       fingerprint,
@@ -118,56 +134,59 @@
     }));
   }
 
-  #changed(now: number, news: Suspect | undefined, source: string): void {
-    if (!news) return;
-    this.#tell(news);
-    const { fingerprint } = news;
+  #changed(now: number, suspect: Suspect | undefined, source: string): void {
+    if (!suspect) return;
+    this.#announce(suspect);
+    const { fingerprint } = suspect;
     const isRefused = this.#quarantine.refusedForMs(now, fingerprint) !== undefined;
     if (isRefused === this.#refused.has(fingerprint)) return;
     if (source === 'own') this.#saveAt.set(fingerprint, now);
-    this.#review(now, source);
+    this.#updateRefused(now, source);
   }
 
-  #tell(news: Suspect): void {
-    if (this.#fresh.size === 0) setTimeout(() => this.#tellAll(), GATHER_MS).unref();
-    this.#fresh.set(news.fingerprint, news);
+  #announce(suspect: Suspect): void {
+    if (this.#pending.size === 0) setTimeout(() => this.#flush(), BATCH_MS).unref();
+    this.#pending.set(suspect.fingerprint, suspect);
   }
 
-  #tellAll(): void {
-    const suspects = [...this.#fresh.values()];
-    this.#fresh.clear();
+  #flush(): void {
+    const suspects = [...this.#pending.values()];
+    this.#pending.clear();
     this.#context.onNews(suspects);
   }
 
-  #look(now: number): void {
-    this.#review(now, 'time');
+  #check(now: number): void {
+    this.#updateRefused(now, 'time');
     if (this.#context.readsStore()) this.#checkStored(now);
     for (const [fingerprint, at] of this.#saveAt) if (now >= at) this.#save(now, fingerprint);
   }
 
-  /** Compares what is refused with what was. */
-  #review(now: number, source: string): void {
+  /** Updates the set of quarantined requests and reports its changes. */
+  #updateRefused(now: number, source: string): void {
     const refused = this.#quarantine.refused(now);
     const before = this.#refused;
     this.#refused = new Set(refused.map(({ fingerprint }) => fingerprint));
     const { log, metrics, onRefused } = this.#context;
-    const begun = refused.filter(({ fingerprint }) => !before.has(fingerprint));
-    const over = [...before].filter((fingerprint) => !this.#refused.has(fingerprint));
-    for (const { fingerprint, ends } of begun) {
+    const added = refused.filter(({ fingerprint }) => !before.has(fingerprint));
+    const released = [...before].filter((fingerprint) => !this.#refused.has(fingerprint));
+    for (const { fingerprint, ends } of added) {
       const runners = ends.map(({ runner }) => runner);
-      log.warn({ fingerprint, runners, source, forMs: KEPT_MS }, 'Refuses a request.');
+      log.warn({ fingerprint, runners, source, forMs: KEPT_MS }, 'Quarantined a request.');
     }
-    for (const fingerprint of over) log.info({ fingerprint, source }, 'Takes a request again.');
-    if (begun.length + over.length === 0) return;
+    for (const fingerprint of released) log.info({ fingerprint, source }, 'Released a request.');
+    if (added.length + released.length === 0) return;
     metrics.gauge('quarantine.requests', this.#refused.size);
     onRefused();
   }
 
-  /** The VM that found out may have died before it saved, and the store may have come back without. */
+  /**
+   * Schedules saving of requests that the store lacks: the VM that detected them may have died
+   * before it saved them, or the store was restored from an older copy.
+   */
   #checkStored(now: number): void {
     for (const fingerprint of this.#refused) {
       const isMissing = !this.#stored.has(fingerprint) && !this.#saveAt.has(fingerprint);
-      if (isMissing) this.#saveAt.set(fingerprint, now + SEEN_MS);
+      if (isMissing) this.#saveAt.set(fingerprint, now + SAVE_DELAY_MS);
     }
   }
 
@@ -178,12 +197,12 @@
       this.#saveAt.delete(fingerprint);
       return;
     }
-    this.#saveAt.set(fingerprint, now + SAVE_AGAIN_MS);
+    this.#saveAt.set(fingerprint, now + SAVE_RETRY_MS);
     const { archive, log } = this.#context;
     archive
       .save(suspect, KEPT_MS)
       .then(() => {
-        log.info({ fingerprint }, 'Saved a request that is refused.');
+        log.info({ fingerprint }, 'Saved a quarantined request.');
         this.#stored.add(fingerprint);
         this.#saveAt.delete(fingerprint);
       })
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -1,4 +1,7 @@
-/** Customers' quotas: asks the owner of a customer's account before each run, and answers for the accounts that this VM owns. */
+/**
+ * Customers' quotas: asks the owner of a customer's account before each attempt, and decides for
+ * the accounts that this VM owns.
+ */
 
 import type { Logger } from 'pino';
 import { z } from 'zod';
@@ -17,7 +20,7 @@
 import type { RouterFleet } from './fleet';
 import type { Knowledge } from './knowledge';
 
-/** What quotas work with. */
+/** Dependencies of the quota controller. */
 export interface QuotaContext {
   readonly vm: string;
   readonly bounds: QuotaBounds;
@@ -27,8 +30,8 @@
   readonly log: Logger;
 }
 
-/** Lines of requests over a quota in a second. */
-const REFUSAL_LINES = 20;
+/** Log lines about requests over a quota per second. */
+const REJECTION_LINES_PER_S = 20;
 
 const name = z.string().min(1).max(200);
 const amount = z.number().min(0).max(1e15);
@@ -38,7 +41,7 @@
   burst: amount,
   plainTokens: amount,
 });
-/** Asks for a run of a customer, whose quota is told as of the configuration `version`. */
+/** Asks to charge an attempt to a customer, whose `quota` is that of the configuration `version`. */
 const askSchema = z.object({
   customer: name,
   quota: quotaSchema,
@@ -57,7 +60,7 @@
   return { group: groupOf(customer), subject: customer };
 }
 
-/** Quotas at one VM. */
+/** Enforces quotas at one VM. */
 export class QuotaDesk {
   readonly #context: QuotaContext;
 
@@ -80,16 +83,20 @@
       metrics,
       log,
     });
-    this.#lines = new LineBudget(REFUSAL_LINES, (lines) =>
-      log.info({ lines }, 'Refused more over a quota.'),
+    this.#lines = new LineBudget(REJECTION_LINES_PER_S, (lines) =>
+      log.info({ lines }, 'Rejected more requests over a quota.'),
     );
   }
 
+  /** Stops the timer. */
   stop(): void {
     this.#owners.stop();
   }
 
-  /** Pays for one more run of a request. Gives why it must not run; undefined if it may. */
+  /**
+   * Charges one attempt of a request to the customer's quota. Resolves to the failure if it is over
+   * the quota, or undefined if it may run.
+   */
   async cover(exchange: Exchange): Promise<Failure | undefined> {
     const { request, charge } = exchange;
     const quota = this.#quotaOf(request.customer);
@@ -97,40 +104,42 @@
     const size = sizeOf(quota, request.usage);
     const version = this.#context.knowledge.configVersion;
     const verdict = await this.#ask({ customer: request.customer, quota, version, size });
-    if (!verdict.granted) return this.#refusalOf(exchange, size, verdict.retryAfterMs);
+    if (!verdict.granted) return this.#rejectionOf(exchange, size, verdict.retryAfterMs);
     charge.take(size);
     return undefined;
   }
 
-  /** Gives back what was taken for a run that did not take place. */
+  /** Refunds what was charged for attempts that did not run. */
   settle({ request, charge }: Exchange): void {
     const { customer } = request;
     const size = charge.settle();
     if (customer === undefined || size === 0) return;
-    const isTold = this.#owners.tell(groupOf(customer), 'quotaBack', { customer, size });
-    if (!isTold) this.#accounts.giveBack(keyOf(customer), size);
+    const isSent = this.#owners.tell(groupOf(customer), 'quotaBack', { customer, size });
+    if (!isSent) this.#accounts.giveBack(keyOf(customer), size);
   }
 
-  /** A VM asks for a run. */
+  /** Answers a VM that asks to charge an attempt. */
   onAsk(now: number, vm: string, params: unknown): QuotaVerdict {
-    return this.#take(now, vm, askSchema.parse(params));
+    return this.#charge(now, vm, askSchema.parse(params));
   }
 
+  /** Handles the message by which a VM registers with the owner of its accounts; see `AccountOwners`. */
   onJoin(now: number, vm: string, params: unknown): void {
     this.#owners.onJoin(now, vm, params);
   }
 
+  /** Handles a refund of another VM. */
   onBack(params: unknown): void {
     const { customer, size } = backSchema.parse(params);
     this.#accounts.giveBack(keyOf(customer), size);
   }
 
-  /** Members or customers changed. */
+  /** Must be called when the members or the customers changed. */
   changed(now: number): void {
     this.#owners.changed(now);
   }
 
-  /** What this VM goes by, for operators. */
+  /** State of the quotas, for operators. */
   beliefs(): Readonly<Record<string, unknown>> {
     return { accounts: this.#accounts.size, owners: this.#owners.beliefs() };
   }
@@ -145,23 +154,26 @@
     return this.#context.knowledge.table?.keyRing?.customer(customer)?.quota;
   }
 
-  /** The word of the first owner that answers; with none, this VM gives out its own part. */
+  /**
+   * The verdict of the first owner that answers; if none does, this VM grants from its own share of
+   * the quota.
+   */
   async #ask(ask: Ask): Promise<QuotaVerdict> {
     const verdict = await this.#owners.ask(groupOf(ask.customer), 'quota', ask, (answer) =>
       verdictSchema.parse(answer),
     );
-    return verdict ?? this.#take(performance.now(), this.#context.vm, ask);
+    return verdict ?? this.#charge(performance.now(), this.#context.vm, ask);
   }
 
-  /** The quota is that of the newer configuration of the two VMs. */
-  #take(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaVerdict {
-    const isBehind = version > this.#context.knowledge.configVersion;
-    const valid = isBehind ? quota : this.#quotaOf(customer);
+  /** Charges the quota as defined by the newer configuration of the two VMs. */
+  #charge(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaVerdict {
+    const isOutdated = version > this.#context.knowledge.configVersion;
+    const valid = isOutdated ? quota : this.#quotaOf(customer);
     if (!valid) return { granted: true, waitMs: 0 };
     return this.#accounts.take(now, vm, keyOf(customer), valid, this.#owners.members, size);
   }
 
-  #refusalOf({ request }: Exchange, size: number, retryAfterMs: number): Failure {
+  #rejectionOf({ request }: Exchange, size: number, retryAfterMs: number): Failure {
     const { knowledge, log, metrics } = this.#context;
     const { configVersion } = knowledge;
     const { customer } = request;
@@ -169,7 +181,7 @@
     if (this.#lines.allows(performance.now())) {
       log.info(
         { request: request.id, customer, configVersion, size, retryAfterMs },
-        'Over the quota.',
+        'Rejected a request over the quota.',
       );
     }
     return new Failure('overQuota', `${customer} is over its quota`, { retryAfterMs });
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what this VM knows of the rate limits that runners name in step with the fleet:
- * learns them from answers, tells other VMs, and hears of theirs.
+ * Tracks the rate limits that runners announce: reads them from answers, announces changes to
+ * other VMs and applies theirs.
  */
 
 import type { Logger } from 'pino';
@@ -14,72 +14,76 @@
 import type { Knowledge } from './knowledge';
 import type { Reply } from './types';
 
-/** A limit that changed as this VM sees it. */
+/** A change of a rate limit. */
 export interface RateChange {
   readonly rate: RunnerRate;
-  /** Whether an answer to this VM told of it. */
+  /** Whether this VM found it in an answer of the runner itself. */
   readonly isOwn: boolean;
 }
 
-/** What rate limits work with. */
+/** Dependencies of the rate limit controller. */
 export interface RateLimitContext {
   readonly knowledge: Knowledge;
   readonly metrics: Metrics;
   readonly log: Logger;
-  /** To be told to other VMs and acted upon; with none where a limit may be over with its runner. */
+  /**
+   * Called with changes to announce and apply; with an empty list when limits may have been dropped
+   * because their runners are gone.
+   */
   readonly onNews: (changes: readonly RateChange[]) => void;
 }
 
-/** Answers below this status are what a runner in good order gives. */
+/** Answers of a healthy runner have a status below this one. */
 const SERVER_ERROR = 500;
-/** Source of what this VM's own answers tell. */
+/** Source of limits that this VM found in answers of runners. */
 const OWN = 'own';
-/** Lines of changed limits in a second. */
-const RATE_LINES = 10;
-/** Lines of values that are no rate in a second. */
-const UNREADABLE_LINES = 2;
-/** Period of forgetting limits that are over, in milliseconds. */
+/** Log lines about changed limits per second. */
+const RATE_LINES_PER_S = 10;
+/** Log lines about unreadable limits per second. */
+const UNREADABLE_LINES_PER_S = 2;
+/** Period of removing ended limits, in milliseconds. */
 const PRUNE_MS = 2000;
-/** Time in which news is gathered before it is told, in milliseconds. */
-const GATHER_MS = 20;
+/** Time for which changes are batched before they are announced, in milliseconds. */
+const BATCH_MS = 20;
 
-/** Rate limits at one VM. */
+/** Rate limits of runners as one VM knows them. */
 export class RateLimitDesk {
   readonly #context: RateLimitContext;
 
   readonly #rates = new RunnerRates();
 
-  readonly #lines: LineBudget;
+  readonly #changeLines: LineBudget;
 
-  readonly #unreadable: LineBudget;
+  readonly #unreadableLines: LineBudget;
 
   readonly #timer: NodeJS.Timeout;
 
-  /** News that is still to be told, by runner. */
-  readonly #fresh = new Map<string, RateChange>();
+  /** Changes that are not announced yet, by runner. */
+  readonly #pending = new Map<string, RateChange>();
 
   constructor(context: RateLimitContext) {
     this.#context = context;
     const { log } = context;
-    this.#lines = new LineBudget(RATE_LINES, (lines) =>
+    this.#changeLines = new LineBudget(RATE_LINES_PER_S, (lines) =>
       log.info({ lines }, 'More rate limits changed.'),
     );
-    this.#unreadable = new LineBudget(UNREADABLE_LINES, (lines) =>
+    this.#unreadableLines = new LineBudget(UNREADABLE_LINES_PER_S, (lines) =>
       log.warn({ lines }, 'More rate limits were unreadable.'),
     );
     this.#timer = setInterval(() => this.#prune(performance.now()), PRUNE_MS).unref();
   }
 
+  /** Stops the timer. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** Requests a second that a runner takes from all VMs together. Default: it names no limit. */
+  /** Requests per second that a runner accepts from all VMs together; undefined if it has no limit. */
   ratePerS(runner: string): number | undefined {
     return this.#rates.ratePerS(runner);
   }
 
-  /** What is known of a runner's limit. Default: it never named one. */
+  /** The last known state of a runner's limit; undefined if it never announced one. */
   rateOf(runner: string): RunnerRate | undefined {
     return this.#rates.rateOf(runner);
   }
@@ -90,59 +94,65 @@
   }
 
   /**
-   * The limits in force and those that ended a while ago, of the runners that are listed, for
-   * another VM. VMs forget the others one after the other; told of them, none ever would.
+   * The limits in force and those that ended recently, of listed runners only, for another VM.
+   * VMs drop the limits of runners that are gone at different times; if they sent these to each
+   * other, none would ever be dropped.
    */
   told(now: number): readonly RunnerRate[] {
     return this.#listedOf(now, this.#rates.all);
   }
 
-  /** Which runners are limited, in short, for others to compare; empty if none is. */
+  /** Digest of the limits in force, by which VMs detect that theirs differ; empty if there are none. */
   digest(now: number): string {
     return digestOf(this.#listedOf(now, this.#rates.limited));
   }
 
-  /** A request is sent to a runner. */
+  /** Counts a request that is sent to a rate-limited runner. */
   sent({ id }: Runner): void {
     if (this.#rates.ratePerS(id) !== undefined) this.#context.metrics.count('ratelimits.sent');
   }
 
-  /** An answer has begun to a request that was sent to a runner. */
+  /** Reads the rate limit from the head of a runner's answer to a request sent at `sentAt`. */
   replied(now: number, runner: Runner, sentAt: number, reply: Reply): void {
-    // Another start answered, or another service under the same address.
+    // The answer is that of another instance, or of another service at the same address.
     if (reply.misdirected) return;
     const { rateNotice: notice } = reply;
-    if (notice.kind === 'unreadable') this.#noteUnreadable(now, runner, notice.text);
-    const provesEnd = notice.kind === 'none' && isInOrder(runner, reply);
+    if (notice.kind === 'unreadable') this.#reportUnreadable(now, runner, notice.text);
+    const provesEnd = notice.kind === 'none' && isHealthyReply(runner, reply);
     const news = this.#rates.saw(now, runner, { sentAt, notice, provesEnd });
     if (news) this.#changed(now, news, OWN);
   }
 
-  /** @param source address or name of the VM that tells */
+  /**
+   * Applies the rate limits that another VM knows.
+   * @param source address or name of that VM
+   */
   learn(now: number, rates: readonly RunnerRate[], source: string): void {
     for (const rate of rates) if (this.#rates.learn(now, rate)) this.#changed(now, rate, source);
   }
 
   #changed(now: number, rate: RunnerRate, source: string): void {
     const { log, metrics } = this.#context;
-    if (this.#fresh.size === 0) setTimeout(() => this.#tellAll(), GATHER_MS).unref();
-    this.#fresh.set(rate.runner, { rate, isOwn: source === OWN });
+    if (this.#pending.size === 0) setTimeout(() => this.#flush(), BATCH_MS).unref();
+    this.#pending.set(rate.runner, { rate, isOwn: source === OWN });
     metrics.gauge('ratelimits.runners', this.#rates.limited.length);
-    if (!this.#lines.allows(now)) return;
-    const holds = rate.ratePerS !== undefined;
-    const what = holds ? 'A runner has a rate limit.' : 'A runner has no rate limit any more.';
-    log.info({ ...rate, source }, what);
+    if (!this.#changeLines.allows(now)) return;
+    const isLimited = rate.ratePerS !== undefined;
+    const text = isLimited
+      ? 'A runner has announced a rate limit.'
+      : 'The rate limit of a runner has ended.';
+    log.info({ ...rate, source }, text);
   }
 
-  #tellAll(): void {
-    const changes = [...this.#fresh.values()];
-    this.#fresh.clear();
+  #flush(): void {
+    const changes = [...this.#pending.values()];
+    this.#pending.clear();
     this.#context.onNews(changes);
   }
 
-  #noteUnreadable(now: number, { id: runner, service }: Runner, text: string): void {
+  #reportUnreadable(now: number, { id: runner, service }: Runner, text: string): void {
     this.#context.metrics.count('ratelimits.unreadable');
-    if (!this.#unreadable.allows(now)) return;
+    if (!this.#unreadableLines.allows(now)) return;
     const detail = `found ${JSON.stringify(text)} as a rate limit, expected a decimal number`;
     const { line } = new Failure('factUnreadable', detail);
     this.#context.log.warn({ runner, service, keptPerS: this.#rates.ratePerS(runner) }, line);
@@ -154,7 +164,7 @@
     return rates.filter(({ runner }) => listed.has(runner));
   }
 
-  /** Ids of the runners that may get work. */
+  /** Ids of the runners that may get requests. */
   #listed(now: number): ReadonlySet<string> {
     return new Set(this.#context.knowledge.runners(now).map(({ id }) => id));
   }
@@ -168,8 +178,11 @@
   }
 }
 
-/** Whether a runner ran the request and answered as usual: others of its answers may lack the limit. */
-function isInOrder({ role }: Runner, { genuine, status, notRun }: Reply): boolean {
-  // Answers to prefills are not for callers and need no signature.
+/**
+ * Whether the runner processed the request normally: other answers may lack the limit although it
+ * isLimited.
+ */
+function isHealthyReply({ role }: Runner, { genuine, status, notRun }: Reply): boolean {
+  // Answers to prefills are not passed on to callers and need no signature.
   return (genuine || role === 'prefill') && status < SERVER_ERROR && !notRun;
 }
--- a/src/node/router/ratewire.ts
+++ b/src/node/router/ratewire.ts
@@ -1,4 +1,4 @@
-/** Rate limits of runners in the messages between VMs. */
+/** Encodes rate limits of runners for the messages between VMs. */
 
 import { z } from 'zod';
 
@@ -6,19 +6,19 @@
 import type { RunnerRate } from '../../core/ratelimits/types';
 import { toRumour } from './rumours';
 
-/** Path of news of one runner's limit, followed by the id of its start. */
+/** Path prefix of gossip updates about a rate limit, followed by the id of the runner's instance. */
 export const RATE_PATH = 'rate/';
 
-/** One runner's limit in a message. */
+/** Schema of one runner's rate limit in a message. */
 export const rateSchema = z.object({
   runner: z.string().min(1),
   service: z.string(),
   version: z.int().min(1),
-  /** Left out if the limit has ended. */
+  /** Requests per second; omitted if the limit has ended. */
   ratePerS: z.number().min(0).optional(),
 });
 
-/** News of one runner's limit. */
+/** The gossip update about one runner's rate limit. */
 export function rateRumour(rate: RunnerRate): Rumour {
   return toRumour(`${RATE_PATH}${rate.runner}`, rate.version, rate);
 }
--- a/src/node/router/rumours.ts
+++ b/src/node/router/rumours.ts
@@ -1,24 +1,27 @@
-/** Small news in the messages between VMs: a value as text under a path. */
+/** Encodes gossip updates: small values that VMs send each other as JSON text under a path. */
 
 import type { z } from 'zod';
 
 import { Failure } from '../../core/failure';
 import type { Rumour } from '../../core/membership/types';
 
-/** @param revision grows with what is newer */
+/**
+ * Encodes a gossip update.
+ * @param revision a higher one replaces a lower one of the same path
+ */
 export function toRumour(path: string, revision: number, value: unknown): Rumour {
   return { path, revision, text: JSON.stringify(value) };
 }
 
-/** Rejects with `peerRejected` by throwing. */
+/** Decodes and checks a gossip update; throws a `peerRejected` failure. */
 export function fromRumour<T>({ path, text = '' }: Rumour, schema: z.ZodType<T>): T {
   let value: unknown;
   try {
     value = JSON.parse(text);
   } catch {
-    throw new Failure('peerRejected', `${path}: found no JSON`);
+    throw new Failure('peerRejected', `${path}: found no JSON, expected a value`);
   }
   const parsed = schema.safeParse(value);
-  if (!parsed.success) throw new Failure('peerRejected', `${path}: does not fit`);
+  if (!parsed.success) throw new Failure('peerRejected', `${path}: found a malformed value`);
   return parsed.data;
 }
--- a/src/node/router/suspects.ts
+++ b/src/node/router/suspects.ts
@@ -1,4 +1,4 @@
-/** Requests under which runners ended, in the messages between VMs. */
+/** Encodes requests that crashed runners for the messages between VMs. */
 
 import { z } from 'zod';
 
@@ -6,19 +6,19 @@
 import type { Suspect } from '../../core/quarantine/types';
 import { toRumour } from './rumours';
 
-/** Path of news of one request, followed by its fingerprint. */
+/** Path prefix of gossip updates about a suspect request, followed by its fingerprint. */
 export const SUSPECT_PATH = 'suspect/';
 
 const ageSchema = z.number().nonnegative();
 
-/** One request in a message. */
+/** Schema of one suspect request in a message. */
 export const suspectSchema = z.object({
   fingerprint: z.string().max(64),
   ends: z.array(z.object({ runner: z.string().max(300), agoMs: ageSchema })).max(8),
   completedAgoMs: ageSchema.optional(),
 });
 
-/** News of one request. */
+/** The gossip update about one suspect request. */
 export function suspectRumour(suspect: Suspect): Rumour {
   const { fingerprint, ends } = suspect;
   return toRumour(`${SUSPECT_PATH}${fingerprint}`, ends.length, suspect);
--- a/src/node/router/sync.ts
+++ b/src/node/router/sync.ts
@@ -1,4 +1,4 @@
-/** The exchange of what two VMs know: configuration, runners and members in one call. */
+/** The state exchange between two VMs: configuration, runners and members in one call. */
 
 import { z } from 'zod';
 
@@ -18,7 +18,7 @@
 import { rateSchema } from './ratewire';
 import { suspectSchema } from './suspects';
 
-/** What an exchange works with. */
+/** Dependencies of the state exchange. */
 export interface SyncContext {
   readonly knowledge: Knowledge;
   readonly quarantine: QuarantineDesk;
@@ -27,11 +27,14 @@
 }
 
 /** Time limit of one exchange, in milliseconds. */
-const LIMIT_MS = 1000;
-/** Facts in one answer, about: some 250 bytes each within the largest message; the rest comes with the next exchange. */
-const FACTS_MOST = 2000;
-/** Rate limits in one answer, for the same reason. */
-const RATES_MOST = 2000;
+const FETCH_TIMEOUT_MS = 1000;
+/**
+ * Approximate limit of runner records in one answer: at some 250 bytes each they fit into the
+ * largest message. The rest follows with the next exchange.
+ */
+const MAX_RUNNER_RECORDS = 2000;
+/** Limit of rate limits in one answer, for the same reason. */
+const MAX_RATE_LIMITS = 2000;
 
 const runnerSchema = z.object({
   id: z.string(),
@@ -45,29 +48,29 @@
   leaving: z.boolean(),
 });
 const positionSchema = z.object({ era: z.int().min(0), revision: z.int().min(0) });
-/** Starts of the store's latest eras, the latest first. */
+/** Start positions of the store's latest eras, the latest first. */
 const erasSchema = z.array(positionSchema).max(8);
 const factSchema = z.object({
   id: z.string(),
   position: positionSchema,
-  /** Left out if the runner is gone. */
+  /** Omitted if the runner is gone. */
   runner: runnerSchema.optional(),
   graceMs: z.number().optional(),
 });
-const requestSchema = z.object({
+const fetchSchema = z.object({
   configVersion: z.number(),
-  /** Digest of the runners that the asking VM knows, by parts. */
+  /** Parts of the digest of the runners that the calling VM knows. */
   parts: z.array(z.number()).length(DIGEST_PARTS),
-  /** Whether the members are asked for. */
+  /** Whether the answer must include the members. */
   members: z.boolean(),
   eras: erasSchema.default([]),
-  /** Digest of the requests that the asking VM refuses. */
+  /** Digest of the requests that the calling VM has in quarantine. */
   refused: z.string().default(''),
-  /** Digest of the runners that the asking VM knows to be rate limited. */
+  /** Digest of the rate limits that the calling VM knows. */
   limited: z.string().default(''),
 });
 const answerSchema = z.object({
-  /** Left out if it is not newer. */
+  /** Omitted if it is not newer than the caller's. */
   config: z.custom<Uint8Array>((value) => value instanceof Uint8Array).optional(),
   facts: z.array(factSchema),
   eras: erasSchema.default([]),
@@ -78,9 +81,9 @@
 });
 
 type Answer = Readonly<z.infer<typeof answerSchema>>;
-type WireFact = Answer['facts'][number];
+type WireRecord = Answer['facts'][number];
 
-function toWire({ id, position, runner, graceMs }: RunnerFact): WireFact {
+function toWire({ id, position, runner, graceMs }: RunnerFact): WireRecord {
   return {
     id,
     position,
@@ -97,26 +100,26 @@
   return { ...suspect, ends: [...suspect.ends] };
 }
 
-function fromWire({ id, position, runner, graceMs }: WireFact): RunnerFact {
+function fromWire({ id, position, runner, graceMs }: WireRecord): RunnerFact {
   return { id, position, runner, graceMs };
 }
 
-/** Rejects with `peerRejected` by throwing. */
+/** Decodes start positions of eras; throws a `peerRejected` failure. */
 export function decodeEras(text: string): readonly Position[] {
   const parsed = erasSchema.safeParse(parseJson(text));
-  if (!parsed.success) throw new Failure('peerRejected', 'found eras that do not fit');
+  if (!parsed.success) throw new Failure('peerRejected', 'found eras that do not fit the schema');
   return parsed.data;
 }
 
-/** One fact as the text of a message. */
+/** Encodes a runner record as the text of a gossip update. */
 export function encodeFact(fact: RunnerFact): string {
   return JSON.stringify(toWire(fact));
 }
 
-/** Rejects with `peerRejected` by throwing. */
+/** Decodes a runner record; throws a `peerRejected` failure. */
 export function decodeFact(text: string): RunnerFact {
   const parsed = factSchema.safeParse(parseJson(text));
-  if (!parsed.success) throw new Failure('peerRejected', 'found a fact that does not fit');
+  if (!parsed.success) throw new Failure('peerRejected', 'found a record that does not fit');
   return fromWire(parsed.data);
 }
 
@@ -124,40 +127,40 @@
   try {
     return JSON.parse(text);
   } catch {
-    throw new Failure('peerRejected', 'found news that is no JSON');
+    throw new Failure('peerRejected', 'found a gossip update that is no JSON');
   }
 }
 
-/** Both sides of the exchange. */
+/** Both sides of the state exchange. */
 export class FactSync {
   readonly #context: SyncContext;
 
-  /** The configuration that was packed last. */
+  /** Cache of the last compressed configuration. */
   #packed: { readonly version: number; readonly bytes: Uint8Array } | undefined;
 
   constructor(context: SyncContext) {
     this.#context = context;
   }
 
-  /** What this VM knows beside what the asking one does. */
+  /** Answers another VM with the state in which the two differ. */
   answer(now: number, params: unknown): Answer {
     const { knowledge, quarantine, rateLimits, fleet } = this.#context;
-    const { configVersion, parts, members, eras, refused, limited } = requestSchema.parse(params);
+    const { configVersion, parts, members, eras, refused, limited } = fetchSchema.parse(params);
     knowledge.learnEras(now, eras, 'asked');
-    const tellsSuspects = members || refused !== quarantine.digest(now);
-    const tellsRates = members || limited !== rateLimits.digest(now);
+    const includesSuspects = members || refused !== quarantine.digest(now);
+    const includesRates = members || limited !== rateLimits.digest(now);
     return {
       ...(configVersion < knowledge.configVersion ? { config: this.#packedConfig() } : {}),
-      facts: knowledge.factsBeside(now, parts, FACTS_MOST).map(toWire),
+      facts: knowledge.factsBeside(now, parts, MAX_RUNNER_RECORDS).map(toWire),
       eras: [...knowledge.eras],
       ...(members ? { members: fleet.all.map(toWireMember) } : {}),
-      suspects: tellsSuspects ? quarantine.suspects(now).map(toWireSuspect) : [],
-      rates: tellsRates ? rateLimits.told(now).slice(0, RATES_MOST) : [],
+      suspects: includesSuspects ? quarantine.suspects(now).map(toWireSuspect) : [],
+      rates: includesRates ? rateLimits.told(now).slice(0, MAX_RATE_LIMITS) : [],
       ...knowledge.proof(bootNow()),
     };
   }
 
-  /** Asks another VM and takes over what is newer there. */
+  /** Fetches the state of another VM and applies what is newer; `members` requests its members, too. */
   async fetch(address: string, members: boolean): Promise<void> {
     const { knowledge, quarantine, rateLimits, fleet } = this.#context;
     const { configVersion, digestParts } = knowledge;
@@ -167,9 +170,11 @@
     const { eras } = knowledge;
     const askedAt = bootNow();
     const request = { configVersion, parts: digestParts, members, eras, refused, limited };
-    const answer = answerSchema.parse(await fleet.call(address, 'facts', request, LIMIT_MS));
+    const answer = answerSchema.parse(
+      await fleet.call(address, 'facts', request, FETCH_TIMEOUT_MS),
+    );
     const now = performance.now();
-    // Before the configuration, with which this VM begins to take callers.
+    // Before the configuration, since this VM accepts callers once it has one.
     quarantine.learn(now, answer.suspects, address);
     rateLimits.learn(now, answer.rates, address);
     if (answer.config) knowledge.learnConfig(now, unpackConfig(answer.config), address);
--- a/src/node/router/types.ts
+++ b/src/node/router/types.ts
@@ -1,4 +1,4 @@
-/** What the router needs of the system around it; an adapter provides it. */
+/** Interfaces between the router and its adapters to the platform. */
 
 import type { IncomingMessage } from 'node:http';
 
@@ -14,7 +14,7 @@
 import type { AnswerHead } from '../../core/stream/answer';
 import type { Failure } from '../../core/failure';
 
-/** Settings of one router process, resolved. */
+/** Settings of one router process, with defaults applied. */
 export interface RouterSettings {
   readonly vm: string;
   readonly domain: string;
@@ -25,108 +25,119 @@
     readonly directory: string | undefined;
     readonly metrics: string | undefined;
   };
-  /** Address for links and probes between VMs. */
+  /** Address for connections and membership probes between VMs, as `HOST:PORT`. */
   readonly peer: string;
-  /** Peer addresses of VMs that may be up already. */
+  /** Peer addresses through which this VM joins the fleet. */
   readonly seeds: readonly string[];
+  /** Shared key that authenticates VMs to each other. */
   readonly peerKey: string;
-  /** Processor cores of this VM, as a part or a multiple of one. */
+  /** Processor cores of this VM; may be a fraction. */
   readonly cores: number;
   readonly retries: RetryBounds;
   readonly ages: AgeBounds;
   readonly quotas: QuotaBounds;
-  /** By how much all VMs together may be over the rate limit of a runner. */
+  /** By how much all VMs together may exceed the rate limit of a runner. */
   readonly rateLimits: QuotaBounds;
-  /** Time between the signal to stop and the kill, in milliseconds. */
+  /** Time between the termination signal and the kill, in milliseconds. */
   readonly graceMs: number;
-  /** Time for which holders of the right to give orders may not take turns, in milliseconds. */
+  /** Duration of the lease for role orders, in milliseconds: no other VM can acquire it meanwhile. */
   readonly leaseMs: number;
-  /** How long callers may keep a directory answer, in milliseconds. */
+  /** How long callers may cache a directory answer, in milliseconds. */
   readonly addressTtlMs: number;
 }
 
-/** What the caller of a model tells of its request. */
+/** Token counts and prompt id that the caller of a model sends with its request. */
 export interface Usage {
-  /** Names the prompt, the same in all tries of the caller. */
+  /** Identifies the prompt across all attempts of the caller. */
   readonly promptId: string | undefined;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
+  /** Output length that the caller expects; undefined if it gives no hint. */
   readonly hintTokens: number | undefined;
 }
 
-/** A request as a caller sent it, whole. */
+/** A request of a caller, with its whole body. */
 export interface CallRequest {
   readonly id: string;
   readonly host: string;
   readonly method: string;
   /** Path and query as sent. */
   readonly target: string;
-  /** Names and values by turns, without those that concern one connection or are the router's to set. */
+  /** Alternating names and values, without hop-by-hop headers and those that the router sets itself. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** Time that the caller will wait. Default: the route's. */
+  /** How long the caller waits for the answer, in milliseconds; undefined means the route's timeout. */
   readonly deadlineMs: number | undefined;
-  /** Default: the caller told none. */
+  /** Undefined if the caller sent none. */
   readonly usage: Usage | undefined;
   readonly credential: Credential;
-  /** Whose it is, as runners are told. Default: nobody's. */
+  /** Customer name that is passed on to runners; undefined if the request belongs to none. */
   readonly customer: string | undefined;
 }
 
-/** A prefilled prompt that lies at a runner. */
+/** The KV cache of a prefilled prompt that a runner holds. */
 export interface CacheHandle {
   readonly address: string;
   readonly handle: string;
 }
 
-/** A request for one runner. */
+/** One attempt of a request at a runner. */
 export interface Dispatch {
   readonly runner: Runner;
   readonly request: CallRequest;
-  /** Time that the runner has. */
+  /** Time that the runner has to answer, in milliseconds. */
   readonly deadlineMs: number;
   readonly signal: AbortSignal;
-  /** Called with the head of the runner's answer, whatever becomes of its body. */
+  /** Called with the head of the runner's answer, even if the body fails later. */
   readonly onReply: (reply: Reply) => void;
 }
 
-/** A request for a decode runner. */
+/** One attempt of a request at a decode runner. */
 export interface DecodeDispatch extends Dispatch {
-  /** Where the prompt lies; without one the runner reads it itself. */
+  /** Where the KV cache of the prompt is held; undefined makes the runner prefill the prompt itself. */
   readonly cache: CacheHandle | undefined;
-  /** Id of the last event that the caller has. Default: it has none. */
+  /** Id of the last event that the caller received; undefined if it received none. */
   readonly afterEvent: string | undefined;
 }
 
-/** A runner's answer, once its header is there. */
+/** A runner's answer whose headers have arrived. */
 export interface Reply extends AnswerHead {
-  /** Names and values by turns, without those that concern one connection. */
+  /** Alternating names and values, without hop-by-hop headers. */
   readonly headers: readonly string[];
-  /** Whether it is the runner's answer to this very request. */
+  /** Whether the signature proves that this is the runner's answer to this request. */
   readonly genuine: boolean;
-  /** The runner's word that it did not run the request and never will. */
+  /** Whether the runner states that it has not run the request and will not run it. */
   readonly notRun: boolean;
-  /** The answer of another runner than the one meant, or of one that now does something else; implies `notRun`. */
+  /**
+   * Whether another runner answered than the intended one, or one whose service or role has
+   * changed; implies `notRun`.
+   */
   readonly misdirected: boolean;
   readonly rateNotice: RateNotice;
   readonly body: IncomingMessage;
 }
 
-/** What a runner says of itself. */
+/** Status that a runner reports about itself. */
 export interface RunnerReport extends MemoryReport {
-  /** When it started, in Unix milliseconds; 0 where it does not tell. */
+  /** When the runner's instance started, in Unix milliseconds; 0 if it does not report that. */
   readonly bornAt: number;
 }
 
-/** Client of the runners. Rejections are `Failure`s: `runnerUnreachable` if nothing was sent. */
+/** Client of the runners. Its promises reject with a `Failure`: `runnerUnreachable` if nothing was sent. */
 export interface RunnerClient {
+  /** Sends a plain request. */
   send(dispatch: Dispatch): Promise<Reply>;
+  /** Starts to decode; the answer's body streams the events. */
   decode(dispatch: DecodeDispatch): Promise<Reply>;
-  /** Has the prompt read and its KV cache kept. */
+  /** Has the runner prefill the prompt and keep its KV cache. */
   prefill(dispatch: Dispatch): Promise<CacheHandle>;
+  /** Releases a KV cache. */
   freeCache(cache: CacheHandle): Promise<void>;
   report(runner: Runner): Promise<RunnerReport>;
-  /** Orders a runner to prefill or to decode from now on. */
+  /**
+   * Orders a runner to switch its role; `holder` and `fence` identify the lease under which the
+   * order is given.
+   */
   order(
     runner: Runner,
     role: 'prefill' | 'decode',
@@ -135,81 +146,81 @@
   ): Promise<OrderOutcome>;
 }
 
-/** `unknown` orders may still be carried out seconds later. */
+/** Outcome of a role order; an `unknown` one may still be carried out seconds later. */
 export type OrderOutcome = 'accepted' | 'rejected' | 'unknown';
 
-/** The right to give orders, held by one VM at a time. */
+/** The lease under which one VM at a time gives role orders. */
 export interface OrderRight {
-  /** Grows with each holder. */
+  /** Fencing token; increases with each holder. */
   readonly fence: number;
-  /** Whether no other VM gave orders before. */
+  /** Whether no other VM held the lease before. */
   readonly fresh: boolean;
-  /** Whether the right still holds. */
+  /** Extends the lease; resolves to whether it is still held. */
   renew(): Promise<boolean>;
   release(): Promise<void>;
 }
 
-/** Where that right is taken. */
+/** The lock that grants the lease for role orders. */
 export interface OrderLock {
-  /** Undefined if another VM holds it. */
+  /** Resolves to undefined if another VM holds the lease. */
   acquire(): Promise<OrderRight | undefined>;
 }
 
-/** Where requests that are refused outlast all VMs. */
+/** Persistent storage of quarantined requests, which survives a restart of all VMs. */
 export interface SuspectArchive {
-  /** @param keptMs time after which it is forgotten, in milliseconds */
+  /** @param keptMs time after which the entry expires, in milliseconds */
   save(suspect: Suspect, keptMs: number): Promise<void>;
 }
 
-/** What a feed of facts tells. */
+/** Receives what a feed reads from the store. */
 export interface FeedListener {
   onConfig(config: RoutingConfig): void;
   onRunners(facts: readonly RunnerFact[]): void;
-  /** The store is of another era than was known. Told before what it holds. */
+  /** The store is in another era than the last known one. Called before the store's content is delivered. */
   onEra(start: Position): void;
-  /** The full list of runners as of a position. */
+  /** The ids of all listed runners as of a position of the store. */
   onListed(ids: ReadonlySet<string>, position: Position): void;
   onVms(vms: readonly { readonly vm: string; readonly address: string }[]): void;
-  /** Requests that are refused, as some VM saved them; `isAll` if the store holds no others. */
+  /** Quarantined requests that VMs saved; `isAll` if the store holds no others. */
   onSuspects(suspects: readonly Suspect[], isAll: boolean): void;
   /**
-   * Told after what it holds: nothing else was in force when it was asked.
-   * @param askedAt boot time; see `bootNow`
+   * Confirms freshness: the configuration delivered before was in force when the store was asked.
+   * @param askedAt boot time of the call; see `bootNow`
    */
   onProof(askedAt: number): void;
-  /** After each call to the store: whether it was answered. */
+  /** Called after each call to the store with whether it succeeded. */
   onStore(up: boolean, detail: string): void;
 }
 
 /** Source of configuration, runners and VMs. */
 export interface Feed {
-  /** Nothing is read until `setReading`. */
+  /** Sets the listener; nothing is read until `setReading`. */
   start(listener: FeedListener): void;
-  /** Asks once for the configuration in force. Does nothing while it asks. */
+  /** Asks once for the configuration in force; does nothing while such a call is pending. */
   confirm(): void;
-  /** Begins to read everything and then changes, or ends that after the call under way. */
+  /** Starts to read the whole content and then its changes, or stops after the pending call. */
   setReading(reading: boolean): void;
   stop(): void;
 }
 
-/** Translates between callers and the router. */
+/** Decodes callers' requests and encodes the router's own answers. */
 export interface IngressCodec {
-  /** The id under which logs name the request, before anything was checked. */
+  /** The id of the request in logs, taken before any validation; undefined if it has none. */
   idOf(message: IncomingMessage): string | undefined;
   /**
-   * Rejects with `badRequest` by throwing.
-   * @param keyed whether requests carry keys, which no runner may see
+   * Decodes a request; throws a `badRequest` failure.
+   * @param keyed whether requests carry API keys, which must not reach a runner
    */
   decode(message: IncomingMessage, body: Buffer, keyed: boolean): CallRequest;
-  /** Headers of an answer of the router's own. */
+  /** Headers of an error answer that the router generates. */
   refusalHeaders(failure: Failure, id: string | undefined): Readonly<Record<string, string>>;
 }
 
-/** Whether a path on the ready or directory address is theirs, and the answer's body. */
+/** Matches requests on the readiness and directory addresses and encodes look-up answers. */
 export interface ControlCodec {
   isReadiness(message: IncomingMessage): boolean;
   isLookup(message: IncomingMessage): boolean;
-  /** Failure domain of the caller of a look-up; empty if it tells none. */
+  /** Failure domain of the caller of a look-up; empty if the request names none. */
   domainOf(message: IncomingMessage): string;
   lookupBody(addresses: readonly string[], ttlMs: number): string;
 }
--- a/test/router/accountowners.test.ts
+++ b/test/router/accountowners.test.ts
@@ -22,9 +22,9 @@
   storeLost: false,
 });
 
-/** A fleet whose owners are set by hand, and what a VM tells them. */
-class Told {
-  /** Owners of every group, the first one first. */
+/** A VM's view of a fleet with fixed owners; records the registrations that the VM sends. */
+class FleetView {
+  /** Owners of every group, by descending rank. */
   ranked: readonly Member[] = [];
 
   groups: readonly string[] = ['g'];
@@ -32,7 +32,7 @@
   /** Address of a VM that does not answer. */
   silent: string | undefined;
 
-  /** What was told since this was asked last. */
+  /** Registrations sent since the last call of `changed`. */
   #calls: string[] = [];
 
   readonly owners: AccountOwners;
@@ -67,48 +67,51 @@
 describe('a VM', () => {
   const [one, other] = [memberOf('one'), memberOf('other')];
 
-  test('says by whom it goes, once', () => {
-    const told = new Told();
-    expect(told.changed([one, other])).toEqual(['join one:1 g']);
-    expect(told.changed([one])).toEqual([]);
-    told.owners.stop();
+  test('registers with the owner once', () => {
+    const view = new FleetView();
+    expect(view.changed([one, other])).toEqual(['join one:1 g']);
+    expect(view.changed([one])).toEqual([]);
+    view.owners.stop();
   });
 
-  /* Its part counts at one owner only: both would give it out. */
-  test('tells the owner before that it goes by another one', () => {
-    const told = new Told();
-    told.changed([one, other]);
-    expect(told.changed([other, one])).toEqual(['leave one:1 g', 'join other:1 g']);
-    expect(told.changed([memberOf('self')])).toEqual(['leave other:1 g']);
-    told.owners.stop();
+  /* Guards against a share that counts at two owners, which would both grant it. */
+  test('ends the registration with the previous owner when the owner changes', () => {
+    const view = new FleetView();
+    view.changed([one, other]);
+    expect(view.changed([other, one])).toEqual(['leave one:1 g', 'join other:1 g']);
+    expect(view.changed([memberOf('self')])).toEqual(['leave other:1 g']);
+    view.owners.stop();
   });
 
-  /* An owner that was started anew knows of nobody, and gave out next to nothing. */
-  test('says so again to an owner that was started anew', () => {
-    const told = new Told();
-    told.changed([one]);
-    expect(told.changed([memberOf('one', 2)])).toEqual(['join one:1 g']);
-    told.owners.stop();
+  /* An owner that was restarted has lost all registrations and would grant next to nothing. */
+  test('registers again with an owner that was restarted', () => {
+    const view = new FleetView();
+    view.changed([one]);
+    expect(view.changed([memberOf('one', 2)])).toEqual(['join one:1 g']);
+    view.owners.stop();
   });
 
-  test('says so again for a group that is there again', () => {
-    const told = new Told();
-    told.changed([one]);
-    told.groups = [];
-    expect(told.changed([one])).toEqual([]);
-    told.groups = ['g'];
-    expect(told.changed([one])).toEqual(['join one:1 g']);
-    told.owners.stop();
+  test('registers again for a group that was removed and added again', () => {
+    const view = new FleetView();
+    view.changed([one]);
+    view.groups = [];
+    expect(view.changed([one])).toEqual([]);
+    view.groups = ['g'];
+    expect(view.changed([one])).toEqual(['join one:1 g']);
+    view.owners.stop();
   });
 
-  /* The owner was killed. Left to the membership, it takes seconds until the VMs go by the next one, and what they may use lies idle. */
-  test('goes by the next owner once one does not answer', async () => {
-    const told = new Told();
-    told.silent = 'one:1';
-    told.changed([one, other]);
+  /*
+   * The owner was killed. If VMs waited for the membership to detect that, they would use the next
+   * owner only seconds later, and their shares would be unused until then.
+   */
+  test('uses the next owner once one does not answer', async () => {
+    const view = new FleetView();
+    view.silent = 'one:1';
+    view.changed([one, other]);
     await setImmediate();
-    expect(told.changed([one, other])).toEqual(['join other:1 g']);
-    expect(told.owners.beliefs()).toEqual({ g: 'other' });
-    told.owners.stop();
+    expect(view.changed([one, other])).toEqual(['join other:1 g']);
+    expect(view.owners.beliefs()).toEqual({ g: 'other' });
+    view.owners.stop();
   });
 });
--- a/test/router/beliefs.test.ts
+++ b/test/router/beliefs.test.ts
@@ -2,8 +2,8 @@
 import { call } from '../../src/utils/http';
 
 describe('the metrics address', () => {
-  /* On-call engineers ask a node why it decides as it does; metrics are fetched from the same address. */
-  test('tells what the node believes on one path and metrics on the others', async () => {
+  /* Operators read a node's state snapshot from the address that also serves its metrics. */
+  test('serves the state snapshot on one path and metrics on the others', async () => {
     const metrics = new RouterMetrics();
     const address = '127.0.0.1:19464';
     metrics.ended('deed-reader', 503, 'runnerFull', 120);
@@ -15,9 +15,9 @@
         headers: { connection: 'close' },
         timeoutMs: 1000,
       });
-    const [beliefs, text] = await Promise.all([get('/beliefs'), get('/metrics')]);
+    const [snapshot, text] = await Promise.all([get('/snapshot'), get('/metrics')]);
     metrics.close();
-    expect(JSON.parse(beliefs.body)).toEqual({ vm: 'front-1', configVersion: 7 });
+    expect(JSON.parse(snapshot.body)).toEqual({ vm: 'front-1', configVersion: 7 });
     expect(text.body).toContain(
       'goldcrestdock_requests_total{service="deed-reader",status="503",code="runnerFull"} 1',
     );
--- a/test/router/knowledge.test.ts
+++ b/test/router/knowledge.test.ts
@@ -21,145 +21,156 @@
 const fresh = (): Knowledge =>
   new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
 
-const ids = (knowledge: Knowledge, now: number): readonly string[] =>
-  knowledge.runnersOf(now, 's').map(({ id }) => id);
-
-describe('what a VM knows', () => {
-  test('never goes back to an older configuration', () => {
-    const knowledge = fresh();
-    expect(knowledge.learnConfig(0, config(7), 'store')).toBe(true);
-    expect(knowledge.learnConfig(1, config(4), 'peer')).toBe(false);
-    expect(knowledge.configVersion).toBe(7);
+const ids = (state: Knowledge, now: number): readonly string[] =>
+  state.runnersOf(now, 's').map(({ id }) => id);
+
+describe('the routing state of a VM', () => {
+  test('never returns to an older configuration', () => {
+    const state = fresh();
+    expect(state.learnConfig(0, config(7), 'store')).toBe(true);
+    expect(state.learnConfig(1, config(4), 'peer')).toBe(false);
+    expect(state.configVersion).toBe(7);
   });
 
-  /* A peer that is behind tells of a runner that is leaving by now. It must get no new work because of that. */
-  test('never goes back to an older fact of a runner', () => {
-    const knowledge = fresh();
+  /*
+   * A peer with outdated state sends the record of a runner that meanwhile leaves. The runner must
+   * not get new work.
+   */
+  test('never returns to an older record of a runner', () => {
+    const state = fresh();
     const leaving = runner('r', { leaving: true });
-    knowledge.learnRunners(0, [{ id: 'r', position: at(9), runner: leaving }], 'store');
-    knowledge.learnRunners(1, [{ id: 'r', position: at(5), runner: runner('r') }], 'peer');
-    expect(ids(knowledge, 2)).toEqual([]);
+    state.learnRunners(0, [{ id: 'r', position: at(9), runner: leaving }], 'store');
+    state.learnRunners(1, [{ id: 'r', position: at(5), runner: runner('r') }], 'peer');
+    expect(ids(state, 2)).toEqual([]);
   });
 
   /*
-   * The store was down and the runners' leases ran out meanwhile; they register
-   * again within two seconds. If they were dropped at once, every request of
-   * those two seconds would be refused.
+   * The runners' leases expired during an outage of the store; they register again
+   * within two seconds of its end. If they were dropped at once, every request of
+   * those two seconds would be rejected.
    */
-  test('keeps runners that vanished in an outage until they had time to come back', () => {
-    const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    knowledge.storeFailed(1000);
-    knowledge.learnList(1500, new Set(), at(8));
-    expect(ids(knowledge, 2500)).toEqual(['r']);
-    expect(ids(knowledge, 4100)).toEqual([]);
+  test('keeps runners that disappeared in an outage until they had time to register again', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.storeFailed(1000);
+    state.learnList(1500, new Set(), at(8));
+    expect(ids(state, 2500)).toEqual(['r']);
+    expect(ids(state, 4100)).toEqual([]);
   });
 
   /*
-   * One VM alone had lost the store and has read it again. A runner whose entry is
-   * removed after that reading leaves for good: its lease did not lapse meanwhile.
-   * Kept for as long as a lapsed one, it got work two seconds after it had left.
+   * A single VM had lost the store and has read the full list again. A runner whose entry
+   * is removed after that list leaves for good: its lease did not expire in the outage.
+   * Kept for as long as an expired one, it got work two seconds after it had left.
    */
-  test('keeps a runner that vanishes after the return of the store only for a moment', () => {
-    const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    knowledge.storeFailed(1000);
-    knowledge.learnList(1500, new Set(['r']), at(8));
-    knowledge.learnRunners(2100, [{ id: 'r', position: at(9), runner: undefined }], 'store');
-    expect(ids(knowledge, 3000)).toEqual(['r']);
-    expect(ids(knowledge, 3200)).toEqual([]);
+  test('keeps a runner that disappears after the first full list only for the short grace period', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.storeFailed(1000);
+    state.learnList(1500, new Set(['r']), at(8));
+    state.learnRunners(2100, [{ id: 'r', position: at(9), runner: undefined }], 'store');
+    expect(ids(state, 3000)).toEqual(['r']);
+    expect(ids(state, 3200)).toEqual([]);
   });
 
   /*
-   * A runner left, and its entry was removed; the store came back from a copy that has
-   * the entry again, and it is removed once more. Kept for a moment each time, the runner
-   * got work four seconds after it had left.
+   * A runner left, and its entry was removed; the store was restored from a copy that contains
+   * the entry, and it is removed once more. With a grace period each time, the runner got work
+   * four seconds after it had left.
    */
-  test('keeps a runner that is gone already no longer because it is told again', () => {
-    const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    knowledge.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
-    knowledge.storeFailed(1000);
-    knowledge.learnRunners(2000, [{ id: 'r', position: at(3), runner: undefined }], 'store');
-    expect(ids(knowledge, 2001)).toEqual([]);
+  test('does not extend the grace period of a runner whose removal is reported again', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    state.storeFailed(1000);
+    state.learnRunners(2000, [{ id: 'r', position: at(3), runner: undefined }], 'store');
+    expect(ids(state, 2001)).toEqual([]);
   });
 
   /*
-   * A runner said that it leaves. A heartbeat that it had sent before is carried out
-   * seconds later, over that, and at a later position. It gets no work because of it.
+   * A runner announced that it leaves. A heartbeat that it had sent before is written seconds
+   * later at a later position and overwrites that. The runner must not get work again.
    */
-  test('takes no runner back that had said it leaves', () => {
-    const knowledge = fresh();
-    const tell = (revision: number, leaving: boolean): void => {
+  test('does not use a runner again that announced to leave', () => {
+    const state = fresh();
+    const learn = (revision: number, leaving: boolean): void => {
       const told = runner('r', { leaving });
-      knowledge.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
     };
-    tell(1, false);
-    tell(2, true);
-    tell(3, false);
-    expect(ids(knowledge, 9)).toEqual([]);
+    learn(1, false);
+    learn(2, true);
+    learn(3, false);
+    expect(ids(state, 9)).toEqual([]);
   });
 
-  /* Its entry is removed without an outage: the runner is leaving and serves for a while longer, but gets nothing new. */
-  test('drops a runner whose entry is removed while the store is well', () => {
-    const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    knowledge.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
-    expect(ids(knowledge, 10)).toEqual([]);
+  /*
+   * An entry that is removed without an outage means that the runner leaves: it completes its
+   * requests, but gets no new ones.
+   */
+  test('drops a runner whose entry is removed while the store is available', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    expect(ids(state, 10)).toEqual([]);
   });
 
-  /* A runner said that it leaves, then its entry lapsed in an outage. The outage must not bring it back. */
-  test('does not keep a runner that had said it leaves', () => {
-    const knowledge = fresh();
+  /*
+   * A runner announced that it leaves, then its entry expired in an outage. The outage must not
+   * make it usable again.
+   */
+  test('grants no grace period to a runner that announced to leave', () => {
+    const state = fresh();
     const leaving = runner('r', { leaving: true });
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: leaving }], 'store');
-    knowledge.storeFailed(1000);
-    knowledge.learnList(1500, new Set(), at(8));
-    expect(ids(knowledge, 1600)).toEqual([]);
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: leaving }], 'store');
+    state.storeFailed(1000);
+    state.learnList(1500, new Set(), at(8));
+    expect(ids(state, 1600)).toEqual([]);
   });
 
   /*
-   * A runner lost power and starts again under its id. It holds nothing of before:
-   * it is another start, and what is told late of the earlier one, even at a higher
-   * revision, changes nothing.
+   * A runner lost power and restarts under its id without its earlier state: it is another
+   * instance. Late records of the earlier instance, even at a higher revision, must change nothing.
    */
-  test('takes a later start of a runner for another one, and never goes back', () => {
-    const knowledge = fresh();
+  test('treats a restarted runner as another instance, and never returns to the earlier one', () => {
+    const state = fresh();
     const start = (bornAt: number, leaving = false): Runner =>
       runner('r', { id: startId('r', bornAt), bornAt, leaving });
-    const tell = (revision: number, told: Runner): void =>
-      knowledge.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
-    tell(1, start(1000, true));
-    expect(ids(knowledge, 0)).toEqual([]);
-    tell(2, start(2000));
-    expect(ids(knowledge, 0)).toEqual(['r@2000']);
-    tell(3, start(1000, true));
-    expect(ids(knowledge, 0)).toEqual(['r@2000']);
-    expect(knowledge.latestStart('r')).toBe(2000);
+    const learn = (revision: number, told: Runner): void =>
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
+    learn(1, start(1000, true));
+    expect(ids(state, 0)).toEqual([]);
+    learn(2, start(2000));
+    expect(ids(state, 0)).toEqual(['r@2000']);
+    learn(3, start(1000, true));
+    expect(ids(state, 0)).toEqual(['r@2000']);
+    expect(state.latestStart('r')).toBe(2000);
   });
 
-  /* A runner's own report names a later start than its entry. The listed start is over; the new one gets work once it is listed. */
-  test('gives no work to a start that is over by the runner itself', () => {
-    const knowledge = fresh();
+  /*
+   * A runner reports a later start than its entry. The listed instance is gone; the new one gets
+   * work once it is listed.
+   */
+  test('gives no work to an instance that the runner itself reports as replaced', () => {
+    const state = fresh();
     const start = (bornAt: number): Runner => runner('r', { id: startId('r', bornAt), bornAt });
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: start(1000) }], 'store');
-    knowledge.learnStart('r', 2000);
-    expect(ids(knowledge, 0)).toEqual([]);
-    knowledge.learnRunners(0, [{ id: 'r', position: at(2), runner: start(1000) }], 'peer');
-    expect(ids(knowledge, 0)).toEqual([]);
-    knowledge.learnRunners(0, [{ id: 'r', position: at(3), runner: start(2000) }], 'store');
-    expect(ids(knowledge, 0)).toEqual(['r@2000']);
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: start(1000) }], 'store');
+    state.learnStart('r', 2000);
+    expect(ids(state, 0)).toEqual([]);
+    state.learnRunners(0, [{ id: 'r', position: at(2), runner: start(1000) }], 'peer');
+    expect(ids(state, 0)).toEqual([]);
+    state.learnRunners(0, [{ id: 'r', position: at(3), runner: start(2000) }], 'store');
+    expect(ids(state, 0)).toEqual(['r@2000']);
   });
 
   /*
-   * Another writer has put an entry over that of a runner. It is read again with
-   * every full list and told by every peer. The runner gets no work, and the log
-   * has one line for the entry, not one for each time that it is read.
+   * Another writer has overwritten a runner's entry with an invalid one, which every full list
+   * and every peer repeats. The runner must get no work, and the log must have one line per
+   * revision of the entry, not one per read.
    */
-  test('reports an entry that names no runner once for each revision', () => {
+  test('reports an invalid entry once for each revision', () => {
     const lines: string[] = [];
     let counted = 0;
-    const knowledge = new Knowledge(
+    const state = new Knowledge(
       new History(),
       pino({ level: 'warn' }, { write: (line) => lines.push(line) }),
       {
@@ -169,39 +180,35 @@
         },
       },
     );
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    const unfit = (revision: number): RunnerFact => ({
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    const invalidEntry = (revision: number): RunnerFact => ({
       id: 'r',
       position: at(revision),
       runner: undefined,
       unreadable: 'runner r: at slots: unfit',
     });
     for (let now = 0; now < 200_000; now += 1000) {
-      knowledge.learnRunners(now, [unfit(2)], 'store');
-      expect(ids(knowledge, now)).toEqual([]);
+      state.learnRunners(now, [invalidEntry(2)], 'store');
+      expect(ids(state, now)).toEqual([]);
     }
-    knowledge.learnRunners(200_000, [unfit(3)], 'peer');
+    state.learnRunners(200_000, [invalidEntry(3)], 'peer');
     expect([lines.length, counted]).toEqual([2, 2]);
     expect(lines[0]).toContain('[503] runner r: at slots: unfit');
-    knowledge.learnRunners(201_000, [{ id: 'r', position: at(4), runner: runner('r') }], 'store');
-    expect(ids(knowledge, 201_000)).toEqual(['r']);
+    state.learnRunners(201_000, [{ id: 'r', position: at(4), runner: runner('r') }], 'store');
+    expect(ids(state, 201_000)).toEqual(['r']);
   });
 
-  test('reports a runner of a service that it does not know once', () => {
+  test('reports a runner of an unknown service once', () => {
     let counted = 0;
-    const knowledge = new Knowledge(new History(), pino({ level: 'silent' }), {
+    const state = new Knowledge(new History(), pino({ level: 'silent' }), {
       onNews: () => {},
       onUnfitEntry: () => {
         counted += 1;
       },
     });
-    knowledge.learnConfig(0, config(1), 'store');
+    state.learnConfig(0, config(1), 'store');
     for (let revision = 1; revision < 9; revision += 1) {
-      knowledge.learnRunners(
-        0,
-        [{ id: 'r', position: at(revision), runner: runner('r') }],
-        'store',
-      );
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: runner('r') }], 'store');
     }
     expect(counted).toBe(1);
   });
--- a/test/router/news.test.ts
+++ b/test/router/news.test.ts
@@ -21,13 +21,13 @@
   storeLost: false,
 });
 
-/** A VM that has just started beside others, and whether it reads the store. */
-class Newcomer {
+/** A VM that has just joined a fleet; records whether it reads the store. */
+class JoiningVm {
   reads = false;
 
   readonly lines: string[] = [];
 
-  readonly desk: NewsDesk;
+  readonly controller: NewsDesk;
 
   readonly #fetches: { readonly resolve: () => void; readonly reject: (error: Error) => void }[] =
     [];
@@ -37,7 +37,7 @@
     const self = memberOf('new');
     const all = [self, ...others.map(memberOf)];
     const knowledge = new Knowledge(new History(), log, silentListener);
-    this.desk = new NewsDesk({
+    this.controller = new NewsDesk({
       knowledge,
       gate: gateOf(knowledge),
       quarantine: quarantineOf(),
@@ -60,10 +60,10 @@
       self: self.address,
       onDescription: () => {},
     } as unknown as NewsContext);
-    this.desk.start();
+    this.controller.start();
   }
 
-  /** The VMs that were asked answer. */
+  /** Completes the pending state exchanges. */
   async answer(): Promise<void> {
     for (const { resolve } of this.#fetches.splice(0)) resolve();
     await Promise.resolve();
@@ -76,26 +76,29 @@
   afterEach(() => jest.useRealTimers());
 
   /*
-   * The store has come back from an older copy, with an older configuration than is in
-   * force. A VM that starts in that moment and reads the store first served by it: callers
-   * got 404 for a route that all other VMs served, until news came round.
+   * The store was restored from an older copy and has an older configuration than the one in
+   * force. A VM that started then and read the store first applied that configuration: callers
+   * got 404 for a route that all other VMs served, until gossip reached the VM.
    */
-  test('reads the store only once another VM told it what is in force', async () => {
-    const newcomer = new Newcomer(['other']);
+  test('reads the store only after a state exchange with another VM', async () => {
+    const joining = new JoiningVm(['other']);
     jest.advanceTimersByTime(600);
-    expect(newcomer.reads).toBe(false);
-    await newcomer.answer();
+    expect(joining.reads).toBe(false);
+    await joining.answer();
     jest.advanceTimersByTime(300);
-    expect(newcomer.reads).toBe(true);
-    newcomer.desk.stop();
+    expect(joining.reads).toBe(true);
+    joining.controller.stop();
   });
 
-  /* The others are there but do not answer. It cannot wait for ever: callers are told its address. */
-  test('goes by the store alone if no other VM answers, and says so', () => {
-    const newcomer = new Newcomer(['other']);
+  /*
+   * The other VMs are present but do not answer. The wait must end, since the directory lists this
+   * VM for callers.
+   */
+  test('is configured by the store alone if no other VM answers, and logs that', () => {
+    const joining = new JoiningVm(['other']);
     jest.advanceTimersByTime(2500);
-    expect(newcomer.reads).toBe(true);
-    expect(newcomer.lines.join('')).toContain('by the store alone');
-    newcomer.desk.stop();
+    expect(joining.reads).toBe(true);
+    expect(joining.lines.join('')).toContain('by the store alone');
+    joining.controller.stop();
   });
 });
--- a/test/router/quarantine.test.ts
+++ b/test/router/quarantine.test.ts
@@ -3,57 +3,57 @@
 import { eventually } from '../fakes/cluster';
 import { DEADLY, Routers } from '../fakes/routers';
 
-/** Time between two attempts of the caller, in milliseconds: news is with all VMs well before. */
+/** Time between two attempts of the caller, in milliseconds: gossip reaches all VMs well before. */
 const ATTEMPT_MS = 300;
 const ATTEMPTS = 12;
-/** Runners that a request may end before it is known for it. */
+/** Number of crashed runners after which a request is quarantined. */
 const ENDS = 3;
-/** Sends to runners that may still follow after that. */
+/** Most sends to runners after that. */
 const LATE_SENDS = 3;
 
 /*
- * Decode runners end one after the other, and the summaries on them are cut. One
- * request ends each runner that begins to run it, 80 ms after it was sent; its caller
- * gets 502 and sends it again, under a new id and to another VM. Every attempt was
- * taken for a first one: nothing held what runners had ended under. The log showed one
- * request without an event at each of nineteen ends, all on one route, and its prompt
- * read in 72 to 77 ms where a prefill runner had it a second time, else in some 275.
+ * One request crashes each runner that starts to process it, 80 ms after it was sent, which
+ * also cuts the other streams on that runner. The caller gets 502 and sends the request again, with a
+ * new id and to another VM. Without a record of the requests that crashed runners, every
+ * attempt counted as a first one: nineteen decode runners crashed one after the other, each
+ * with one request without an event, all on one route. Its prompt was prefilled in 72 to 77 ms
+ * where a prefill runner got it a second time, and in some 275 ms otherwise.
  */
-describe('a request that ends each runner that begins to run it', () => {
+describe('a request that crashes each runner that starts to process it', () => {
   const routers = new Routers();
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
 
   test.each(['/model/deadly', '/plain/deadly'])(
-    'is kept from runners once it has ended three: %s',
+    'is quarantined once it has crashed three runners: %s',
     async (path) => {
-      const endedBefore = routers.ended.length;
+      const crashedBefore = routers.ended.length;
       const reached: number[] = [];
       const statuses: number[] = [];
       for (let turn = 0; turn < ATTEMPTS; turn += 1) {
         const before = routers.reached;
-        const known = routers.ended.length - endedBefore >= ENDS;
+        const isKnown = routers.ended.length - crashedBefore >= ENDS;
         const { status } = await routers.ask(turn, path, DEADLY);
-        if (known) reached.push(routers.reached - before);
+        if (isKnown) reached.push(routers.reached - before);
         statuses.push(status);
         await pause(ATTEMPT_MS);
       }
       expect(reached.filter((sends) => sends > 0).length).toBeLessThanOrEqual(LATE_SENDS);
-      expect(routers.ended.length - endedBefore).toBeLessThanOrEqual(ENDS + LATE_SENDS);
+      expect(routers.ended.length - crashedBefore).toBeLessThanOrEqual(ENDS + LATE_SENDS);
       expect(statuses.slice(-3)).toEqual([503, 503, 503]);
     },
     30_000,
   );
 });
 
-describe('a request that is kept from runners', () => {
+describe('a quarantined request', () => {
   const routers = new Routers();
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
 
-  /** Statuses of one attempt at each VM, one after the other. */
+  /** Sends one attempt to each VM, one after the other, and returns the statuses. */
   const askAll = async (vms: number, body: string): Promise<readonly number[]> => {
     const statuses: number[] = [];
     for (let turn = 0; turn < vms; turn += 1) {
@@ -64,11 +64,11 @@
   };
 
   /*
-   * The store is silent while the request ends its third runner, so that nobody can save
-   * it there. All VMs know it from each other. Once the store answers it is saved, and VMs
-   * that all start anew know it before a runner gets it again.
+   * The store does not answer while the request crashes its third runner, so no VM can save it
+   * there; VMs learn of it by gossip. Once the store answers, it is saved, and after a restart
+   * of all VMs it is isKnown before a runner gets it again.
    */
-  test('is known to VMs that are new, and when all start anew', async () => {
+  test('is isKnown to new VMs, and after a restart of all VMs', async () => {
     expect(await askAll(2, DEADLY)).toEqual([502, 502]);
     routers.store.mood = 'busy';
     expect(await askAll(4, DEADLY)).toEqual([502, 503, 503, 503]);
@@ -82,8 +82,8 @@
     expect(routers.ended.length).toBe(3);
   }, 30_000);
 
-  /* The store comes back from a copy of before it was saved: those who read the store save it again. */
-  test('is saved again when the store comes back without it', async () => {
+  /* The store is restored from a copy that lacks the request: the VMs that read the store save it again. */
+  test('is saved again when a restored store lacks it', async () => {
     const suspects = (): readonly string[] =>
       routers.store.keys.filter((key) => key.includes('/suspects/'));
     const [saved = ''] = suspects();
@@ -94,7 +94,7 @@
     expect(await askAll(2, DEADLY)).toEqual([503, 503]);
   }, 20_000);
 
-  test('has the time to come back told, and no other request is refused', async () => {
+  test('is rejected with a retry time, and no other request is rejected', async () => {
     const { status, retryAfter } = await routers.ask(0, '/model/x', DEADLY);
     // A third of the five seconds that the caller waits.
     expect([status, retryAfter]).toEqual([503, '1.7']);
--- a/test/router/quotas.test.ts
+++ b/test/router/quotas.test.ts
@@ -27,23 +27,23 @@
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
 
-  /* Answers to requests that come at once, to all VMs in turn. */
+  /* Sends requests at once, to all VMs in turn, and returns the answers. */
   function answersOf(count: number, path: string, key: string): Promise<readonly CallerAnswer[]> {
     const sent = bearer(key);
     const asked = Array.from({ length: count }, (_, i) => routers.ask(i, path, `${i}`, sent));
     return Promise.all(asked);
   }
 
-  /* Their statuses. */
+  /* The same, but returns the statuses. */
   async function flood(count: number, path: string, key: string): Promise<readonly number[]> {
     return (await answersOf(count, path, key)).map(({ status }) => status);
   }
 
   /*
-   * A customer sends four times its burst at once, to all VMs. Each VM alone sees a third
-   * of it, and let all of it through.
+   * A customer sends four times its burst at once, spread over all VMs. Each VM sees a third
+   * of the requests; VMs that counted only their own ones admitted all of them.
    */
-  test('hold over all VMs; what is over is told when to come back and runs nothing', async () => {
+  test('hold across all VMs; requests over the quota get a retry time and reach no runner', async () => {
     // The owner's account fills up to the burst.
     await pause((BURST / PER_S) * 1000 + 500);
     const before = routers.reached;
@@ -60,7 +60,7 @@
     expect(refused.every(({ retryAfter }) => Number(retryAfter) > 0)).toBe(true);
   });
 
-  test('of one customer leave the others alone', async () => {
+  test('of one customer do not affect other customers', async () => {
     const [, others] = await Promise.all([
       flood(BURST * 2, '/plain/flood', 'key-few'),
       flood(BURST * 2, '/plain/other', WARM_KEY),
@@ -68,8 +68,8 @@
     expect(new Set(others)).toEqual(new Set([200]));
   });
 
-  /* Prompts and most output come with the request: 150 tokens. A plain call counts as 10. */
-  test('count tokens where they are told in tokens', async () => {
+  /* A model request states its prompt and most output tokens, 150 in total. A plain call counts as 10. */
+  test('count tokens where the unit is tokens', async () => {
     const models = await flood(6, '/model/tokens', 'key-tokens');
     expect(models.filter((status) => status === 200)).toHaveLength(2);
     expect(models.filter((status) => status === 429)).toHaveLength(4);
@@ -79,9 +79,12 @@
     expect(through).toBeLessThan(30);
   });
 
-  /* Anything below nothing would raise the customer's quota, and nothing at all would let a prompt pass for a plain call. */
+  /*
+   * A negative size would raise the customer's quota, and a missing one would charge a model
+   * request as a plain call.
+   */
   test.each(['-1000,10', '10', 'many,few', '1e400,1', '', '5,5,5'])(
-    'are not evaded by a size that is none: %j',
+    'are not evaded by an invalid size: %j',
     async (usage) => {
       const before = routers.reached;
       const sent = { ...bearer('key-tokens'), 'token-usage': usage };
--- a/test/router/returns.test.ts
+++ b/test/router/returns.test.ts
@@ -6,7 +6,7 @@
 import { seeded } from '../fakes/virtual/workload';
 import { HistoryStore, HistoryVm, TrueRunner } from '../fakes/virtual/storehistory';
 
-/** What happens at one moment. */
+/** One random event. */
 type Step =
   | { readonly kind: 'leave' | 'vanish' | 'crash'; readonly runner: number }
   | { readonly kind: 'start' }
@@ -21,9 +21,15 @@
 const READERS = 2;
 const VMS = 4;
 const RUNNERS = 4;
-/** Time after which all is as it should be once nothing happens: what living runners write again, what lapses, and a few rounds of news. */
+/**
+ * Time without events after which all VMs must agree, in milliseconds: running runners register
+ * again, leases expire, and gossip makes a few rounds.
+ */
 const QUIET_MS = 9000;
-/** Time after which a VM must give no work to a runner whose leaving it has acknowledged, in milliseconds: one whose entry is gone may have lapsed in an outage. */
+/**
+ * Time after which a VM must not use a runner that it knows to leave, in milliseconds: an entry
+ * that is missing may have expired in an outage.
+ */
 const BOUND_MS = 2600;
 
 const nat = fc.nat(30);
@@ -51,7 +57,7 @@
   { weight: 6, arbitrary: fc.constant({ kind: 'pass' as const }) },
 );
 
-/** A fleet whose news is delayed and lost at random. */
+/** A fleet whose gossip is randomly delayed and lost. */
 class Fleet {
   readonly store = new HistoryStore();
 
@@ -63,12 +69,12 @@
 
   now = 0;
 
-  /** When each VM came to know that a runner leaves, by VM and runner. */
+  /** When each VM learned that a runner leaves, by VM and runner. */
   readonly #acknowledged = new Map<string, number>();
 
   readonly #random: () => number;
 
-  readonly #mail: {
+  readonly #messages: {
     readonly at: number;
     readonly to: number;
     readonly facts: readonly RunnerFact[];
@@ -117,7 +123,10 @@
     return new HistoryVm((news) => this.#spread(number, news));
   }
 
-  /** A new process in place of a VM: it asks another one before it reads the store, as the router does. */
+  /**
+   * Replaces a VM by a new process, which exchanges state with another VM before it reads the
+   * store, as the router does.
+   */
   #replace(number: number): void {
     const vm = this.#newVm(number);
     this.vms[number] = vm;
@@ -133,7 +142,7 @@
     for (let to = 0; to < VMS; to += 1) {
       const isLost = this.#random() < 0.3;
       const at = this.now + this.#random() * 500;
-      if (to !== from && !isLost) this.#mail.push({ at, to, facts: news.facts });
+      if (to !== from && !isLost) this.#messages.push({ at, to, facts: news.facts });
     }
   }
 
@@ -142,13 +151,13 @@
     const { now, store } = this;
     for (const runner of this.runners) runner.tick(now, store);
     store.tick(now);
-    for (const letter of this.#mail.splice(0)) {
-      if (letter.at > now) this.#mail.push(letter);
-      else this.vms[letter.to]?.knowledge.learnRunners(now, letter.facts, 'peer');
+    for (const message of this.#messages.splice(0)) {
+      if (message.at > now) this.#messages.push(message);
+      else this.vms[message.to]?.knowledge.learnRunners(now, message.facts, 'peer');
     }
     this.vms.forEach((vm, number) => {
       if (number < READERS && (now + number * 300) % READ_MS === 0) vm.read(now, store);
-      // Digests differ, or a probe says so: what differs is exchanged.
+      // VMs whose digests differ exchange state.
       const other = this.vms[Math.floor(this.#random() * VMS)];
       const differs = other && other.knowledge.digest !== vm.knowledge.digest;
       if (differs && this.#random() < 0.2) vm.ask(now, other);
@@ -171,29 +180,30 @@
   }
 }
 
-interface Belief {
+interface RunnerEntry {
   readonly id: string;
   readonly era: number;
   readonly revision: number;
   readonly leaving?: boolean;
 }
 
-/** Whether a VM knows that a runner leaves, by its word or by what it wrote when it left. */
+/** Whether a VM knows that a runner leaves: by its record or by the position of its last write. */
 function knows({ knowledge }: HistoryVm, now: number, id: string, leftWith: Position): boolean {
-  const { runners } = knowledge.beliefs(now) as { runners: readonly Belief[] };
+  const { runners } = knowledge.beliefs(now) as { runners: readonly RunnerEntry[] };
   return runners.some(
     ({ id: known, era, revision, leaving }) =>
       known === id && (leaving || (era === leftWith.era && revision === leftWith.revision)),
   );
 }
 
-describe('a store that comes back from older copies, whatever happens beside', () => {
+describe('a store that is restored from older copies, with random other events', () => {
   /*
-   * Runners leave, crash and start; the store comes back from copies, several in a row
-   * too, while readers are cut off and VMs start anew. A VM that knew that a runner
-   * leaves gives it no work again, and once it is quiet all VMs know who lives, alike.
+   * Runners leave, crash and start, and the store is restored from copies, also several times
+   * in a row, while readers are disconnected and VMs restart. A VM that knew that a runner
+   * leaves must not use it again, and once no more events occur, all VMs must know the
+   * running runners.
    */
-  test('brings no leaving runner back, and all VMs to know who lives', () => {
+  test('makes no leaving runner usable again, and all VMs know the running runners in the end', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40 }), fc.nat(1e6), (steps, seed) => {
         const fleet = new Fleet(seeded(seed));
--- a/test/router/sync.test.ts
+++ b/test/router/sync.test.ts
@@ -17,127 +17,130 @@
   limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 });
 
-/** Two VMs: what one asks, the other answers. */
+/** Two VMs, of which one fetches the other's state. */
 class Pair {
-  readonly asking = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  readonly caller = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
 
-  readonly asked = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  readonly callee = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
 
-  readonly quarantines = { asking: quarantineOf(), asked: quarantineOf() };
+  readonly quarantines = { caller: quarantineOf(), callee: quarantineOf() };
 
   readonly rateLimits = {
-    asking: rateLimitsOf(this.asking),
-    asked: rateLimitsOf(this.asked),
+    caller: rateLimitsOf(this.caller),
+    callee: rateLimitsOf(this.callee),
   };
 
-  /** Facts in each answer. */
+  /** Number of runner records in each answer. */
   readonly answered: number[] = [];
 
   async exchange(): Promise<void> {
-    const bearer = new FactSync({
-      knowledge: this.asked,
-      quarantine: this.quarantines.asked,
-      rateLimits: this.rateLimits.asked,
+    const server = new FactSync({
+      knowledge: this.callee,
+      quarantine: this.quarantines.callee,
+      rateLimits: this.rateLimits.callee,
       fleet: { all: [] } as unknown as RouterFleet,
     });
     const call = async (_address: string, _method: string, params: unknown): Promise<unknown> => {
-      const answer = bearer.answer(performance.now(), params);
+      const answer = server.answer(performance.now(), params);
       this.answered.push(answer.facts.length);
       return answer;
     };
     const fleet = { call, sync: () => {} } as unknown as RouterFleet;
-    const { asking: quarantine } = this.quarantines;
-    const { asking: rateLimits } = this.rateLimits;
-    const sync = new FactSync({ knowledge: this.asking, quarantine, rateLimits, fleet });
+    const { caller: quarantine } = this.quarantines;
+    const { caller: rateLimits } = this.rateLimits;
+    const sync = new FactSync({ knowledge: this.caller, quarantine, rateLimits, fleet });
     await sync.fetch('a:1', false);
   }
 }
 
-const fact = (id: string, revision: number): Parameters<Knowledge['learnRunners']>[1][number] => ({
+const recordOf = (
+  id: string,
+  revision: number,
+): Parameters<Knowledge['learnRunners']>[1][number] => ({
   id,
   position: at(revision),
   runner: runnerOf(id, 'plain'),
 });
 
-describe('the exchange of what two VMs know', () => {
-  test('brings a new VM the configuration and all runners, and then only what differs', async () => {
+describe('the state exchange between two VMs', () => {
+  test('transfers the configuration and all runners to a new VM, and then only differences', async () => {
     const pair = new Pair();
-    pair.asked.learnConfig(0, config(7), 'store');
-    pair.asked.learnRunners(
+    pair.callee.learnConfig(0, config(7), 'store');
+    pair.callee.learnRunners(
       0,
-      Array.from({ length: 300 }, (_, i) => fact(`r${i}`, i + 1)),
+      Array.from({ length: 300 }, (_, i) => recordOf(`r${i}`, i + 1)),
       'store',
     );
     await pair.exchange();
-    expect(pair.asking.configVersion).toBe(7);
-    expect(pair.asking.digest).toBe(pair.asked.digest);
-    pair.asked.learnRunners(0, [{ id: 'r9', position: at(900), runner: undefined }], 'store');
-    expect(pair.asking.digest).not.toBe(pair.asked.digest);
+    expect(pair.caller.configVersion).toBe(7);
+    expect(pair.caller.digest).toBe(pair.callee.digest);
+    pair.callee.learnRunners(0, [{ id: 'r9', position: at(900), runner: undefined }], 'store');
+    expect(pair.caller.digest).not.toBe(pair.callee.digest);
     await pair.exchange();
-    expect(pair.asking.digest).toBe(pair.asked.digest);
+    expect(pair.caller.digest).toBe(pair.callee.digest);
     expect(pair.answered[0]).toBe(300);
     expect(pair.answered[1]).toBeLessThan(20);
   });
 
   /*
-   * Two changes come in the wrong order, the later one first. The highest revision
-   * is the same at both VMs then, but what they know is not: it has to show.
+   * Two changes arrive in the wrong order, the later one first. The highest revision is then
+   * the same at both VMs, but their records differ: the digests must show that.
    */
-  test('finds a change that was overtaken by a later one', async () => {
+  test('finds a change that arrives after a later one', async () => {
     const pair = new Pair();
-    pair.asked.learnRunners(0, [fact('r1', 5), fact('r2', 6)], 'store');
-    pair.asking.learnRunners(0, [fact('r2', 6)], 'peer');
-    expect(pair.asking.digest).not.toBe(pair.asked.digest);
+    pair.callee.learnRunners(0, [recordOf('r1', 5), recordOf('r2', 6)], 'store');
+    pair.caller.learnRunners(0, [recordOf('r2', 6)], 'peer');
+    expect(pair.caller.digest).not.toBe(pair.callee.digest);
     await pair.exchange();
-    expect(pair.asking.runnersOf(0, 's').map(({ id }) => id)).toEqual(['r2', 'r1']);
+    expect(pair.caller.runnersOf(0, 's').map(({ id }) => id)).toEqual(['r2', 'r1']);
   });
 
   /*
-   * The store was down, and the runners' entries lapsed. Only readers know that; a VM
-   * that hears of the removal from one has to keep the runner in use as long as it does.
+   * The runners' entries expired in an outage of the store. Only readers of the store know of
+   * the outage; a VM that learns of the removal from one must use the runner for as long.
    */
-  test('tells how long a runner stays in use whose entry has lapsed', () => {
+  test('transfers how long a runner stays in use whose entry has expired', () => {
     const pair = new Pair();
-    pair.asked.learnRunners(0, [fact('r1', 1)], 'store');
-    pair.asking.learnRunners(0, [fact('r1', 1)], 'peer');
-    pair.asked.storeFailed(1000);
-    pair.asked.learnList(1500, new Set(), at(8));
-    const [gone] = pair.asked.factsBeside(2000, pair.asking.digestParts, 100);
+    pair.callee.learnRunners(0, [recordOf('r1', 1)], 'store');
+    pair.caller.learnRunners(0, [recordOf('r1', 1)], 'peer');
+    pair.callee.storeFailed(1000);
+    pair.callee.learnList(1500, new Set(), at(8));
+    const [gone] = pair.callee.factsBeside(2000, pair.caller.digestParts, 100);
     expect(gone?.graceMs).toBe(2000);
-    pair.asking.learnRunners(2000, gone ? [decodeFact(encodeFact(gone))] : [], 'peer');
-    expect(pair.asking.runnersOf(3900, 's').length).toBe(1);
-    expect(pair.asking.runnersOf(4100, 's').length).toBe(0);
+    pair.caller.learnRunners(2000, gone ? [decodeFact(encodeFact(gone))] : [], 'peer');
+    expect(pair.caller.runnersOf(3900, 's').length).toBe(1);
+    expect(pair.caller.runnersOf(4100, 's').length).toBe(0);
   });
 
-  test('refuses a fact that does not fit', () => {
+  test('rejects a runner record that does not fit the schema', () => {
     expect(() => decodeFact('{"id": 3}')).toThrow('does not fit');
     expect(() => decodeFact('{')).toThrow('no JSON');
   });
 
-  /* A VM that starts while a runner is limited must not find that out by sending to it. */
-  test('brings the rate limits of runners, ended ones too', async () => {
+  /* A VM that starts while a runner is rate limited must not learn that by sending requests to it. */
+  test('transfers the rate limits of runners, including ended ones', async () => {
     const pair = new Pair();
-    const { asked, asking } = pair.rateLimits;
-    pair.asked.learnRunners(0, [fact('a', 1)], 'store');
-    asked.learn(0, [{ runner: 'a', service: 's', version: 1, ratePerS: 1.4 }], 'x');
+    const { callee, caller } = pair.rateLimits;
+    pair.callee.learnRunners(0, [recordOf('a', 1)], 'store');
+    callee.learn(0, [{ runner: 'a', service: 's', version: 1, ratePerS: 1.4 }], 'x');
     await pair.exchange();
-    expect(asking.ratePerS('a')).toBe(1.4);
-    expect(asking.digest(0)).toBe(asked.digest(0));
-    asked.learn(0, [{ runner: 'a', service: 's', version: 2 }], 'x');
+    expect(caller.ratePerS('a')).toBe(1.4);
+    expect(caller.digest(0)).toBe(callee.digest(0));
+    callee.learn(0, [{ runner: 'a', service: 's', version: 2 }], 'x');
     await pair.exchange();
-    expect([asking.ratePerS('a'), asking.digest(0)]).toEqual([undefined, '']);
+    expect([caller.ratePerS('a'), caller.digest(0)]).toEqual([undefined, '']);
   });
 
   /*
-   * A runner that named a limit is gone, and one VM has forgotten it already. Told of it by the
-   * others, it would remember it for another while, and they by it, for ever.
+   * A rate-limited runner is gone, and one VM has dropped its limit already. If the others sent it
+   * the limit, it would keep it for another retention period and send it back, and so on forever.
    */
-  test('brings no rate limits of runners that are gone', async () => {
+  test('transfers no rate limits of runners that are gone', async () => {
     const pair = new Pair();
-    const { asked, asking } = pair.rateLimits;
-    asked.learn(0, [{ runner: 'gone', service: 's', version: 1, ratePerS: 1.4 }], 'x');
-    expect(asked.digest(0)).toBe('');
+    const { callee, caller } = pair.rateLimits;
+    callee.learn(0, [{ runner: 'gone', service: 's', version: 1, ratePerS: 1.4 }], 'x');
+    expect(callee.digest(0)).toBe('');
     await pair.exchange();
-    expect(asking.rateOf('gone')).toBeUndefined();
+    expect(caller.rateOf('gone')).toBeUndefined();
   });
 });
