--- a/src/node/router/accountowners.ts
+++ b/src/node/router/accountowners.ts
@@ -17,7 +17,7 @@
 import type { RouterFleet } from './fleet';
 
 /** Dependencies of the choice of owners. */
-export interface AccountContext {
+export interface AccountOwnersContext {
   readonly vm: string;
   readonly fleet: RouterFleet;
   /** The accounts that this VM owns, or that other VMs assume it to own. */
@@ -73,7 +73,7 @@
 
 /** Chooses the owner of each group and registers with it. */
 export class AccountOwners {
-  readonly #context: AccountContext;
+  readonly #context: AccountOwnersContext;
 
   readonly #pauseWatch = new PauseWatch(CHECK_MS);
 
@@ -87,7 +87,7 @@
 
   #members: QuotaMembers | undefined;
 
-  constructor(context: AccountContext) {
+  constructor(context: AccountOwnersContext) {
     this.#context = context;
     this.#timer = setInterval(() => this.#check(performance.now()), CHECK_MS).unref();
   }
@@ -111,7 +111,7 @@
   }
 
   /** Owners by group, for operators. */
-  beliefs(): Readonly<Record<string, string>> {
+  snapshot(): Readonly<Record<string, string>> {
     return Object.fromEntries([...this.#owners].map(([group, { vm }]) => [group, vm]));
   }
 
@@ -126,7 +126,7 @@
   }
 
   /** Must be called when the members or the groups changed: other VMs may own accounts now. */
-  changed(now: number): void {
+  refresh(now: number): void {
     this.#members = undefined;
     this.#updateOwners(now);
   }
@@ -149,7 +149,7 @@
         this.#renewed(performance.now(), group, owner);
         return answer;
       } catch (error) {
-        fleet.shun(performance.now(), owner.vm);
+        fleet.deprioritize(performance.now(), owner.vm);
         metrics.count(names.unanswered);
         log.debug({ group, owner: owner.vm }, toFailure(error).line);
       }
@@ -161,7 +161,7 @@
    * Calls the owner of a group without waiting for the answer; returns false if this VM is the
    * owner itself.
    */
-  tell(group: string, method: string, params: unknown): boolean {
+  notify(group: string, method: string, params: unknown): boolean {
     const { vm, fleet, log } = this.#context;
     const [owner] = this.#ownersOf(performance.now(), group);
     if (!owner || owner.vm === vm) return false;
--- a/src/node/router/calls.ts
+++ b/src/node/router/calls.ts
@@ -3,10 +3,10 @@
 import { Failure } from '../../core/failure';
 import type { RouterFleet } from './fleet';
 import type { PlanHost } from './owner';
-import type { PermitDesk } from './permits';
+import type { PermitController } from './permits';
 import type { Places } from './places';
-import type { QuotaDesk } from './quotas';
-import type { FactSync } from './sync';
+import type { QuotaController } from './quotas';
+import type { StateExchange } from './stateexchange';
 import { askSchema, gatherSchema, holdSchema, noteSchema, pushSchema, readySchema } from './plans';
 
 /** What the calls reach. */
@@ -15,9 +15,9 @@
   readonly fleet: RouterFleet;
   readonly host: PlanHost;
   readonly places: Places;
-  readonly sync: FactSync;
-  readonly quotas: QuotaDesk;
-  readonly permits: PermitDesk;
+  readonly sync: StateExchange;
+  readonly quotas: QuotaController;
+  readonly permits: PermitController;
 }
 
 /** Calls back to the VM that called. */
@@ -44,9 +44,9 @@
     if (method === 'note') host.note(now, vm, noteSchema.parse(params));
     else if (method === 'hold') host.hold(now, vm, holdSchema.parse(params));
     else if (method === 'quotaJoin') quotas.onJoin(now, vm, params);
-    else if (method === 'quotaBack') quotas.onBack(params);
+    else if (method === 'quotaBack') quotas.onRefund(params);
     else if (method === 'permitJoin') permits.onJoin(now, vm, params);
-    else if (method === 'rates') permits.onTold(now, vm, params);
+    else if (method === 'rates') permits.onRates(now, vm, params);
     else if (method === 'gather') this.#tell(now, vm, gatherSchema.parse(params).service);
     else if (method === 'verdict') {
       const { service, verdict } = pushSchema.parse(params);
@@ -59,7 +59,7 @@
   gather(service: string): void {
     const { fleet, vm } = this.#context;
     this.#tell(performance.now(), vm, service);
-    fleet.callBack('gather', { service });
+    fleet.callClients('gather', { service });
   }
 
   /** @param caller name of the VM that asks, or its address if it asks over a link that this one opened */
--- a/src/node/router/daemon.ts
+++ b/src/node/router/daemon.ts
@@ -16,15 +16,15 @@
 import { LazyMap } from '../../utils/lazymap';
 import { logOf } from '../log';
 import { Control } from './control';
-import { Desks } from './desks';
+import { Controllers } from './controllers';
 import { endLineOf } from './endline';
 import type { Exchange } from './exchange';
 import { RouterFleet } from './fleet';
 import { Front } from './front';
 import { Gate } from './gate';
 import { InflightClient } from './inflight';
-import type { News } from './knowledge';
-import { Knowledge } from './knowledge';
+import type { StateChange } from './routingstate';
+import { RoutingState } from './routingstate';
 import { RouterMetrics } from './metrics';
 import { ModelCaller } from './model';
 import { OrderDesk } from './orders';
@@ -71,7 +71,7 @@
 
   readonly #log: Logger;
 
-  readonly #state: Knowledge;
+  readonly #state: RoutingState;
 
   readonly #fleet: RouterFleet;
 
@@ -81,7 +81,7 @@
 
   readonly #planHost: PlanHost;
 
-  readonly #controllers: Desks;
+  readonly #controllers: Controllers;
 
   readonly #front: Front;
 
@@ -109,9 +109,9 @@
     this.#settings = settings;
     this.#ports = ports;
     this.#log = logOf(log, 'router');
-    this.#state = new Knowledge(ports.history, logOf(log, 'knowledge'), {
-      onNews: (news) => this.#onStateChange(news),
-      onUnfitEntry: () => this.#metrics.count('entries.unfit'),
+    this.#state = new RoutingState(ports.history, logOf(log, 'knowledge'), {
+      onChange: (change) => this.#onStateChange(change),
+      onInvalidEntry: () => this.#metrics.count('entries.unfit'),
     });
     this.#runners = new InflightClient(
       ports.runners,
@@ -120,22 +120,22 @@
     );
     this.#planHost = new PlanHost(this.#state, this.#runners, logOf(log, 'cell'), {
       onUnsure: (service) => this.#controllers.calls.gather(service),
-      rationOf: (service) => this.#controllers.permits.rationOf(service),
+      rationOf: (service) => this.#controllers.permits.allowanceOf(service),
     });
     this.#gate = new Gate(this.#state, () => this.#settings.ages);
-    const proofs = this.#state.proofExchange;
+    const proofs = this.#state.freshnessExchange;
     this.#fleet = new RouterFleet(settings, proofs, this.#metrics, logOf(log, 'members'), {
       onCall: (vm, method, params, push) =>
         this.#controllers.calls.answer(vm, method, params, push),
-      onLost: (vm) => this.#planHost.vmLost(performance.now(), vm),
-      onMembers: () => {
+      onVmLost: (vm) => this.#planHost.vmLost(performance.now(), vm),
+      onMembersChange: () => {
         this.#warmLinks();
         this.#controllers.membersChanged(performance.now());
       },
-      onDiffers: (address) => this.#controllers.news.differs(address),
-      onRumour: (rumour, address) => this.#controllers.news.heard(rumour, address),
+      onDigestDiffers: (address) => this.#controllers.stateSync.digestDiffers(address),
+      onUpdate: (update, address) => this.#controllers.stateSync.receive(update, address),
     });
-    this.#controllers = new Desks({
+    this.#controllers = new Controllers({
       settings,
       knowledge: this.#state,
       gate: this.#gate,
@@ -204,13 +204,14 @@
       onRunners: (facts) => this.#state.learnRunners(performance.now(), facts, 'store'),
       onEra: (start) => this.#state.learnEras(performance.now(), [start], 'store'),
       onListed: (ids, position) => this.#state.learnList(performance.now(), ids, position),
-      onVms: (vms) => this.#fleet.list(vms.filter((entry) => entry.vm !== vm)),
+      onVms: (vms) => this.#fleet.addListed(vms.filter((entry) => entry.vm !== vm)),
       onSuspects: (suspects, isAll) =>
-        this.#controllers.quarantine.stored(performance.now(), suspects, isAll),
-      onProof: (askedAt) => this.#state.freshness.storeAnswered(askedAt),
-      onStore: (up, detail) => this.#controllers.news.storeAnswered(performance.now(), up, detail),
+        this.#controllers.quarantine.learnStored(performance.now(), suspects, isAll),
+      onConfirmed: (askedAt) => this.#state.freshness.storeAnswered(askedAt),
+      onStore: (up, detail) =>
+        this.#controllers.stateSync.storeCallEnded(performance.now(), up, detail),
     });
-    this.#controllers.news.start();
+    this.#controllers.stateSync.start();
     this.#orders = new OrderDesk({
       vm,
       knowledge: this.#state,
@@ -281,8 +282,8 @@
       vm: this.#settings.vm,
       ready: this.#isReady,
       active: this.#front.active,
-      ...this.#controllers.beliefs(now),
-      ...this.#state.beliefs(now),
+      ...this.#controllers.snapshot(now),
+      ...this.#state.snapshot(now),
       vms: this.#fleet.all.map(({ vm, state, draining }) => ({ vm, state, draining })),
       owners: Object.fromEntries(
         models.map((name) => [name, this.#fleet.ownersOf(now, name)[0]?.vm ?? null]),
@@ -301,7 +302,7 @@
   #warmLinks(): void {
     const services = this.#state.table?.config.services ?? [];
     const now = performance.now();
-    this.#fleet.cool();
+    this.#fleet.clearWarm();
     for (const { name, engine } of services) if (engine) this.#fleet.warm(now, name);
   }
 
@@ -327,7 +328,7 @@
 
   #done(exchange: Exchange, ms: number): void {
     const { service, status, code } = exchange;
-    this.#metrics.ended(service, status, code, ms);
+    this.#metrics.recordRequest(service, status, code, ms);
     this.#log.info(endLineOf(exchange, ms, this.#state.configVersion), 'Request ended.');
   }
 
@@ -347,16 +348,16 @@
   #describe(): void {
     if (this.#isLeaving) return;
     const { front } = this.#settings.listen;
-    const { storeLost } = this.#controllers.news;
+    const { isStoreLost: storeLost } = this.#controllers.stateSync;
     this.#fleet.describe({ gateways: [front], draining: !this.#isReady, storeLost });
   }
 
-  #onStateChange(news: News): void {
-    match(news)
+  #onStateChange(change: StateChange): void {
+    match(change)
       .with({ kind: 'config' }, () => {
         this.#describe();
         this.#warmLinks();
-        this.#controllers.quotas.changed(performance.now());
+        this.#controllers.quotas.refresh(performance.now());
       })
       .with({ kind: 'runners' }, () => this.#runners.endLost())
       .with({ kind: 'era' }, ({ cameBack }) => {
@@ -364,6 +365,6 @@
         if (cameBack) this.#orders?.storeCameBack(performance.now());
       })
       .exhaustive();
-    this.#controllers.news.learnt(news);
+    this.#controllers.stateSync.announce(change);
   }
 }
--- a/src/node/router/fleet.ts
+++ b/src/node/router/fleet.ts
@@ -28,13 +28,13 @@
     push: (method: string, params: unknown) => void,
   ): Promise<unknown>;
   /** A VM is gone, and so are its requests. */
-  onLost(vm: string): void;
+  onVmLost(vm: string): void;
   /** The membership changed. */
-  onMembers(): void;
+  onMembersChange(): void;
   /** The digest of another VM's state differs from this VM's. */
-  onDiffers(address: string): void;
+  onDigestDiffers(address: string): void;
   /** A gossip update of another VM arrived. */
-  onRumour(rumour: Rumour, address: string): void;
+  onUpdate(update: Rumour, address: string): void;
 }
 
 /** Period of membership probes, in milliseconds; a dead VM is detected within about 1.5 s. */
@@ -131,8 +131,8 @@
       proofs,
       listener: {
         onChange: (member) => this.#onMemberChange(member),
-        onRumour: (rumour, address) => listener.onRumour(rumour, address),
-        onDiffers: (address) => listener.onDiffers(address),
+        onRumour: (update, address) => listener.onUpdate(update, address),
+        onDiffers: (address) => listener.onDigestDiffers(address),
       },
     });
     this.#server = new PeerServer({
@@ -197,7 +197,7 @@
   }
 
   /** Adds VMs that the store lists, unless their addresses are known: results of probes take precedence. */
-  list(vms: readonly { readonly vm: string; readonly address: string }[]): void {
+  addListed(vms: readonly { readonly vm: string; readonly address: string }[]): void {
     const known = new Set(this.all.map(({ address }) => address));
     const fresh = vms.filter(({ address }) => !known.has(address));
     if (fresh.length === 0) return;
@@ -223,7 +223,7 @@
   }
 
   /** Sends gossip updates to the other members. */
-  spread(rumours: readonly Rumour[]): void {
+  gossip(rumours: readonly Rumour[]): void {
     if (rumours.length > 0) this.#members.tell({ kind: 'rumours', rumours });
   }
 
@@ -255,7 +255,7 @@
   }
 
   /** Clears the set of links that `warm` keeps open. */
-  cool(): void {
+  clearWarm(): void {
     this.#keptOpen.clear();
   }
 
@@ -272,7 +272,7 @@
   }
 
   /** Ranks a VM that did not answer last among the owners for `DEPRIORITIZED_MS`. */
-  shun(now: number, vm: string): void {
+  deprioritize(now: number, vm: string): void {
     this.#deprioritizedUntil.set(vm, now + DEPRIORITIZED_MS);
   }
 
@@ -287,7 +287,7 @@
   }
 
   /** Calls a method of all VMs that have opened a link to this VM, over these links. */
-  callBack(method: string, params: unknown): void {
+  callClients(method: string, params: unknown): void {
     for (const peer of this.#clients.values()) this.#push(peer, method, params);
   }
 
@@ -301,7 +301,7 @@
     const { vm } = peer;
     if (this.#clients.get(vm) === peer) this.#clients.delete(vm);
     const state = this.#members.members.get(vm)?.state;
-    if (state === 'left' || state === 'dead') this.#listener.onLost(vm);
+    if (state === 'left' || state === 'dead') this.#listener.onVmLost(vm);
   }
 
   #closeIdle(now: number): void {
@@ -342,7 +342,7 @@
       this.#links.delete(address);
     }
     // A VM that has left still completes its requests; it counts as lost when its link closes.
-    if (state === 'dead') this.#listener.onLost(vm);
+    if (state === 'dead') this.#listener.onVmLost(vm);
     this.#ranking.clear();
     this.#addresses.clear();
     this.#batchChanges();
@@ -354,7 +354,7 @@
     this.#isBatching = true;
     setTimeout(() => {
       this.#isBatching = false;
-      this.#listener.onMembers();
+      this.#listener.onMembersChange();
     }, MEMBER_BATCH_MS).unref();
   }
 }
--- a/src/node/router/front.ts
+++ b/src/node/router/front.ts
@@ -19,12 +19,12 @@
 import type { Metrics } from '../metrics';
 import { Exchange, sendRefusal } from './exchange';
 import type { Gate } from './gate';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { CallRequest, IngressCodec } from './types';
 
 /** What the front works with. */
 export interface FrontContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly gate: Gate;
   readonly codec: IngressCodec;
   readonly metrics: Metrics;
--- a/src/node/router/gate.ts
+++ b/src/node/router/gate.ts
@@ -9,18 +9,18 @@
 import type { RouteTable } from '../../core/routing/table';
 import type { Route } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 
 /** When a caller may come back whose key has changed hands on the way, in milliseconds. */
 const CHANGED_RETRY_MS = 100;
 
 /** The keys of this VM's configuration, and how far they can be relied on. */
 export class Gate {
-  readonly #knowledge: Knowledge;
+  readonly #knowledge: RoutingState;
 
   readonly #bounds: () => AgeBounds;
 
-  constructor(knowledge: Knowledge, bounds: () => AgeBounds) {
+  constructor(knowledge: RoutingState, bounds: () => AgeBounds) {
     this.#knowledge = knowledge;
     this.#bounds = bounds;
   }
--- a/src/node/router/metrics.ts
+++ b/src/node/router/metrics.ts
@@ -57,7 +57,7 @@
   }
 
   /** Records a request whose final answer was sent; `ms` is its latency. */
-  ended(service: string, status: number, code: string | undefined, ms: number): void {
+  recordRequest(service: string, status: number, code: string | undefined, ms: number): void {
     this.#ended.inc({ service, status: String(status), code: code ?? '' });
     this.#latency.observe({ service }, ms / 1000);
   }
--- a/src/node/router/model.ts
+++ b/src/node/router/model.ts
@@ -4,12 +4,12 @@
 import { Failure, toFailure } from '../../core/failure';
 import type { Engine, Runner } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
-import type { PermitDesk } from './permits';
+import type { RoutingState } from './routingstate';
+import type { PermitController } from './permits';
 import type { Places } from './places';
 import type { Progress } from './progress';
 import { demandOf, mayGoOn, newProgress, refusal, timeUp, verdictOf } from './progress';
-import type { QuotaDesk } from './quotas';
+import type { QuotaController } from './quotas';
 import type { Answer, RelayOutcome } from './relay';
 import { Relay } from './relay';
 import type { Runs } from './runs';
@@ -17,12 +17,12 @@
 
 /** What model requests work with. */
 export interface ModelContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly runners: RunnerClient;
   readonly places: Places;
   readonly runs: Runs;
-  readonly quotas: Pick<QuotaDesk, 'cover'>;
-  readonly permits: Pick<PermitDesk, 'isLimited'>;
+  readonly quotas: Pick<QuotaController, 'cover'>;
+  readonly permits: Pick<PermitController, 'isLimited'>;
   /** Takes one repeat from the budget of the service. */
   readonly mayRepeat: (now: number, service: string) => boolean;
 }
--- a/src/node/router/orders.ts
+++ b/src/node/router/orders.ts
@@ -4,14 +4,14 @@
 
 import { toFailure } from '../../core/failure';
 import type { StageChange } from '../../core/memory/balance';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { PlanHost } from './owner';
-import type { OrderLock, OrderRight, RunnerClient } from './types';
+import type { OrderLock, OrderLease, RunnerClient } from './types';
 
 /** What orders work with. */
 export interface OrderContext {
   readonly vm: string;
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly host: PlanHost;
   readonly runners: RunnerClient;
   readonly lock: OrderLock;
@@ -39,7 +39,7 @@
 
   readonly #startedAt = performance.now();
 
-  #right: OrderRight | undefined;
+  #right: OrderLease | undefined;
 
   #busy = false;
 
@@ -111,7 +111,7 @@
    * does not see by its own clock that its lease has lapsed.
    */
   async #order(
-    right: OrderRight,
+    right: OrderLease,
     change: StageChange & { readonly service: string },
   ): Promise<void> {
     const { host, runners, vm, knowledge, log } = this.#context;
--- a/src/node/router/owner.ts
+++ b/src/node/router/owner.ts
@@ -11,7 +11,7 @@
 import { PauseWatch } from '../../core/pause';
 import type { Ration } from '../../core/ratelimits/types';
 import type { Engine } from '../../core/routing/types';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { Ask, Hold, Note, Ready, Verdict } from './plans';
 import { fromHolding, toDemand } from './plans';
 import type { OrderOutcome, RunnerClient } from './types';
@@ -54,7 +54,7 @@
 
 /** All planners of this VM. */
 export class PlanHost {
-  readonly #knowledge: Knowledge;
+  readonly #knowledge: RoutingState;
 
   readonly #runners: RunnerClient;
 
@@ -71,7 +71,7 @@
   #leaving = false;
 
   constructor(
-    knowledge: Knowledge,
+    knowledge: RoutingState,
     runners: RunnerClient,
     log: Logger,
     surroundings: PlanSurroundings,
--- a/src/node/router/permits.ts
+++ b/src/node/router/permits.ts
@@ -14,7 +14,7 @@
 import type { Metrics } from '../metrics';
 import { AccountOwners } from './accountowners';
 import type { RouterFleet } from './fleet';
-import type { RateChange, RateLimitDesk } from './ratelimits';
+import type { RateChange, RateLimitController } from './ratelimits';
 import { rateSchema } from './ratewire';
 
 /** Dependencies of the permit controller. */
@@ -22,7 +22,7 @@
   readonly vm: string;
   /** By how much all VMs together may temporarily exceed a limit. */
   readonly bounds: QuotaBounds;
-  readonly rateLimits: RateLimitDesk;
+  readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
   readonly metrics: Metrics;
   readonly log: Logger;
@@ -63,7 +63,7 @@
 export type Permit = Readonly<z.infer<typeof permitSchema>>;
 
 /** Requests and grants permits at one VM. */
-export class PermitDesk {
+export class PermitController {
   readonly #context: PermitContext;
 
   readonly #accounts: QuotaAccounts;
@@ -171,13 +171,13 @@
   }
 
   /** Handles changed rate limits that a VM reports to the owner of the service. */
-  onTold(now: number, vm: string, params: unknown): void {
+  onRates(now: number, vm: string, params: unknown): void {
     this.#context.rateLimits.learn(now, ratesSchema.parse(params).rates, vm);
   }
 
   /** Must be called when the members changed. */
-  changed(now: number): void {
-    this.#owners.changed(now);
+  refresh(now: number): void {
+    this.#owners.refresh(now);
   }
 
   /**
@@ -187,15 +187,15 @@
   limitsChanged(now: number, changes: readonly RateChange[]): void {
     for (const { rate } of changes) this.#fullUntil.delete(rate.runner);
     this.#prune();
-    this.#owners.changed(now);
+    this.#owners.refresh(now);
     // The owner grants permits by the limit, so it is called directly instead of relying on gossip.
     for (const { rate, isOwn } of changes) {
-      if (isOwn) this.#owners.tell(rate.service, 'rates', { rates: [rate] });
+      if (isOwn) this.#owners.notify(rate.service, 'rates', { rates: [rate] });
     }
   }
 
   /** The rate allowance of the planner of a service. */
-  rationOf(service: string): Ration {
+  allowanceOf(service: string): Ration {
     const { vm, rateLimits } = this.#context;
     const isFree = (runner: string): boolean => rateLimits.ratePerS(runner) === undefined;
     return {
@@ -208,8 +208,8 @@
   }
 
   /** State of the rate limits, for operators. */
-  beliefs(): Readonly<Record<string, unknown>> {
-    return { runners: this.#context.rateLimits.limited, owners: this.#owners.beliefs() };
+  snapshot(): Readonly<Record<string, unknown>> {
+    return { runners: this.#context.rateLimits.limited, owners: this.#owners.snapshot() };
   }
 
   /** Removes the state of runners that have no limit or are gone. */
--- a/src/node/router/places.ts
+++ b/src/node/router/places.ts
@@ -83,7 +83,7 @@
       }
       if (!verdict) {
         silent += 1;
-        this.#fleet.shun(performance.now(), owner.vm);
+        this.#fleet.deprioritize(performance.now(), owner.vm);
         this.#log.warn({ request: demand.id, owner: owner.vm }, 'An owner did not answer.');
       }
     }
--- a/src/node/router/plain.ts
+++ b/src/node/router/plain.ts
@@ -6,7 +6,7 @@
 import type { Exchange } from './exchange';
 import type { ChoiceContext } from './plainchoice';
 import { PlainChoice } from './plainchoice';
-import type { QuotaDesk } from './quotas';
+import type { QuotaController } from './quotas';
 import type { Run, Runs } from './runs';
 import type { Reply, RunnerClient } from './types';
 
@@ -14,7 +14,7 @@
 export interface PlainContext extends ChoiceContext {
   readonly runners: RunnerClient;
   readonly runs: Runs;
-  readonly quotas: Pick<QuotaDesk, 'cover'>;
+  readonly quotas: Pick<QuotaController, 'cover'>;
   /** Takes one repeat from the budget of the service. */
   readonly mayRepeat: (now: number, service: string) => boolean;
 }
--- a/src/node/router/quarantine.ts
+++ b/src/node/router/quarantine.ts
@@ -20,9 +20,9 @@
   readonly metrics: Metrics;
   readonly log: Logger;
   /** Called with changes to announce to other VMs. */
-  readonly onNews: (suspects: readonly Suspect[]) => void;
+  readonly onChanges: (suspects: readonly Suspect[]) => void;
   /** Called when the set of quarantined requests has changed. */
-  readonly onRefused: () => void;
+  readonly onRefusedChange: () => void;
 }
 
 /** Period of the check for expired requests and requests to save, in milliseconds. */
@@ -42,7 +42,7 @@
 const SAVE_RETRY_MS = 1000;
 
 /** The quarantine at one VM. */
-export class QuarantineDesk {
+export class QuarantineController {
   readonly #context: QuarantineContext;
 
   readonly #quarantine = new Quarantine();
@@ -85,7 +85,7 @@
    * Records that a runner crashed while it processed a request; returns the number of runners known
    * to have.
    */
-  ended(now: number, fingerprint: string, runner: string): number {
+  crashed(now: number, fingerprint: string, runner: string): number {
     this.#changed(now, this.#quarantine.ended(now, fingerprint, runner), 'own');
     return this.#quarantine.endsOf(fingerprint);
   }
@@ -109,7 +109,7 @@
    * Applies the requests that the store contains.
    * @param isAll whether it contains no others: missing ones were lost and are saved again
    */
-  stored(now: number, suspects: readonly Suspect[], isAll: boolean): void {
+  learnStored(now: number, suspects: readonly Suspect[], isAll: boolean): void {
     if (isAll) this.#stored = new Set();
     for (const { fingerprint } of suspects) this.#stored.add(fingerprint);
     this.learn(now, suspects, 'store');
@@ -126,7 +126,7 @@
   }
 
   /** Requests in quarantine, for operators. */
-  beliefs(now: number): readonly unknown[] {
+  snapshot(now: number): readonly unknown[] {
     return this.#quarantine.refused(now).map(({ fingerprint, ends }) => ({
       fingerprint,
       runners: ends.map(({ runner }) => runner),
@@ -152,7 +152,7 @@
   #flush(): void {
     const suspects = [...this.#pending.values()];
     this.#pending.clear();
-    this.#context.onNews(suspects);
+    this.#context.onChanges(suspects);
   }
 
   #check(now: number): void {
@@ -166,7 +166,7 @@
     const refused = this.#quarantine.refused(now);
     const before = this.#refused;
     this.#refused = new Set(refused.map(({ fingerprint }) => fingerprint));
-    const { log, metrics, onRefused } = this.#context;
+    const { log, metrics, onRefusedChange } = this.#context;
     const added = refused.filter(({ fingerprint }) => !before.has(fingerprint));
     const released = [...before].filter((fingerprint) => !this.#refused.has(fingerprint));
     for (const { fingerprint, ends } of added) {
@@ -176,7 +176,7 @@
     for (const fingerprint of released) log.info({ fingerprint, source }, 'Released a request.');
     if (added.length + released.length === 0) return;
     metrics.gauge('quarantine.requests', this.#refused.size);
-    onRefused();
+    onRefusedChange();
   }
 
   /**
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -18,13 +18,13 @@
 import { AccountOwners } from './accountowners';
 import type { Exchange } from './exchange';
 import type { RouterFleet } from './fleet';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 
 /** Dependencies of the quota controller. */
 export interface QuotaContext {
   readonly vm: string;
   readonly bounds: QuotaBounds;
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly fleet: RouterFleet;
   readonly metrics: Metrics;
   readonly log: Logger;
@@ -61,7 +61,7 @@
 }
 
 /** Enforces quotas at one VM. */
-export class QuotaDesk {
+export class QuotaController {
   readonly #context: QuotaContext;
 
   readonly #accounts: QuotaAccounts;
@@ -114,7 +114,7 @@
     const { customer } = request;
     const size = charge.settle();
     if (customer === undefined || size === 0) return;
-    const isSent = this.#owners.tell(groupOf(customer), 'quotaBack', { customer, size });
+    const isSent = this.#owners.notify(groupOf(customer), 'quotaBack', { customer, size });
     if (!isSent) this.#accounts.giveBack(keyOf(customer), size);
   }
 
@@ -129,19 +129,19 @@
   }
 
   /** Handles a refund of another VM. */
-  onBack(params: unknown): void {
+  onRefund(params: unknown): void {
     const { customer, size } = backSchema.parse(params);
     this.#accounts.giveBack(keyOf(customer), size);
   }
 
   /** Must be called when the members or the customers changed. */
-  changed(now: number): void {
-    this.#owners.changed(now);
+  refresh(now: number): void {
+    this.#owners.refresh(now);
   }
 
   /** State of the quotas, for operators. */
-  beliefs(): Readonly<Record<string, unknown>> {
-    return { accounts: this.#accounts.size, owners: this.#owners.beliefs() };
+  snapshot(): Readonly<Record<string, unknown>> {
+    return { accounts: this.#accounts.size, owners: this.#owners.snapshot() };
   }
 
   get #hasQuotas(): boolean {
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -11,7 +11,7 @@
 import type { Runner } from '../../core/routing/types';
 import { LineBudget } from '../budget';
 import type { Metrics } from '../metrics';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { Reply } from './types';
 
 /** A change of a rate limit. */
@@ -23,14 +23,14 @@
 
 /** Dependencies of the rate limit controller. */
 export interface RateLimitContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly metrics: Metrics;
   readonly log: Logger;
   /**
    * Called with changes to announce and apply; with an empty list when limits may have been dropped
    * because their runners are gone.
    */
-  readonly onNews: (changes: readonly RateChange[]) => void;
+  readonly onChanges: (changes: readonly RateChange[]) => void;
 }
 
 /** Answers of a healthy runner have a status below this one. */
@@ -47,7 +47,7 @@
 const BATCH_MS = 20;
 
 /** Rate limits of runners as one VM knows them. */
-export class RateLimitDesk {
+export class RateLimitController {
   readonly #context: RateLimitContext;
 
   readonly #rates = new RunnerRates();
@@ -98,7 +98,7 @@
    * VMs drop the limits of runners that are gone at different times; if they sent these to each
    * other, none would ever be dropped.
    */
-  told(now: number): readonly RunnerRate[] {
+  shared(now: number): readonly RunnerRate[] {
     return this.#listedOf(now, this.#rates.all);
   }
 
@@ -119,8 +119,8 @@
     const { rateNotice: notice } = reply;
     if (notice.kind === 'unreadable') this.#reportUnreadable(now, runner, notice.text);
     const provesEnd = notice.kind === 'none' && isHealthyReply(runner, reply);
-    const news = this.#rates.saw(now, runner, { sentAt, notice, provesEnd });
-    if (news) this.#changed(now, news, OWN);
+    const change = this.#rates.saw(now, runner, { sentAt, notice, provesEnd });
+    if (change) this.#changed(now, change, OWN);
   }
 
   /**
@@ -147,7 +147,7 @@
   #flush(): void {
     const changes = [...this.#pending.values()];
     this.#pending.clear();
-    this.#context.onNews(changes);
+    this.#context.onChanges(changes);
   }
 
   #reportUnreadable(now: number, { id: runner, service }: Runner, text: string): void {
@@ -170,17 +170,17 @@
   }
 
   #prune(now: number): void {
-    const { metrics, onNews } = this.#context;
+    const { metrics, onChanges } = this.#context;
     if (this.#rates.all.length === 0) return;
     this.#rates.prune(now, this.#listed(now));
     metrics.gauge('ratelimits.runners', this.#rates.limited.length);
-    onNews([]);
+    onChanges([]);
   }
 }
 
 /**
  * Whether the runner processed the request normally: other answers may lack the limit although it
- * isLimited.
+ * holds.
  */
 function isHealthyReply({ role }: Runner, { genuine, status, notRun }: Reply): boolean {
   // Answers to prefills are not passed on to callers and need no signature.
--- a/src/node/router/ratewire.ts
+++ b/src/node/router/ratewire.ts
@@ -4,7 +4,7 @@
 
 import type { Rumour } from '../../core/membership/types';
 import type { RunnerRate } from '../../core/ratelimits/types';
-import { toRumour } from './rumours';
+import { toUpdate } from './updates';
 
 /** Path prefix of gossip updates about a rate limit, followed by the id of the runner's instance. */
 export const RATE_PATH = 'rate/';
@@ -19,6 +19,6 @@
 });
 
 /** The gossip update about one runner's rate limit. */
-export function rateRumour(rate: RunnerRate): Rumour {
-  return toRumour(`${RATE_PATH}${rate.runner}`, rate.version, rate);
+export function rateUpdate(rate: RunnerRate): Rumour {
+  return toUpdate(`${RATE_PATH}${rate.runner}`, rate.version, rate);
 }
--- a/src/node/router/knowledge.ts
+++ b/src/node/router/routingstate.ts
@@ -39,7 +39,7 @@
 const REMOVAL_GRACE_MS = 1000;
 
 /** A change of the configuration, of runners or of the store's era. */
-export type News =
+export type StateChange =
   | { readonly kind: 'config' }
   | { readonly kind: 'runners'; readonly facts: readonly RunnerFact[] }
   /** `cameBack`: a different era was known before, so the store was restored from an older copy. */
@@ -49,14 +49,14 @@
 const RUNNER_LINES_PER_S = 10;
 
 /** Receives the changes of the routing state. */
-export interface KnowledgeListener {
-  onNews(news: News): void;
+export interface RoutingStateListener {
+  onChange(change: StateChange): void;
   /** An entry was received that describes no usable runner. */
-  onUnfitEntry(): void;
+  onInvalidEntry(): void;
 }
 
 /** Configuration and runners as one VM knows them. */
-export class Knowledge {
+export class RoutingState {
   readonly #log: Logger;
 
   readonly #directory = new RunnerDirectory();
@@ -77,11 +77,11 @@
   /** Position of the first full list after the last failure; undefined until there is one. */
   #relistedAt: Position | undefined;
 
-  readonly #listener: KnowledgeListener;
+  readonly #listener: RoutingStateListener;
 
   readonly #lines: LineBudget;
 
-  constructor(history: History, log: Logger, listener: KnowledgeListener) {
+  constructor(history: History, log: Logger, listener: RoutingStateListener) {
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
@@ -101,7 +101,7 @@
   }
 
   /** Callbacks by which members exchange freshness confirmations in their probes. */
-  get proofExchange(): ProofExchange {
+  get freshnessExchange(): ProofExchange {
     return {
       tell: () => this.freshness.tell(bootNow(), this.configVersion),
       ask: (seq) => this.freshness.ask(bootNow(), seq),
@@ -141,12 +141,12 @@
   }
 
   /** Runner records in the parts of the digest that differ from another VM's, about `most` at most. */
-  factsBeside(now: number, theirs: readonly number[], most: number): readonly RunnerFact[] {
+  recordsDiffering(now: number, theirs: readonly number[], most: number): readonly RunnerFact[] {
     return this.#directory.factsIn(now, this.#directory.digest.differing(theirs), most);
   }
 
   /** Records a successful call to the store. */
-  heardStore(now: number): void {
+  storeAnswered(now: number): void {
     this.#storeAnsweredAt = now;
   }
 
@@ -169,7 +169,7 @@
       this.#log.warn({ ...start, before, source }, 'The store was restored from an older copy.');
     }
     const isFirst = before === undefined && start !== undefined && start.era > 0;
-    if (cameBack || isFirst) this.#listener.onNews({ kind: 'era', cameBack });
+    if (cameBack || isFirst) this.#listener.onChange({ kind: 'era', cameBack });
   }
 
   /** How long a runner stays in use whose entry is missing as of a position, in milliseconds. */
@@ -180,7 +180,7 @@
   }
 
   /** Time since the last successful call to the store, in milliseconds. */
-  storeAge(now: number): number {
+  storeAgeMs(now: number): number {
     return now - this.#storeAnsweredAt;
   }
 
@@ -197,12 +197,12 @@
         routes: routes.length,
         customers: customers?.length,
         source,
-        storeAgeMs: Math.round(this.storeAge(now)),
+        storeAgeMs: Math.round(this.storeAgeMs(now)),
       },
       'Applied a new configuration.',
     );
     this.#logDisputedKeys(version);
-    this.#listener.onNews({ kind: 'config' });
+    this.#listener.onChange({ kind: 'config' });
     return true;
   }
 
@@ -239,7 +239,7 @@
         }
       }
     }
-    if (changed.length > 0) this.#listener.onNews({ kind: 'runners', facts: changed });
+    if (changed.length > 0) this.#listener.onChange({ kind: 'runners', facts: changed });
   }
 
   /**
@@ -249,7 +249,7 @@
   learnStart(listing: string, bornAt: number): void {
     if (!this.#directory.learnStart(listing, bornAt)) return;
     this.#log.info({ runner: listing, bornAt, source: 'report' }, 'Runner restarted.');
-    this.#listener.onNews({ kind: 'runners', facts: [] });
+    this.#listener.onChange({ kind: 'runners', facts: [] });
   }
 
   /** The latest known start time of a listing's instances, in Unix milliseconds; 0 if none is known. */
@@ -277,7 +277,7 @@
   #reportInvalidEntry(id: string, position: Position, detail: string): void {
     const { line } = new Failure('factUnreadable', detail);
     this.#log.warn({ runner: id, ...position }, line);
-    this.#listener.onUnfitEntry();
+    this.#listener.onInvalidEntry();
   }
 
   /** Applies a full list of the store: runners that it lacks are gone as of its position. */
@@ -290,12 +290,12 @@
   }
 
   /** State of the configuration, the store and the runners, for operators. */
-  beliefs(now: number): Readonly<Record<string, unknown>> {
+  snapshot(now: number): Readonly<Record<string, unknown>> {
     const usable = new Set(this.#directory.usable(now).map(({ id }) => id));
     return {
       configVersion: this.configVersion,
       routes: this.#table?.config.routes.length ?? 0,
-      storeAgeMs: Number.isFinite(this.#storeAnsweredAt) ? Math.round(this.storeAge(now)) : null,
+      storeAgeMs: Number.isFinite(this.#storeAnsweredAt) ? Math.round(this.storeAgeMs(now)) : null,
       era: this.#history.era ?? null,
       runners: this.#directory.facts.map(({ id, position, runner }) => ({
         id,
--- a/src/node/router/runs.ts
+++ b/src/node/router/runs.ts
@@ -13,8 +13,8 @@
 import { bootNow } from '../../utils/clock';
 import type { Exchange } from './exchange';
 import type { Gate } from './gate';
-import type { QuarantineDesk } from './quarantine';
-import type { RateLimitDesk } from './ratelimits';
+import type { QuarantineController } from './quarantine';
+import type { RateLimitController } from './ratelimits';
 import type { Reply } from './types';
 
 /** What a run sent of a stream. */
@@ -31,9 +31,9 @@
 
 /** What runs work with. */
 export interface RunsContext {
-  readonly quarantine: QuarantineDesk;
+  readonly quarantine: QuarantineController;
   readonly gate: Gate;
-  readonly rateLimits: RateLimitDesk;
+  readonly rateLimits: RateLimitController;
   readonly metrics: Metrics;
   readonly log: Logger;
 }
@@ -95,7 +95,7 @@
     const { quarantine, metrics, log } = this.#context;
     const { id: runner } = this.#runner;
     const answeredAt = this.#answeredAt;
-    const ends = isTelling(now, answeredAt) ? quarantine.ended(now, fingerprint, runner) : 0;
+    const ends = isTelling(now, answeredAt) ? quarantine.crashed(now, fingerprint, runner) : 0;
     metrics.count('runs.broken');
     log.info(
       {
--- a/src/node/router/sync.ts
+++ b/src/node/router/stateexchange.ts
@@ -12,17 +12,17 @@
 import { memberSchema } from '../scheduler/members';
 import { packConfig, unpackConfig } from './configwire';
 import type { RouterFleet } from './fleet';
-import type { Knowledge } from './knowledge';
-import type { QuarantineDesk } from './quarantine';
-import type { RateLimitDesk } from './ratelimits';
+import type { RoutingState } from './routingstate';
+import type { QuarantineController } from './quarantine';
+import type { RateLimitController } from './ratelimits';
 import { rateSchema } from './ratewire';
 import { suspectSchema } from './suspects';
 
 /** Dependencies of the state exchange. */
-export interface SyncContext {
-  readonly knowledge: Knowledge;
-  readonly quarantine: QuarantineDesk;
-  readonly rateLimits: RateLimitDesk;
+export interface StateExchangeContext {
+  readonly knowledge: RoutingState;
+  readonly quarantine: QuarantineController;
+  readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
 }
 
@@ -112,12 +112,12 @@
 }
 
 /** Encodes a runner record as the text of a gossip update. */
-export function encodeFact(fact: RunnerFact): string {
+export function encodeRecord(fact: RunnerFact): string {
   return JSON.stringify(toWire(fact));
 }
 
 /** Decodes a runner record; throws a `peerRejected` failure. */
-export function decodeFact(text: string): RunnerFact {
+export function decodeRecord(text: string): RunnerFact {
   const parsed = factSchema.safeParse(parseJson(text));
   if (!parsed.success) throw new Failure('peerRejected', 'found a record that does not fit');
   return fromWire(parsed.data);
@@ -132,13 +132,13 @@
 }
 
 /** Both sides of the state exchange. */
-export class FactSync {
-  readonly #context: SyncContext;
+export class StateExchange {
+  readonly #context: StateExchangeContext;
 
   /** Cache of the last compressed configuration. */
   #packed: { readonly version: number; readonly bytes: Uint8Array } | undefined;
 
-  constructor(context: SyncContext) {
+  constructor(context: StateExchangeContext) {
     this.#context = context;
   }
 
@@ -151,11 +151,11 @@
     const includesRates = members || limited !== rateLimits.digest(now);
     return {
       ...(configVersion < knowledge.configVersion ? { config: this.#packedConfig() } : {}),
-      facts: knowledge.factsBeside(now, parts, MAX_RUNNER_RECORDS).map(toWire),
+      facts: knowledge.recordsDiffering(now, parts, MAX_RUNNER_RECORDS).map(toWire),
       eras: [...knowledge.eras],
       ...(members ? { members: fleet.all.map(toWireMember) } : {}),
       suspects: includesSuspects ? quarantine.suspects(now).map(toWireSuspect) : [],
-      rates: includesRates ? rateLimits.told(now).slice(0, MAX_RATE_LIMITS) : [],
+      rates: includesRates ? rateLimits.shared(now).slice(0, MAX_RATE_LIMITS) : [],
       ...knowledge.proof(bootNow()),
     };
   }
--- a/src/node/router/news.ts
+++ b/src/node/router/statesync.ts
@@ -18,25 +18,25 @@
 import type { Metrics } from '../metrics';
 import type { RouterFleet } from './fleet';
 import type { Gate } from './gate';
-import type { Knowledge, News } from './knowledge';
-import type { QuarantineDesk } from './quarantine';
-import type { RateLimitDesk } from './ratelimits';
-import { RATE_PATH, rateRumour, rateSchema } from './ratewire';
-import { fromRumour } from './rumours';
-import { SUSPECT_PATH, suspectRumour, suspectSchema } from './suspects';
-import type { FactSync } from './sync';
-import { decodeFact, decodeEras, encodeFact } from './sync';
+import type { RoutingState, StateChange } from './routingstate';
+import type { QuarantineController } from './quarantine';
+import type { RateLimitController } from './ratelimits';
+import { RATE_PATH, rateUpdate, rateSchema } from './ratewire';
+import { fromUpdate } from './updates';
+import { SUSPECT_PATH, suspectUpdate, suspectSchema } from './suspects';
+import type { StateExchange } from './stateexchange';
+import { decodeRecord, decodeEras, encodeRecord } from './stateexchange';
 import type { Feed } from './types';
 
 /** Dependencies of the replication. */
-export interface NewsContext {
-  readonly knowledge: Knowledge;
+export interface StateSyncContext {
+  readonly knowledge: RoutingState;
   readonly gate: Gate;
-  readonly quarantine: QuarantineDesk;
-  readonly rateLimits: RateLimitDesk;
+  readonly quarantine: QuarantineController;
+  readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
   readonly feed: Feed;
-  readonly sync: FactSync;
+  readonly sync: StateExchange;
   readonly metrics: Metrics;
   readonly log: Logger;
   /** Addresses through which this VM joins the fleet. */
@@ -75,8 +75,8 @@
 const MAX_GOSSIPED_RATES = 16;
 
 /** Replication of the routing state at one VM. */
-export class NewsDesk {
-  readonly #context: NewsContext;
+export class StateSync {
+  readonly #context: StateSyncContext;
 
   readonly #spread = new NewsSpread();
 
@@ -114,7 +114,7 @@
    */
   #haveMembersChanged = true;
 
-  constructor(context: NewsContext) {
+  constructor(context: StateSyncContext) {
     this.#context = context;
     this.#readerTimer = setInterval(() => {
       this.#updateReading(performance.now());
@@ -137,7 +137,7 @@
   }
 
   /** Whether this VM's calls to the store fail. */
-  get storeLost(): boolean {
+  get isStoreLost(): boolean {
     return this.#failedCalls >= LOST_AFTER_FAILURES;
   }
 
@@ -153,16 +153,16 @@
   }
 
   /** Announces a change of the routing state, whatever its source, to the other members. */
-  learnt(news: News): void {
+  announce(change: StateChange): void {
     const { fleet, knowledge, metrics } = this.#context;
     this.setDigest();
-    const rumours = match(news)
+    const updates = match(change)
       .with({ kind: 'config' }, () => this.#spread.configRumours(knowledge.configVersion))
-      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerRumours(facts, encodeFact))
+      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerRumours(facts, encodeRecord))
       .with({ kind: 'era' }, () => this.#spread.eraRumours(knowledge.eras))
       .exhaustive();
-    if (news.kind === 'era' && news.cameBack) metrics.count('store.returns');
-    fleet.spread(rumours);
+    if (change.kind === 'era' && change.cameBack) metrics.count('store.returns');
+    fleet.gossip(updates);
   }
 
   /** Publishes the digest of this VM's state, which other VMs compare with theirs. */
@@ -174,31 +174,31 @@
   }
 
   /** Announces requests that crashed runners. */
-  suspected(suspects: readonly Suspect[]): void {
-    this.#context.fleet.spread(suspects.map(suspectRumour));
+  announceSuspects(suspects: readonly Suspect[]): void {
+    this.#context.fleet.gossip(suspects.map(suspectUpdate));
   }
 
   /** Announces changed rate limits of runners. */
-  rateLimited(rates: readonly RunnerRate[]): void {
+  announceRates(rates: readonly RunnerRate[]): void {
     this.setDigest();
-    this.#context.fleet.spread(rates.slice(0, MAX_GOSSIPED_RATES).map(rateRumour));
+    this.#context.fleet.gossip(rates.slice(0, MAX_GOSSIPED_RATES).map(rateUpdate));
   }
 
   /** Applies a gossip update of a member. */
-  heard(rumour: Rumour, address: string): void {
+  receive(update: Rumour, address: string): void {
     const { knowledge, quarantine, rateLimits, log } = this.#context;
     const now = performance.now();
-    const { path, text } = rumour;
+    const { path, text } = update;
     try {
       if (path.startsWith(SUSPECT_PATH)) {
-        quarantine.learn(now, [fromRumour(rumour, suspectSchema)], address);
+        quarantine.learn(now, [fromUpdate(update, suspectSchema)], address);
       } else if (path.startsWith(RATE_PATH)) {
-        rateLimits.learn(now, [fromRumour(rumour, rateSchema)], address);
+        rateLimits.learn(now, [fromUpdate(update, rateSchema)], address);
       } else if (path === ERA_PATH) knowledge.learnEras(now, decodeEras(text ?? ''), address);
       else if (path.startsWith(RUNNER_PATH) && text !== undefined) {
-        knowledge.learnRunners(now, [decodeFact(text)], address);
+        knowledge.learnRunners(now, [decodeRecord(text)], address);
       } else {
-        this.#spread.heard(rumour, address, knowledge);
+        this.#spread.heard(update, address, knowledge);
         this.#fetchDue();
       }
     } catch (error) {
@@ -207,29 +207,29 @@
   }
 
   /** Schedules a state exchange with a member whose digest differs. */
-  differs(address: string): void {
+  digestDiffers(address: string): void {
     this.#spread.differs(performance.now(), address);
     this.#fetchDue();
   }
 
   /** Records the result of a call to the store; logs when the store becomes reachable or unreachable. */
-  storeAnswered(now: number, up: boolean, detail: string): void {
+  storeCallEnded(now: number, up: boolean, detail: string): void {
     const { knowledge, log, metrics } = this.#context;
-    if (up) knowledge.heardStore(now);
+    if (up) knowledge.storeAnswered(now);
     else knowledge.storeFailed(now);
     metrics.count(up ? 'store.answers' : 'store.failures');
-    this.#setFailures(now, up ? 0 : this.#failedCalls + 1);
+    this.#setFailed(now, up ? 0 : this.#failedCalls + 1);
     if (up === this.#isStoreUp) return;
     this.#isStoreUp = up;
     if (up) log.info({ detail }, 'The store is reachable.');
     else log.warn({ detail }, 'The store is unreachable.');
   }
 
-  #setFailures(now: number, calls: number): void {
-    const before = this.storeLost;
+  #setFailed(now: number, calls: number): void {
+    const before = this.isStoreLost;
     this.#failedCalls = calls;
-    if (this.storeLost) this.#lostAt = now;
-    if (this.storeLost === before) return;
+    if (this.isStoreLost) this.#lostAt = now;
+    if (this.isStoreLost === before) return;
     this.#context.onDescription();
     this.#haveMembersChanged = true;
     this.#updateReading(now);
@@ -245,7 +245,7 @@
     }
     const isChosen = this.#shouldRead && this.#canRead(now);
     const reading = isChosen || isIsolated(now, this.#startedAt, fleet.members);
-    if (this.storeLost && now - this.#lostAt > LOST_PAUSE_MS && !reading) this.#setFailures(now, 0);
+    if (this.isStoreLost && now - this.#lostAt > LOST_PAUSE_MS && !reading) this.#setFailed(now, 0);
     if (reading === this.#isReading) return;
     this.#isReading = reading;
     if (reading && !this.#hasFetched) log.info('Configured by the store alone: no VM answered.');
@@ -272,7 +272,7 @@
     fleet.contact([...chosen, ...deputies].map(({ address }) => address));
     if (source !== 'store' || !this.#confirmationPace.asks(now, this.#isReading)) return;
     metrics.count('proofs.asked');
-    feed.confirm();
+    feed.confirmConfig();
   }
 
   /**
--- a/src/node/router/suspects.ts
+++ b/src/node/router/suspects.ts
@@ -4,7 +4,7 @@
 
 import type { Rumour } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
-import { toRumour } from './rumours';
+import { toUpdate } from './updates';
 
 /** Path prefix of gossip updates about a suspect request, followed by its fingerprint. */
 export const SUSPECT_PATH = 'suspect/';
@@ -19,7 +19,7 @@
 });
 
 /** The gossip update about one suspect request. */
-export function suspectRumour(suspect: Suspect): Rumour {
+export function suspectUpdate(suspect: Suspect): Rumour {
   const { fingerprint, ends } = suspect;
-  return toRumour(`${SUSPECT_PATH}${fingerprint}`, ends.length, suspect);
+  return toUpdate(`${SUSPECT_PATH}${fingerprint}`, ends.length, suspect);
 }
--- a/src/node/router/types.ts
+++ b/src/node/router/types.ts
@@ -150,7 +150,7 @@
 export type OrderOutcome = 'accepted' | 'rejected' | 'unknown';
 
 /** The lease under which one VM at a time gives role orders. */
-export interface OrderRight {
+export interface OrderLease {
   /** Fencing token; increases with each holder. */
   readonly fence: number;
   /** Whether no other VM held the lease before. */
@@ -163,7 +163,7 @@
 /** The lock that grants the lease for role orders. */
 export interface OrderLock {
   /** Resolves to undefined if another VM holds the lease. */
-  acquire(): Promise<OrderRight | undefined>;
+  acquire(): Promise<OrderLease | undefined>;
 }
 
 /** Persistent storage of quarantined requests, which survives a restart of all VMs. */
@@ -187,7 +187,7 @@
    * Confirms freshness: the configuration delivered before was in force when the store was asked.
    * @param askedAt boot time of the call; see `bootNow`
    */
-  onProof(askedAt: number): void;
+  onConfirmed(askedAt: number): void;
   /** Called after each call to the store with whether it succeeded. */
   onStore(up: boolean, detail: string): void;
 }
@@ -197,7 +197,7 @@
   /** Sets the listener; nothing is read until `setReading`. */
   start(listener: FeedListener): void;
   /** Asks once for the configuration in force; does nothing while such a call is pending. */
-  confirm(): void;
+  confirmConfig(): void;
   /** Starts to read the whole content and then its changes, or stops after the pending call. */
   setReading(reading: boolean): void;
   stop(): void;
--- a/src/node/router/rumours.ts
+++ b/src/node/router/updates.ts
@@ -9,12 +9,12 @@
  * Encodes a gossip update.
  * @param revision a higher one replaces a lower one of the same path
  */
-export function toRumour(path: string, revision: number, value: unknown): Rumour {
+export function toUpdate(path: string, revision: number, value: unknown): Rumour {
   return { path, revision, text: JSON.stringify(value) };
 }
 
 /** Decodes and checks a gossip update; throws a `peerRejected` failure. */
-export function fromRumour<T>({ path, text = '' }: Rumour, schema: z.ZodType<T>): T {
+export function fromUpdate<T>({ path, text = '' }: Rumour, schema: z.ZodType<T>): T {
   let value: unknown;
   try {
     value = JSON.parse(text);
--- a/test/fakes/virtual/newsfleet.ts
+++ b/test/fakes/virtual/newsfleet.ts
@@ -21,8 +21,8 @@
 import type { Position } from '../../../src/core/routing/position';
 import { History } from '../../../src/core/routing/position';
 import { ERA_PATH, NewsSpread, RUNNER_PATH } from '../../../src/core/routing/spread';
-import { fromRumour } from '../../../src/node/router/rumours';
-import { SUSPECT_PATH, suspectRumour, suspectSchema } from '../../../src/node/router/suspects';
+import { fromUpdate } from '../../../src/node/router/updates';
+import { SUSPECT_PATH, suspectUpdate, suspectSchema } from '../../../src/node/router/suspects';
 import { runnerOf } from '../runner';
 import { Schedule } from './schedule';
 import { seeded } from './workload';
@@ -538,7 +538,7 @@
     if (!news) return;
     if (vm.suspects.size === 0) {
       this.#later(vm, GATHER_MS, () => {
-        const rumours = [...vm.suspects.values()].map(suspectRumour);
+        const rumours = [...vm.suspects.values()].map(suspectUpdate);
         vm.suspects.clear();
         this.#tell(vm, { kind: 'rumours', rumours });
       });
@@ -548,7 +548,7 @@
 
   #hear(vm: Vm, rumour: Rumour, address: string): void {
     if (rumour.path.startsWith(SUSPECT_PATH)) {
-      this.#suspect(vm, vm.quarantine.learn(this.now, fromRumour(rumour, suspectSchema)));
+      this.#suspect(vm, vm.quarantine.learn(this.now, fromUpdate(rumour, suspectSchema)));
       return;
     }
     if (rumour.path === ERA_PATH) {
--- a/test/router/accountowners.test.ts
+++ b/test/router/accountowners.test.ts
@@ -59,7 +59,7 @@
 
   changed(ranked: readonly Member[]): readonly string[] {
     this.ranked = ranked;
-    this.owners.changed(0);
+    this.owners.refresh(0);
     return this.#calls.splice(0);
   }
 }
@@ -111,7 +111,7 @@
     view.changed([one, other]);
     await setImmediate();
     expect(view.changed([one, other])).toEqual(['join other:1 g']);
-    expect(view.owners.beliefs()).toEqual({ g: 'other' });
+    expect(view.owners.snapshot()).toEqual({ g: 'other' });
     view.owners.stop();
   });
 });
--- a/test/router/front.test.ts
+++ b/test/router/front.test.ts
@@ -8,7 +8,7 @@
 import type { RoutingConfig } from '../../src/core/routing/types';
 import type { FrontContext } from '../../src/node/router/front';
 import { Front } from '../../src/node/router/front';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { RouterMetrics } from '../../src/node/router/metrics';
 import { silentListener } from '../fakes/listener';
 import { gateOf } from '../fakes/runs';
@@ -58,7 +58,7 @@
 const log = pino({ level: 'silent' });
 
 /** A front that hands its requests to `onRequest`. */
-function frontOf(knowledge: Knowledge, onRequest: FrontContext['onRequest']): Front {
+function frontOf(knowledge: RoutingState, onRequest: FrontContext['onRequest']): Front {
   return new Front({
     knowledge,
     gate: gateOf(knowledge),
@@ -71,7 +71,7 @@
 }
 
 describe('the front', () => {
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new RoutingState(new History(), log, silentListener);
   const seen: string[] = [];
   const front = frontOf(knowledge, async (exchange) => {
     seen.push(exchange.request.target);
@@ -120,7 +120,7 @@
   const REQUEST = 'GET /a/ HTTP/1.0\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n';
   /** Longer than the answers of this test take, in milliseconds. */
   const OBSERVED_MS = 300;
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new RoutingState(new History(), log, silentListener);
   const front = frontOf(knowledge, async (exchange) => {
     exchange.head(200, ['content-type', 'text/event-stream']);
     await exchange.write(Buffer.from(EVENT));
--- a/test/router/gate.test.ts
+++ b/test/router/gate.test.ts
@@ -4,7 +4,7 @@
 import { History } from '../../src/core/routing/position';
 import type { RoutingConfig } from '../../src/core/routing/types';
 import { Gate } from '../../src/node/router/gate';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { silentListener } from '../fakes/listener';
 
 const config = (customers?: readonly Customer[]): RoutingConfig => ({
@@ -17,7 +17,7 @@
 
 /** A gate of a VM that knows a configuration and not how old it can be. */
 function gateOf(customers?: readonly Customer[]): Gate {
-  const knowledge = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  const knowledge = new RoutingState(new History(), pino({ level: 'silent' }), silentListener);
   knowledge.learnConfig(0, config(customers), 'test');
   return new Gate(knowledge, () => ({ keyMs: 4700, finalMs: 2000 }));
 }
--- a/test/router/owner.test.ts
+++ b/test/router/owner.test.ts
@@ -4,7 +4,7 @@
 import { unlimited } from '../../src/core/ratelimits/types';
 import type { RoutingConfig } from '../../src/core/routing/types';
 import { History } from '../../src/core/routing/position';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { PlanHost } from '../../src/node/router/owner';
 import type { Ask } from '../../src/node/router/plans';
 import type { RunnerClient } from '../../src/node/router/types';
@@ -42,7 +42,7 @@
 
 /** A host that knows one decode runner with room for eleven and enough prefill runners. */
 function hostAt(now: number, onUnsure: (service: string) => void = () => {}): PlanHost {
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new RoutingState(new History(), log, silentListener);
   knowledge.learnConfig(now, config, 'store');
   const runners = [runner('d', 'decode'), ...'12345678'.split('').map((i) => runner(i, 'prefill'))];
   const facts = runners.map((entry) => ({ id: entry.id, position: at(1), runner: entry }));
--- a/test/router/quarantine.test.ts
+++ b/test/router/quarantine.test.ts
@@ -66,9 +66,9 @@
   /*
    * The store does not answer while the request crashes its third runner, so no VM can save it
    * there; VMs learn of it by gossip. Once the store answers, it is saved, and after a restart
-   * of all VMs it is isKnown before a runner gets it again.
+   * of all VMs it is known before a runner gets it again.
    */
-  test('is isKnown to new VMs, and after a restart of all VMs', async () => {
+  test('is known to new VMs, and after a restart of all VMs', async () => {
     expect(await askAll(2, DEADLY)).toEqual([502, 502]);
     routers.store.mood = 'busy';
     expect(await askAll(4, DEADLY)).toEqual([502, 503, 503, 503]);
--- a/test/router/knowledge.test.ts
+++ b/test/router/routingstate.test.ts
@@ -4,7 +4,7 @@
 import type { RoutingConfig, Runner } from '../../src/core/routing/types';
 import { History } from '../../src/core/routing/position';
 import { startId } from '../../src/core/routing/types';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { at } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
 import { silentListener } from '../fakes/listener';
@@ -18,10 +18,10 @@
   limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 });
 
-const fresh = (): Knowledge =>
-  new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+const fresh = (): RoutingState =>
+  new RoutingState(new History(), pino({ level: 'silent' }), silentListener);
 
-const ids = (state: Knowledge, now: number): readonly string[] =>
+const ids = (state: RoutingState, now: number): readonly string[] =>
   state.runnersOf(now, 's').map(({ id }) => id);
 
 describe('the routing state of a VM', () => {
@@ -94,8 +94,8 @@
   test('does not use a runner again that announced to leave', () => {
     const state = fresh();
     const learn = (revision: number, leaving: boolean): void => {
-      const told = runner('r', { leaving });
-      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
+      const reported = runner('r', { leaving });
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: reported }], 'store');
     };
     learn(1, false);
     learn(2, true);
@@ -135,8 +135,8 @@
     const state = fresh();
     const start = (bornAt: number, leaving = false): Runner =>
       runner('r', { id: startId('r', bornAt), bornAt, leaving });
-    const learn = (revision: number, told: Runner): void =>
-      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
+    const learn = (revision: number, reported: Runner): void =>
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: reported }], 'store');
     learn(1, start(1000, true));
     expect(ids(state, 0)).toEqual([]);
     learn(2, start(2000));
@@ -170,12 +170,12 @@
   test('reports an invalid entry once for each revision', () => {
     const lines: string[] = [];
     let counted = 0;
-    const state = new Knowledge(
+    const state = new RoutingState(
       new History(),
       pino({ level: 'warn' }, { write: (line) => lines.push(line) }),
       {
-        onNews: () => {},
-        onUnfitEntry: () => {
+        onChange: () => {},
+        onInvalidEntry: () => {
           counted += 1;
         },
       },
@@ -200,9 +200,9 @@
 
   test('reports a runner of an unknown service once', () => {
     let counted = 0;
-    const state = new Knowledge(new History(), pino({ level: 'silent' }), {
-      onNews: () => {},
-      onUnfitEntry: () => {
+    const state = new RoutingState(new History(), pino({ level: 'silent' }), {
+      onChange: () => {},
+      onInvalidEntry: () => {
         counted += 1;
       },
     });
--- a/test/router/sync.test.ts
+++ b/test/router/stateexchange.test.ts
@@ -3,8 +3,8 @@
 import type { RoutingConfig } from '../../src/core/routing/types';
 import { History } from '../../src/core/routing/position';
 import type { RouterFleet } from '../../src/node/router/fleet';
-import { Knowledge } from '../../src/node/router/knowledge';
-import { FactSync, decodeFact, encodeFact } from '../../src/node/router/sync';
+import { RoutingState } from '../../src/node/router/routingstate';
+import { StateExchange, decodeRecord, encodeRecord } from '../../src/node/router/stateexchange';
 import { silentListener } from '../fakes/listener';
 import { at } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
@@ -19,9 +19,9 @@
 
 /** Two VMs, of which one fetches the other's state. */
 class Pair {
-  readonly caller = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  readonly caller = new RoutingState(new History(), pino({ level: 'silent' }), silentListener);
 
-  readonly callee = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+  readonly callee = new RoutingState(new History(), pino({ level: 'silent' }), silentListener);
 
   readonly quarantines = { caller: quarantineOf(), callee: quarantineOf() };
 
@@ -34,7 +34,7 @@
   readonly answered: number[] = [];
 
   async exchange(): Promise<void> {
-    const server = new FactSync({
+    const server = new StateExchange({
       knowledge: this.callee,
       quarantine: this.quarantines.callee,
       rateLimits: this.rateLimits.callee,
@@ -48,7 +48,7 @@
     const fleet = { call, sync: () => {} } as unknown as RouterFleet;
     const { caller: quarantine } = this.quarantines;
     const { caller: rateLimits } = this.rateLimits;
-    const sync = new FactSync({ knowledge: this.caller, quarantine, rateLimits, fleet });
+    const sync = new StateExchange({ knowledge: this.caller, quarantine, rateLimits, fleet });
     await sync.fetch('a:1', false);
   }
 }
@@ -56,7 +56,7 @@
 const recordOf = (
   id: string,
   revision: number,
-): Parameters<Knowledge['learnRunners']>[1][number] => ({
+): Parameters<RoutingState['learnRunners']>[1][number] => ({
   id,
   position: at(revision),
   runner: runnerOf(id, 'plain'),
@@ -105,16 +105,16 @@
     pair.caller.learnRunners(0, [recordOf('r1', 1)], 'peer');
     pair.callee.storeFailed(1000);
     pair.callee.learnList(1500, new Set(), at(8));
-    const [gone] = pair.callee.factsBeside(2000, pair.caller.digestParts, 100);
+    const [gone] = pair.callee.recordsDiffering(2000, pair.caller.digestParts, 100);
     expect(gone?.graceMs).toBe(2000);
-    pair.caller.learnRunners(2000, gone ? [decodeFact(encodeFact(gone))] : [], 'peer');
+    pair.caller.learnRunners(2000, gone ? [decodeRecord(encodeRecord(gone))] : [], 'peer');
     expect(pair.caller.runnersOf(3900, 's').length).toBe(1);
     expect(pair.caller.runnersOf(4100, 's').length).toBe(0);
   });
 
   test('rejects a runner record that does not fit the schema', () => {
-    expect(() => decodeFact('{"id": 3}')).toThrow('does not fit');
-    expect(() => decodeFact('{')).toThrow('no JSON');
+    expect(() => decodeRecord('{"id": 3}')).toThrow('does not fit');
+    expect(() => decodeRecord('{')).toThrow('no JSON');
   });
 
   /* A VM that starts while a runner is rate limited must not learn that by sending requests to it. */
--- a/test/router/returns.test.ts
+++ b/test/router/storerestore.test.ts
@@ -2,7 +2,7 @@
 
 import type { RunnerFact } from '../../src/core/routing/directory';
 import type { Position } from '../../src/core/routing/position';
-import type { News } from '../../src/node/router/knowledge';
+import type { StateChange } from '../../src/node/router/routingstate';
 import { seeded } from '../fakes/virtual/workload';
 import { HistoryStore, HistoryVm, TrueRunner } from '../fakes/virtual/storehistory';
 
@@ -120,7 +120,7 @@
   }
 
   #newVm(number: number): HistoryVm {
-    return new HistoryVm((news) => this.#spread(number, news));
+    return new HistoryVm((change) => this.#spread(number, change));
   }
 
   /**
@@ -137,12 +137,12 @@
     if (other) vm.ask(this.now, other);
   }
 
-  #spread(from: number, news: News): void {
-    if (news.kind !== 'runners') return;
+  #spread(from: number, change: StateChange): void {
+    if (change.kind !== 'runners') return;
     for (let to = 0; to < VMS; to += 1) {
       const isLost = this.#random() < 0.3;
       const at = this.now + this.#random() * 500;
-      if (to !== from && !isLost) this.#messages.push({ at, to, facts: news.facts });
+      if (to !== from && !isLost) this.#messages.push({ at, to, facts: change.facts });
     }
   }
 
@@ -189,7 +189,7 @@
 
 /** Whether a VM knows that a runner leaves: by its record or by the position of its last write. */
 function knows({ knowledge }: HistoryVm, now: number, id: string, leftWith: Position): boolean {
-  const { runners } = knowledge.beliefs(now) as { runners: readonly RunnerEntry[] };
+  const { runners } = knowledge.snapshot(now) as { runners: readonly RunnerEntry[] };
   return runners.some(
     ({ id: known, era, revision, leaving }) =>
       known === id && (leaving || (era === leftWith.era && revision === leftWith.revision)),
