--- a/scripts/policies.ts
+++ b/scripts/policies.ts
@@ -5,10 +5,10 @@
  *     node build/policies.cjs [SECONDS] [SEEDS] [POLICY]
  */
 
-import { OpenAdmission } from '../src/core/cell/admission';
+import { QueueLimitAdmission } from '../src/core/cell/admission';
 import type { CellOptions } from '../src/core/cell/cell';
-import { LeastReported, RoundRobin } from '../src/core/cell/placement';
-import { AtOnce } from '../src/core/cell/start';
+import { LeastReportedLoad, RoundRobin } from '../src/core/cell/placement';
+import { ImmediateStart } from '../src/core/cell/start';
 import type { BenchFaults, BenchResult } from '../test/fakes/virtual/bench';
 import { Bench } from '../test/fakes/virtual/bench';
 import type { Workload } from '../test/fakes/virtual/workload';
@@ -21,16 +21,16 @@
   current: () => ({}),
   'round robin': () => ({
     placement: new RoundRobin(),
-    startRule: new AtOnce(),
-    admission: new OpenAdmission(),
+    startRule: new ImmediateStart(),
+    admission: new QueueLimitAdmission(),
   }),
   'least reported': () => ({
-    placement: new LeastReported(),
-    startRule: new AtOnce(),
-    admission: new OpenAdmission(),
+    placement: new LeastReportedLoad(),
+    startRule: new ImmediateStart(),
+    admission: new QueueLimitAdmission(),
   }),
-  'prefill at once': () => ({ startRule: new AtOnce() }),
-  'no admission': () => ({ admission: new OpenAdmission() }),
+  'prefill at once': () => ({ startRule: new ImmediateStart() }),
+  'no admission': () => ({ admission: new QueueLimitAdmission() }),
 };
 
 interface Load {
--- a/scripts/slopes.ts
+++ b/scripts/slopes.ts
@@ -12,7 +12,7 @@
 import { Cell } from '../src/core/cell/cell';
 import { LedgerShard } from '../src/core/ledger/shard';
 import { KeyRegistry } from '../src/core/registry/keys';
-import { SettingsBook } from '../src/core/settings/book';
+import { SettingsDocuments } from '../src/core/settings/documents';
 import { ownersOfKey } from '../src/core/ownership';
 import { encode } from '../src/node/peer/codec';
 import { policyOf, runnersOf } from '../test/fakes/virtual/bench';
@@ -100,7 +100,7 @@
 /** Microseconds of an arrival that finds every slot taken and many teams waiting. */
 function queuedCost(teams: number): number {
   const work = { ...bagmatiWork, prefillRunners: 4, decodeRunners: 12 };
-  const cell = new Cell({ policy: { ...policyOf(work), queueLimit: 1e6 }, grantsFrom: 1e12 });
+  const cell = new Cell({ policy: { ...policyOf(work), queueLimit: 1e6 }, warmUpUntil: 1e12 });
   cell.handle(0, { kind: 'runners', runners: runnersOf(work) });
   const arrive = (i: number): void => {
     const arrival = {
@@ -171,8 +171,8 @@
 const TEAM_TEXT = (i: number): string =>
   `{ "services": { "deeds": { "kind": "model", "pool": "p${i}", "maxTokens": ${i + 1} }, "registry": { "kind": "plain", "pool": "q" } } }`;
 
-function bookOf(teams: number): SettingsBook {
-  const book = new SettingsBook();
+function bookOf(teams: number): SettingsDocuments {
+  const book = new SettingsDocuments();
   for (let i = 0; i < teams; i += 1) {
     book.apply({ path: `teams/t${i}`, revision: 1, text: TEAM_TEXT(i) });
   }
--- a/src/cli/ctl.ts
+++ b/src/cli/ctl.ts
@@ -9,7 +9,7 @@
 import type { CodeName } from '../core/codes';
 import { codes } from '../core/codes';
 import { Failure } from '../core/failure';
-import { parseText } from '../core/settings/parse';
+import { parseJsonc } from '../core/settings/parse';
 import { readText } from '../node/config';
 import { call } from '../utils/http';
 import type { BurnReport } from '../types/burn';
@@ -121,7 +121,7 @@
   if (value === undefined) {
     throw new Failure('usage', 'found no value, expected: ctl settings edit PATH JSON');
   }
-  parseText(value, 'the value');
+  parseJsonc(value, 'the value');
   await writeSettings(path, value, options);
 }
 
--- a/src/cli/report.ts
+++ b/src/cli/report.ts
@@ -1,9 +1,9 @@
 /** The service-level report as a table and as a web page. */
 
-import { windows } from '../core/burn/windows';
+import { windowMinutes } from '../core/burn/windows';
 import type { BurnReport, BurnRow } from '../types/burn';
 
-const windowNames = Object.keys(windows);
+const windowNames = Object.keys(windowMinutes);
 
 function cellsOf(row: BurnRow): readonly string[] {
   const refused = Object.entries(row.refused).map(([code, count]) => `${code}:${count}`);
--- a/src/core/burn/windows.ts
+++ b/src/core/burn/windows.ts
@@ -1,16 +1,16 @@
 /** Counts of good and bad requests over sliding windows, in bounded memory. */
 
 /** Good and bad requests in one window. */
-export interface Tally {
+export interface RequestCounts {
   readonly good: number;
   readonly bad: number;
 }
 
 /** Length of a window, by its name in reports. */
-export const windows = { '5m': 5, '1h': 60, '6h': 360, '3d': 4320 } as const;
+export const windowMinutes = { '5m': 5, '1h': 60, '6h': 360, '3d': 4320 } as const;
 
 /** Name of a window. */
-export type WindowName = keyof typeof windows;
+export type WindowName = keyof typeof windowMinutes;
 
 const MINUTE_MS = 60_000;
 /** Minutes in one slot: fine slots for the short windows, coarse ones for the long. */
@@ -47,7 +47,7 @@
     counts[slot] = (counts[slot] ?? 0) + 1;
   }
 
-  sum(now: number, minutes: number): Tally {
+  sum(now: number, minutes: number): RequestCounts {
     const newest = Math.floor(now / (this.#minutes * MINUTE_MS));
     const oldest = newest - Math.ceil(minutes / this.#minutes) + 1;
     let good = 0;
@@ -72,8 +72,8 @@
     this.#coarse.add(now, good);
   }
 
-  sum(now: number, name: WindowName): Tally {
-    const minutes = windows[name];
+  sum(now: number, name: WindowName): RequestCounts {
+    const minutes = windowMinutes[name];
     return minutes < FINE_SLOTS ? this.#fine.sum(now, minutes) : this.#coarse.sum(now, minutes);
   }
 }
@@ -82,7 +82,7 @@
  * Burn rate: 1 uses up the error budget in just the objective's window, 10 in a
  * tenth of it. No requests burn nothing.
  */
-export function burnRate({ good, bad }: Tally, target: number): number {
+export function burnRate({ good, bad }: RequestCounts, target: number): number {
   const all = good + bad;
   return all === 0 ? 0 : bad / all / (1 - target);
 }
--- a/src/core/cell/places.ts
+++ b/src/core/cell/capacity.ts
@@ -7,18 +7,18 @@
 import type { LoadReport, Runner } from './types';
 
 /** Read-only view of the account. */
-export interface Places {
-  readonly prefillRunners: readonly PrefillPlace[];
-  readonly decodeRunners: readonly DecodePlace[];
+export interface CellCapacity {
+  readonly prefillRunners: readonly PrefillLoad[];
+  readonly decodeRunners: readonly DecodeLoad[];
   /** Slots of all decode runners that take work, free or not. */
   readonly decodeSlots: number;
   /** Free decode slots less than batch caps allow. */
   readonly freeSlots: number;
-  linkBusy(link: string): boolean;
+  isLinkBusy(link: string): boolean;
 }
 
 /** A prefill runner and the work given to it. */
-export interface PrefillPlace {
+export interface PrefillLoad {
   readonly runner: Runner;
   readonly leaving: boolean;
   /** Prefills given and not yet reported done. */
@@ -26,20 +26,20 @@
   /** When its given work should be done. */
   readonly busyUntil: number;
   /** What its lagged report said, for baselines that go by reports. */
-  readonly reported: number;
+  readonly reportedRunning: number;
 }
 
 /** A decode runner and the slots given on it. */
-export interface DecodePlace {
+export interface DecodeLoad {
   readonly runner: Runner;
   readonly leaving: boolean;
   readonly held: number;
   /** Slots in use that this cell did not give: left over from earlier owners. */
-  readonly foreign: number;
+  readonly untracked: number;
   /** Slots that may be used, from the batch cap. */
   readonly cap: number;
   readonly heldTokens: number;
-  readonly reported: number;
+  readonly reportedRunning: number;
 }
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
@@ -65,18 +65,18 @@
 /** Reports that look further back than this after a refusal do not undo it, in milliseconds. */
 const REFUSED_MS = 500;
 
-interface DecodeState extends Mutable<DecodePlace> {
+interface DecodeState extends Mutable<DecodeLoad> {
   readonly changes: GrantChange[];
 }
 
 /** Slots of a runner that can be given now. */
-export function freeOf(place: DecodePlace): number {
+export function freeSlotsOf(place: DecodeLoad): number {
   if (place.leaving) return 0;
-  return Math.max(0, place.cap - place.held - place.foreign);
+  return Math.max(0, place.cap - place.held - place.untracked);
 }
 
 /** Places without the runner that failed last, unless there is no other. */
-export function avoiding<T extends { readonly runner: Runner }>(
+export function preferOtherRunners<T extends { readonly runner: Runner }>(
   places: readonly T[],
   avoid: string | undefined,
 ): readonly T[] {
@@ -85,8 +85,8 @@
 }
 
 /** The account itself; only the cell writes to it. */
-export class PlaceBook implements Places {
-  readonly #prefill = new Map<string, Mutable<PrefillPlace>>();
+export class CapacityTracker implements CellCapacity {
+  readonly #prefill = new Map<string, Mutable<PrefillLoad>>();
 
   readonly #decode = new Map<string, DecodeState>();
 
@@ -101,11 +101,11 @@
     this.#transfersPerLink = transfersPerLink;
   }
 
-  get prefillRunners(): readonly PrefillPlace[] {
+  get prefillRunners(): readonly PrefillLoad[] {
     return [...this.#prefill.values()];
   }
 
-  get decodeRunners(): readonly DecodePlace[] {
+  get decodeRunners(): readonly DecodeLoad[] {
     return [...this.#decode.values()];
   }
 
@@ -117,19 +117,19 @@
 
   get freeSlots(): number {
     let total = 0;
-    for (const place of this.#decode.values()) total += freeOf(place);
+    for (const place of this.#decode.values()) total += freeSlotsOf(place);
     return total;
   }
 
-  prefillPlace(id: string): PrefillPlace | undefined {
+  prefillLoad(id: string): PrefillLoad | undefined {
     return this.#prefill.get(id);
   }
 
-  decodePlace(id: string): DecodePlace | undefined {
+  decodeLoad(id: string): DecodeLoad | undefined {
     return this.#decode.get(id);
   }
 
-  linkBusy(link: string): boolean {
+  isLinkBusy(link: string): boolean {
     return (this.#links.get(link) ?? 0) >= this.#transfersPerLink;
   }
 
@@ -155,31 +155,31 @@
   }
 
   /** A runner that refused work as leaving gets none until a report from after that says otherwise. */
-  refusedAsLeaving(runner: string, now: number): void {
+  recordLeavingRefusal(runner: string, now: number): void {
     this.#signsOf(runner).refusedUntil = now + REFUSED_MS;
     this.#weigh(runner);
   }
 
-  setCap(runner: string, cap: number): void {
+  setBatchCap(runner: string, cap: number): void {
     const place = this.#decode.get(runner);
     if (place) place.cap = cap;
   }
 
-  givePrefill(runner: string, now: number, ms: number): void {
+  addPrefill(runner: string, now: number, ms: number): void {
     const place = this.#prefill.get(runner);
     if (!place) return;
     place.pending += 1;
     place.busyUntil = Math.max(now, place.busyUntil) + ms;
   }
 
-  endPrefill(runner: string, now: number): void {
+  removePrefill(runner: string, now: number): void {
     const place = this.#prefill.get(runner);
     if (!place) return;
     place.pending = Math.max(0, place.pending - 1);
     if (place.pending === 0) place.busyUntil = now;
   }
 
-  holdSlot(runner: string, now: number, tokens: number): void {
+  reserveSlot(runner: string, now: number, tokens: number): void {
     this.#changeSlot(runner, now, 1, tokens);
   }
 
@@ -187,7 +187,7 @@
     this.#changeSlot(runner, now, -1, -tokens);
   }
 
-  holdLink(link: string): void {
+  reserveLink(link: string): void {
     this.#links.set(link, (this.#links.get(link) ?? 0) + 1);
   }
 
@@ -198,23 +198,23 @@
   }
 
   /** Nothing that was granted after the report's time is overridden by it. */
-  report(now: number, report: LoadReport): void {
+  applyReport(now: number, report: LoadReport): void {
     const signs = this.#signsOf(report.runner);
     signs.reported = report.leaving;
     if (report.asOf >= signs.refusedUntil) signs.refusedUntil = 0;
     this.#weigh(report.runner);
     const prefill = this.#prefill.get(report.runner);
-    if (prefill) prefill.reported = report.running;
+    if (prefill) prefill.reportedRunning = report.running;
     const decode = this.#decode.get(report.runner);
     if (!decode) return;
-    decode.reported = report.running;
+    decode.reportedRunning = report.running;
     while (decode.changes[0] && decode.changes[0].at < now - REPORT_LAG_LIMIT) {
       decode.changes.shift();
     }
     const since = decode.changes.filter(({ at }) => at >= report.asOf);
     const heldThen = since.reduce((held, { change }) => held - change, decode.held);
     // Slots asked for just before the report may not have reached the runner yet, so only a surplus counts.
-    decode.foreign = Math.max(0, report.running - heldThen);
+    decode.untracked = Math.max(0, report.running - heldThen);
   }
 
   #ids(): readonly string[] {
@@ -255,7 +255,7 @@
         leaving: false,
         pending: 0,
         busyUntil: 0,
-        reported: 0,
+        reportedRunning: 0,
       });
     }
   }
@@ -266,7 +266,14 @@
       known.runner = runner;
       return;
     }
-    const empty = { leaving: false, held: 0, foreign: 0, heldTokens: 0, reported: 0, changes: [] };
+    const empty = {
+      leaving: false,
+      held: 0,
+      untracked: 0,
+      heldTokens: 0,
+      reportedRunning: 0,
+      changes: [],
+    };
     this.#decode.set(runner.id, { ...empty, runner, cap: runner.slots });
   }
 }
--- a/src/core/cell/cell.ts
+++ b/src/core/cell/cell.ts
@@ -8,15 +8,15 @@
 
 import type { Admission } from './admission';
 import { DeadlineAdmission } from './admission';
-import { QueueController } from './admit';
-import type { CellCounters } from './board';
-import { CellBoard } from './board';
+import { QueueController } from './queue';
+import type { CellCounters } from './state';
+import { CellState } from './state';
 import { LifecycleController } from './lifecycle';
 import type { Placement } from './placement';
 import { CostPlacement } from './placement';
 import { PrefillController } from './prefill';
 import type { StartRule } from './start';
-import { DecodeFirst } from './start';
+import { SlotForecastStart } from './start';
 import { TransferController } from './transfer';
 import type { CellAction, CellEvent, CellPolicy, LoadReport, Runner } from './types';
 import type { CellRequest, CellView } from './view';
@@ -34,7 +34,7 @@
    * No request is granted before this time. A new owner does not know what its
    * predecessor granted until the gateways have told it. Default: 0.
    */
-  readonly grantsFrom?: number;
+  readonly warmUpUntil?: number;
 }
 
 /** Longest time without a look at a queue that is not empty, in milliseconds. */
@@ -42,7 +42,7 @@
 
 /** Plans one cell. */
 export class Cell {
-  readonly #board: CellBoard;
+  readonly #board: CellState;
 
   readonly #queue: QueueController;
 
@@ -54,14 +54,14 @@
 
   readonly #grantsFrom: number;
 
-  constructor({ policy, admission, startRule, placement, grantsFrom }: CellOptions) {
+  constructor({ policy, admission, startRule, placement, warmUpUntil: grantsFrom }: CellOptions) {
     const chosen = placement ?? new CostPlacement();
-    this.#board = new CellBoard(policy);
+    this.#board = new CellState(policy);
     this.#queue = new QueueController(this.#board, admission ?? new DeadlineAdmission());
     this.#prefills = new PrefillController(
       this.#board,
       this.#queue,
-      startRule ?? new DecodeFirst(),
+      startRule ?? new SlotForecastStart(),
       chosen,
     );
     this.#transfers = new TransferController(this.#board, chosen);
@@ -94,7 +94,7 @@
       .with({ kind: 'prefilled' }, ({ id, cachedTokens, keptUntil }) =>
         this.#prefills.finish(now, id, cachedTokens, keptUntil),
       )
-      .with({ kind: 'started' }, ({ id }) => this.#transfers.started(now, id))
+      .with({ kind: 'started' }, ({ id }) => this.#transfers.finish(now, id))
       .with({ kind: 'finished' }, ({ id, tokens }) => this.#lifecycle.finish(now, id, tokens))
       .with({ kind: 'failed' }, (failed) => this.#lifecycle.fail(now, failed))
       .with({ kind: 'cancelled' }, ({ id }) => this.#lifecycle.cancel(now, id))
@@ -106,7 +106,7 @@
       })
       .with({ kind: 'runners' }, ({ runners }) => this.#setRunners(runners))
       .with({ kind: 'policy' }, ({ policy }) => this.#setPolicy(policy))
-      .with({ kind: 'departing' }, ({ runners }) => this.#board.places.setDeparting(runners))
+      .with({ kind: 'departing' }, ({ runners }) => this.#board.capacity.setDeparting(runners))
       .with({ kind: 'woke' }, () => {})
       .exhaustive();
     this.#pump(now);
@@ -115,26 +115,26 @@
 
   /** When the cell wants to be woken if nothing else happens. */
   nextWake(now: number): number {
-    const next = Math.min(this.#queue.nextLoss, this.#prefills.nextExpiry);
+    const next = Math.min(this.#queue.nextUnservableAt, this.#prefills.nextExpiry);
     if (this.#board.waiting.size === 0) return next;
     return Math.min(next, Math.max(now + REVIEW_MS, this.#grantsFrom));
   }
 
   #pump(now: number): void {
-    this.#lifecycle.countRunning(now);
+    this.#lifecycle.observeRunning(now);
     this.#prefills.expire(now);
-    this.#transfers.sendAll(now);
-    this.#queue.refuseLost(now);
+    this.#transfers.startAll(now);
+    this.#queue.refuseUnservable(now);
     if (now >= this.#grantsFrom) this.#prefills.startAll(now);
   }
 
   #report(now: number, report: LoadReport): void {
-    this.#board.places.report(now, report);
+    this.#board.capacity.applyReport(now, report);
     this.#applyCaps();
   }
 
   #setRunners(runners: readonly Runner[]): void {
-    this.#board.places.setRunners(runners);
+    this.#board.capacity.setRunners(runners);
     this.#board.health.setPoolSize(runners.length);
     this.#applyCaps();
   }
@@ -146,9 +146,9 @@
 
   /** Caps the batches so that the time between tokens stays within the target. */
   #applyCaps(): void {
-    const { places, costs, policy } = this.#board;
+    const { capacity: places, costs, policy } = this.#board;
     for (const { runner } of places.decodeRunners) {
-      places.setCap(runner.id, costs.batchWithin(policy.tokenTargetMs, runner.slots));
+      places.setBatchCap(runner.id, costs.maxBatchWithin(policy.tokenTargetMs, runner.slots));
     }
   }
 }
--- a/src/core/cell/costs.ts
+++ b/src/core/cell/costs.ts
@@ -1,6 +1,6 @@
 /** Learnt costs of a service's runners: prefill, transfer and time between tokens. */
 
-import { ScaledLine } from './line';
+import { LinearCost } from './linear';
 import type { CellPolicy } from './types';
 
 /** Read-only view of the costs. */
@@ -12,7 +12,7 @@
   /** Milliseconds between tokens in a batch of this size. */
   tokenMs(batch: number): number;
   /** Largest batch whose time between tokens stays within the target. */
-  batchWithin(targetMs: number, slots: number): number;
+  maxBatchWithin(targetMs: number, slots: number): number;
 }
 
 /** Keeps a batch that just meets the target from losing a place to rounding. */
@@ -20,20 +20,20 @@
 
 /** Costs corrected by every outcome. */
 export class LearntCosts implements Costs {
-  readonly #prefill: ScaledLine;
+  readonly #prefill: LinearCost;
 
-  readonly #token: ScaledLine;
+  readonly #token: LinearCost;
 
   readonly #linkTokensPerMs: number;
 
   constructor(policy: CellPolicy) {
-    this.#prefill = new ScaledLine(policy.prefillBaseMs, policy.prefillTokenMs);
-    this.#token = new ScaledLine(policy.decodeBaseMs, policy.decodeSlotMs);
+    this.#prefill = new LinearCost(policy.prefillBaseMs, policy.prefillTokenMs);
+    this.#token = new LinearCost(policy.decodeBaseMs, policy.decodeSlotMs);
     this.#linkTokensPerMs = policy.linkTokensPerMs;
   }
 
   prefillMs(tokens: number): number {
-    return this.#prefill.at(tokens);
+    return this.#prefill.estimate(tokens);
   }
 
   transferMs(tokens: number): number {
@@ -41,11 +41,11 @@
   }
 
   tokenMs(batch: number): number {
-    return this.#token.at(batch);
+    return this.#token.estimate(batch);
   }
 
-  batchWithin(targetMs: number, slots: number): number {
-    const batch = Math.floor(this.#token.sizeWithin(targetMs) + ROUNDING);
+  maxBatchWithin(targetMs: number, slots: number): number {
+    const batch = Math.floor(this.#token.maxSizeWithin(targetMs) + ROUNDING);
     return Math.max(1, Math.min(slots, batch));
   }
 
--- a/src/core/cell/entry.ts
+++ b/src/core/cell/entry.ts
@@ -21,14 +21,14 @@
     arrivedAt: now,
     sent: false,
     keptUntil: 0,
-    avoid: undefined,
-    resumedAt: 0,
+    lastFailedRunner: undefined,
+    resumedTokens: 0,
     countedTokens: 0,
     batch: 1,
   };
 }
 
 /** Whether a request at this stage will want a decode slot and has none yet. */
-export function isPromised(stage: Stage): boolean {
+export function needsDecodeSlot(stage: Stage): boolean {
   return stage === 'prefilling' || stage === 'prefilled';
 }
--- a/src/core/cell/forecast.ts
+++ b/src/core/cell/forecast.ts
@@ -3,36 +3,36 @@
 import type { CellRequest, CellView } from './view';
 
 /** Mean and variance of a count. */
-export interface Count {
+export interface CountEstimate {
   readonly mean: number;
   readonly variance: number;
 }
 
 /** Mean time a request holds a decode slot, in milliseconds. */
 export function residenceMs(view: CellView): number {
-  const runners = Math.max(1, view.places.decodeRunners.length);
-  const batch = view.places.decodeSlots / runners;
+  const runners = Math.max(1, view.capacity.decodeRunners.length);
+  const batch = view.capacity.decodeSlots / runners;
   return Math.max(1, view.outputs.mean * view.costs.tokenMs(batch));
 }
 
 /** Output tokens that a streaming request should have by now. */
-export function ageOf(
+export function estimateOutputTokens(
   now: number,
   view: CellView,
-  { since, batch, resumedAt }: CellRequest,
+  { since, batch, resumedTokens: resumedAt }: CellRequest,
 ): number {
   return resumedAt + (now - since) / view.costs.tokenMs(batch);
 }
 
 /** Slots that running requests will free within the horizon. */
-export function expectReleases(now: number, view: CellView, horizonMs: number): Count {
+export function forecastReleases(now: number, view: CellView, horizonMs: number): CountEstimate {
   let mean = 0;
   let variance = 0;
   for (const request of view.decoding) {
-    const age = ageOf(now, view, request);
+    const age = estimateOutputTokens(now, view, request);
     const more = horizonMs / view.costs.tokenMs(request.batch);
     const mustEnd = age + more >= request.arrival.maxTokens;
-    const ends = mustEnd ? 1 : view.outputs.endsWithin(age, more);
+    const ends = mustEnd ? 1 : view.outputs.probabilityOfEndWithin(age, more);
     mean += ends;
     variance += ends * (1 - ends);
   }
@@ -40,7 +40,7 @@
 }
 
 /** Chance that a count is at least `least`, by the normal approximation. */
-export function chanceOfAtLeast(count: Count, least: number): number {
+export function probabilityAtLeast(count: CountEstimate, least: number): number {
   const gap = least - 0.5 - count.mean;
   if (count.variance < 1e-9) return gap <= 0 ? 1 : 0;
   return 1 - normalBelow(gap / Math.sqrt(count.variance));
@@ -56,7 +56,7 @@
 }
 
 /** Milliseconds until a new request's first token, with `ahead` requests served before it. */
-export function forecastFirstToken(
+export function forecastFirstTokenMs(
   now: number,
   view: CellView,
   promptTokens: number,
@@ -69,15 +69,15 @@
 }
 
 function waitForPrefill(now: number, view: CellView, ahead: number): number {
-  const runners = view.places.prefillRunners.filter(({ leaving }) => !leaving);
+  const runners = view.capacity.prefillRunners.filter(({ leaving }) => !leaving);
   if (runners.length === 0) return Infinity;
   const backlog = runners.reduce((sum, place) => sum + Math.max(0, place.busyUntil - now), 0);
   return (backlog + ahead * view.meanPrefillMs) / runners.length;
 }
 
 function waitForSlot(view: CellView, ahead: number): number {
-  const { decodeSlots, freeSlots } = view.places;
+  const { decodeSlots, freeSlots } = view.capacity;
   if (decodeSlots === 0) return Infinity;
-  const missing = ahead + 1 + view.promised - freeSlots;
+  const missing = ahead + 1 + view.awaitingSlot - freeSlots;
   return missing <= 0 ? 0 : (missing * residenceMs(view)) / decodeSlots;
 }
--- a/src/core/cell/health.ts
+++ b/src/core/cell/health.ts
@@ -43,22 +43,22 @@
   }
 
   /** Notes that a runner was given work: after an ejection this is the one probe. */
-  given(now: number, runner: string): void {
+  recordDispatch(now: number, runner: string): void {
     const record = this.#records.get(runner);
     if (record && record.ejectedUntil > 0 && now >= record.ejectedUntil) record.probing = true;
   }
 
   /** A request that ended without telling anything of the runner makes room for another probe. */
-  inconclusive(runner: string): void {
+  recordInconclusive(runner: string): void {
     const record = this.#records.get(runner);
     if (record) record.probing = false;
   }
 
-  succeeded(runner: string): void {
+  recordSuccess(runner: string): void {
     this.#records.delete(runner);
   }
 
-  failed(now: number, runner: string): void {
+  recordFailure(now: number, runner: string): void {
     const record = this.#records.get(runner) ?? {
       failures: 0,
       ejectedUntil: 0,
--- a/src/core/cell/lifecycle.ts
+++ b/src/core/cell/lifecycle.ts
@@ -1,11 +1,11 @@
 /** Controller of ends and of steps back: finished, cancelled, failed and adopted requests. */
 
-import type { QueueController } from './admit';
-import type { CellBoard } from './board';
+import type { QueueController } from './queue';
+import type { CellState } from './state';
 import type { Entry } from './entry';
 import { newEntry } from './entry';
-import { ageOf } from './forecast';
-import { isTelling } from '../quarantine/quarantine';
+import { estimateOutputTokens } from './forecast';
+import { isAttributable } from '../quarantine/quarantine';
 import type { Adoption, CellEvent } from './types';
 
 type Failed = Extract<CellEvent, { kind: 'failed' }>;
@@ -15,13 +15,13 @@
 
 /** Writes requests that end or step back. */
 export class LifecycleController {
-  readonly #board: CellBoard;
+  readonly #board: CellState;
 
   readonly #queue: QueueController;
 
   #countedAt = 0;
 
-  constructor(board: CellBoard, queue: QueueController) {
+  constructor(board: CellState, queue: QueueController) {
     this.#board = board;
     this.#queue = queue;
   }
@@ -31,26 +31,26 @@
     const entry = board.requests.get(id);
     if (!entry) return;
     if (entry.stage === 'decoding') {
-      const fresh = Math.max(1, tokens - entry.resumedAt);
-      board.outputs.expose(Math.min(entry.countedTokens, tokens), tokens);
-      board.outputs.end(tokens);
+      const fresh = Math.max(1, tokens - entry.resumedTokens);
+      board.outputs.addExposure(Math.min(entry.countedTokens, tokens), tokens);
+      board.outputs.addCompletion(tokens);
       board.costs.observeTokens(this.#batchOf(entry), (now - entry.since) / fresh);
     }
     board.counters.finished += 1;
     const { fingerprint } = entry.arrival;
-    if (fingerprint !== undefined) board.quarantine.completed(now, fingerprint);
-    board.drop(now, entry);
+    if (fingerprint !== undefined) board.quarantine.recordCompletion(now, fingerprint);
+    board.remove(now, entry);
   }
 
   /** Counts the tokens of running requests into the distribution of output lengths, from time to time. */
-  countRunning(now: number): void {
+  observeRunning(now: number): void {
     if (now - this.#countedAt < COUNT_MS) return;
     this.#countedAt = now;
     const board = this.#board;
     for (const entry of board.decoding) {
-      const age = Math.min(entry.arrival.maxTokens, ageOf(now, board, entry));
+      const age = Math.min(entry.arrival.maxTokens, estimateOutputTokens(now, board, entry));
       if (age > entry.countedTokens) {
-        board.outputs.expose(entry.countedTokens, age);
+        board.outputs.addExposure(entry.countedTokens, age);
         entry.countedTokens = age;
       }
     }
@@ -61,11 +61,11 @@
     const entry = board.requests.get(id);
     if (!entry) return;
     board.counters.cancelled += 1;
-    if (entry.stage === 'prefilling' || entry.stage === 'prefilled') board.waste(entry);
+    if (entry.stage === 'prefilling' || entry.stage === 'prefilled') board.countWaste(entry);
     for (const runner of [entry.prefillRunner, entry.decodeRunner]) {
-      if (runner !== undefined) board.health.inconclusive(runner);
+      if (runner !== undefined) board.health.recordInconclusive(runner);
     }
-    board.drop(now, entry);
+    board.remove(now, entry);
   }
 
   /** What is proven not run, or lost, is queued again within the retry budget. */
@@ -82,9 +82,9 @@
       this.#backToPrefilled(now, entry);
       return;
     }
-    if (entry.stage === 'prefilled' || entry.stage === 'transferring') board.waste(entry);
-    board.leaveStage(now, entry);
-    entry.avoid = runner;
+    if (entry.stage === 'prefilled' || entry.stage === 'transferring') board.countWaste(entry);
+    board.releaseResources(now, entry);
+    entry.lastFailedRunner = runner;
     noteTokensOut(entry, tokens);
     this.#queue.retry(now, entry);
   }
@@ -98,10 +98,10 @@
     const { arrival, prefillRunner } = adoption;
     const known = board.requests.get(arrival.id);
     if (known && agrees(known, adoption)) {
-      this.#queue.repeat(known);
+      this.#queue.resendAction(known);
       return;
     }
-    if (known) board.drop(now, known);
+    if (known) board.remove(now, known);
     const entry = newEntry(arrival, now);
     entry.sent = true;
     entry.prefillRunner = prefillRunner;
@@ -116,16 +116,16 @@
     board.decoding.add(entry);
     if (decodeRunner === undefined) return;
     entry.decodeRunner = decodeRunner;
-    board.places.holdSlot(decodeRunner, now, arrival.promptTokens);
+    board.capacity.reserveSlot(decodeRunner, now, arrival.promptTokens);
   }
 
   #adoptPrefill(now: number, entry: Entry, { stage, prefillRunner, arrival }: Adoption): void {
     const board = this.#board;
-    board.promised += 1;
+    board.awaitingSlot += 1;
     if (stage === 'prefilling') {
       entry.stage = 'prefilling';
       const workMs = board.costs.prefillMs(arrival.promptTokens);
-      if (prefillRunner !== undefined) board.places.givePrefill(prefillRunner, now, workMs);
+      if (prefillRunner !== undefined) board.capacity.addPrefill(prefillRunner, now, workMs);
       return;
     }
     entry.stage = 'prefilled';
@@ -135,47 +135,47 @@
   }
 
   #judge(now: number, { runner, reason }: Failed): void {
-    const { health, prefixes, places } = this.#board;
+    const { health, prefixes, capacity: places } = this.#board;
     if (reason === 'lost' || reason === 'unreachable') {
-      health.failed(now, runner);
-      prefixes.forget(runner);
+      health.recordFailure(now, runner);
+      prefixes.clear(runner);
     } else {
-      health.inconclusive(runner);
+      health.recordInconclusive(runner);
     }
-    if (reason === 'leaving') places.refusedAsLeaving(runner, now);
+    if (reason === 'leaving') places.recordLeavingRefusal(runner, now);
   }
 
   /** The engine may have ended under this request. Engines keep their ids when they start anew, so each end counts. */
   #suspect(now: number, { arrival, stage, since }: Entry, runner: string): void {
     const { fingerprint } = arrival;
     const answeredAt = stage === 'decoding' ? since : undefined;
-    if (fingerprint === undefined || !isTelling(now, answeredAt)) return;
-    this.#board.quarantine.ended(now, fingerprint, `${runner}@${now}`);
+    if (fingerprint === undefined || !isAttributable(now, answeredAt)) return;
+    this.#board.quarantine.recordCrash(now, fingerprint, `${runner}@${now}`);
   }
 
   /** A finished prefill whose decode place was lost is used again while it is kept. */
   #backToPrefilled(now: number, entry: Entry): void {
     const board = this.#board;
-    board.leaveStage(now, entry);
+    board.releaseResources(now, entry);
     entry.stage = 'prefilled';
     entry.since = now;
-    board.promised += 1;
+    board.awaitingSlot += 1;
     board.prefilled.add(entry);
   }
 
   /** Mean of the batch that a request joined and the one it left. */
   #batchOf({ decodeRunner, batch }: Entry): number {
     const place =
-      decodeRunner === undefined ? undefined : this.#board.places.decodePlace(decodeRunner);
+      decodeRunner === undefined ? undefined : this.#board.capacity.decodeLoad(decodeRunner);
     return (batch + (place?.held ?? batch)) / 2;
   }
 }
 
 /** Tokens that the caller has become part of the prompt of the next run. */
 function noteTokensOut(entry: Entry, tokens: number): void {
-  const fresh = tokens - entry.resumedAt;
+  const fresh = tokens - entry.resumedTokens;
   if (fresh <= 0) return;
-  entry.resumedAt = tokens;
+  entry.resumedTokens = tokens;
   entry.countedTokens = tokens;
   entry.arrival = { ...entry.arrival, promptTokens: entry.arrival.promptTokens + fresh };
 }
--- a/src/core/cell/line.ts
+++ b/src/core/cell/linear.ts
@@ -13,7 +13,7 @@
  * same size, a line through such points has any slope, and batch caps worked out
  * from it swung between one and all slots.
  */
-export class ScaledLine {
+export class LinearCost {
   readonly #base: number;
 
   readonly #slope: number;
@@ -35,12 +35,12 @@
     this.#scale += WEIGHT * (bounded - this.#scale);
   }
 
-  at(size: number): number {
+  estimate(size: number): number {
     return this.#scale * (this.#base + this.#slope * size);
   }
 
   /** Largest size whose cost is at most this. */
-  sizeWithin(cost: number): number {
+  maxSizeWithin(cost: number): number {
     return (cost / this.#scale - this.#base) / this.#slope;
   }
 }
--- a/src/core/cell/margins.ts
+++ b/src/core/cell/margins.ts
@@ -23,7 +23,7 @@
 const TEAMS_LIMIT = 4096;
 
 /** Lateness by team, as a part of the forecast. */
-export class Margins implements ForecastMargins {
+export class LatenessMargins implements ForecastMargins {
   readonly #teams = new Map<string, RunningQuantile>();
 
   marginMs(team: string, forecastMs: number): number {
--- a/src/core/cell/outputs.ts
+++ b/src/core/cell/outputs.ts
@@ -12,7 +12,7 @@
   /** Mean output length in tokens. */
   readonly mean: number;
   /** Chance that a request with `age` tokens out ends within the next `more` tokens. */
-  endsWithin(age: number, more: number): number;
+  probabilityOfEndWithin(age: number, more: number): number;
 }
 
 /** Buckets for each doubling of the length. */
@@ -68,7 +68,7 @@
   }
 
   /** Notes that a request went on from one length to another. */
-  expose(from: number, to: number): void {
+  addExposure(from: number, to: number): void {
     for (let bucket = bucketOf(from); bucket <= bucketOf(to); bucket += 1) {
       const low = Math.max(from, lowerBound(bucket));
       const high = bucket === BUCKET_COUNT - 1 ? to : Math.min(to, lowerBound(bucket + 1));
@@ -79,7 +79,7 @@
   }
 
   /** Notes that a request ended at a length; its tokens are noted with `expose`. */
-  end(tokens: number): void {
+  addCompletion(tokens: number): void {
     this.#weight *= 2 ** (1 / HALF_LIFE);
     const bucket = bucketOf(tokens);
     this.#ends[bucket] = (this.#ends[bucket] ?? 0) + this.#weight;
@@ -87,7 +87,7 @@
     if (this.#weight > RESCALE_AT) this.#rescale();
   }
 
-  endsWithin(age: number, more: number): number {
+  probabilityOfEndWithin(age: number, more: number): number {
     if (this.#stale) this.#integrate();
     return 1 - Math.exp(this.#hazardAt(age) - this.#hazardAt(age + more));
   }
--- a/src/core/cell/placement.ts
+++ b/src/core/cell/placement.ts
@@ -1,8 +1,8 @@
 /** Which runner a prefill or a decode goes to. */
 
 import { BLOCK_TOKENS } from '../prefix';
-import type { DecodePlace, PrefillPlace } from './places';
-import { freeOf } from './places';
+import type { DecodeLoad, PrefillLoad } from './capacity';
+import { freeSlotsOf } from './capacity';
 import type { Arrival } from './types';
 import type { CellView } from './view';
 
@@ -12,14 +12,14 @@
     now: number,
     view: CellView,
     arrival: Arrival,
-    able: readonly PrefillPlace[],
-  ): PrefillPlace | undefined;
+    able: readonly PrefillLoad[],
+  ): PrefillLoad | undefined;
   decode(
     now: number,
     view: CellView,
     arrival: Arrival,
-    able: readonly DecodePlace[],
-  ): DecodePlace | undefined;
+    able: readonly DecodeLoad[],
+  ): DecodeLoad | undefined;
 }
 
 function least<T>(items: readonly T[], cost: (item: T) => number): T | undefined {
@@ -41,13 +41,13 @@
     now: number,
     view: CellView,
     arrival: Arrival,
-    able: readonly PrefillPlace[],
-  ): PrefillPlace | undefined {
+    able: readonly PrefillLoad[],
+  ): PrefillLoad | undefined {
     const moveMs = view.costs.transferMs(arrival.promptTokens);
     return least(able, ({ runner, busyUntil }) => {
-      const hitTokens = view.prefixes.hits(runner.id, arrival.blocks) * BLOCK_TOKENS;
+      const hitTokens = view.prefixes.cachedBlocks(runner.id, arrival.blocks) * BLOCK_TOKENS;
       const workMs = view.costs.prefillMs(Math.max(0, arrival.promptTokens - hitTokens));
-      const linkMs = view.places.linkBusy(runner.link) ? moveMs : 0;
+      const linkMs = view.capacity.isLinkBusy(runner.link) ? moveMs : 0;
       return Math.max(0, busyUntil - now) + workMs + linkMs;
     });
   }
@@ -57,9 +57,9 @@
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly DecodePlace[],
-  ): DecodePlace | undefined {
-    return least(able, (place) => (place.cap - freeOf(place)) / place.cap);
+    able: readonly DecodeLoad[],
+  ): DecodeLoad | undefined {
+    return least(able, (place) => (place.cap - freeSlotsOf(place)) / place.cap);
   }
 }
 
@@ -73,8 +73,8 @@
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly PrefillPlace[],
-  ): PrefillPlace | undefined {
+    able: readonly PrefillLoad[],
+  ): PrefillLoad | undefined {
     this.#prefills += 1;
     return able[this.#prefills % able.length];
   }
@@ -83,30 +83,30 @@
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly DecodePlace[],
-  ): DecodePlace | undefined {
+    able: readonly DecodeLoad[],
+  ): DecodeLoad | undefined {
     this.#decodes += 1;
     return able[this.#decodes % able.length];
   }
 }
 
 /** Baseline: least load by the runners' own late reports. */
-export class LeastReported implements Placement {
+export class LeastReportedLoad implements Placement {
   prefill(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly PrefillPlace[],
-  ): PrefillPlace | undefined {
-    return least(able, ({ reported }) => reported);
+    able: readonly PrefillLoad[],
+  ): PrefillLoad | undefined {
+    return least(able, ({ reportedRunning: reported }) => reported);
   }
 
   decode(
     _now: number,
     _view: CellView,
     _arrival: Arrival,
-    able: readonly DecodePlace[],
-  ): DecodePlace | undefined {
-    return least(able, ({ reported }) => reported);
+    able: readonly DecodeLoad[],
+  ): DecodeLoad | undefined {
+    return least(able, ({ reportedRunning: reported }) => reported);
   }
 }
--- a/src/core/cell/prefill.ts
+++ b/src/core/cell/prefill.ts
@@ -1,12 +1,12 @@
 /** Controller of prefills: starts them when their results will be used, and gives up results that were not. */
 
 import { uncachedTokens } from '../prefix';
-import type { QueueController } from './admit';
-import type { CellBoard } from './board';
+import type { QueueController } from './queue';
+import type { CellState } from './state';
 import type { Entry } from './entry';
 import { residenceMs } from './forecast';
-import type { PrefillPlace } from './places';
-import { avoiding } from './places';
+import type { PrefillLoad } from './capacity';
+import { preferOtherRunners } from './capacity';
 import type { Placement } from './placement';
 import type { StartRule } from './start';
 
@@ -21,7 +21,7 @@
 
 /** Writes the prefill backlog. */
 export class PrefillController {
-  readonly #board: CellBoard;
+  readonly #board: CellState;
 
   readonly #queue: QueueController;
 
@@ -29,7 +29,7 @@
 
   readonly #placement: Placement;
 
-  constructor(board: CellBoard, queue: QueueController, rule: StartRule, placement: Placement) {
+  constructor(board: CellState, queue: QueueController, rule: StartRule, placement: Placement) {
     this.#board = board;
     this.#queue = queue;
     this.#rule = rule;
@@ -47,10 +47,10 @@
     if (entry?.stage !== 'prefilling' || entry.prefillRunner === undefined) return;
     const work = Math.max(0, entry.arrival.promptTokens - cachedTokens);
     // Only a prefill that had the runner to itself tells what it costs.
-    const alone = board.sourceOf(entry)?.pending === 1;
+    const alone = board.prefillLoadOf(entry)?.pending === 1;
     if (alone) board.costs.observePrefill(work, now - entry.since);
-    board.places.endPrefill(entry.prefillRunner, now);
-    board.health.succeeded(entry.prefillRunner);
+    board.capacity.removePrefill(entry.prefillRunner, now);
+    board.health.recordSuccess(entry.prefillRunner);
     board.counters.prefillTokens += work;
     entry.stage = 'prefilled';
     entry.since = now;
@@ -63,8 +63,8 @@
     const board = this.#board;
     for (const entry of board.prefilled) {
       if (now >= entry.keptUntil - EVICTION_MARGIN_MS) {
-        board.waste(entry);
-        board.leaveStage(now, entry);
+        board.countWaste(entry);
+        board.releaseResources(now, entry);
         this.#queue.retry(now, entry);
       }
     }
@@ -85,7 +85,7 @@
     const place = entry ? this.#choose(now, entry) : undefined;
     if (!entry || !place) return false;
     const { arrival } = entry;
-    const hitBlocks = board.prefixes.hits(place.runner.id, arrival.blocks);
+    const hitBlocks = board.prefixes.cachedBlocks(place.runner.id, arrival.blocks);
     const workMs = board.costs.prefillMs(uncachedTokens(arrival.promptTokens, hitBlocks));
     const readyInMs = Math.max(0, place.busyUntil - now) + workMs;
     if (!this.#rule.mayStart(now, board, readyInMs)) return false;
@@ -96,25 +96,30 @@
 
   /** Time of the whole cell that a request takes, on prefill or on decode, whichever is scarcer. */
   #costMs(workMs: number): number {
-    const { places } = this.#board;
+    const { capacity: places } = this.#board;
     const prefillMs = workMs / Math.max(1, places.prefillRunners.length);
     const decodeMs = residenceMs(this.#board) / Math.max(1, places.decodeSlots);
     return Math.max(prefillMs, decodeMs);
   }
 
-  #choose(now: number, entry: Entry): PrefillPlace | undefined {
+  #choose(now: number, entry: Entry): PrefillLoad | undefined {
     const board = this.#board;
-    const able = board.places.prefillRunners.filter(
+    const able = board.capacity.prefillRunners.filter(
       (place) =>
         !place.leaving &&
         place.busyUntil - now <= LOOKAHEAD_MS &&
         place.pending < PENDING_LIMIT &&
         board.health.allows(now, place.runner.id),
     );
-    return this.#placement.prefill(now, board, entry.arrival, avoiding(able, entry.avoid));
+    return this.#placement.prefill(
+      now,
+      board,
+      entry.arrival,
+      preferOtherRunners(able, entry.lastFailedRunner),
+    );
   }
 
-  #start(now: number, entry: Entry, place: PrefillPlace, hitBlocks: number, workMs: number): void {
+  #start(now: number, entry: Entry, place: PrefillLoad, hitBlocks: number, workMs: number): void {
     const board = this.#board;
     const runner = place.runner.id;
     entry.stage = 'prefilling';
@@ -122,11 +127,11 @@
     entry.prefillRunner = runner;
     entry.hitBlocks = hitBlocks;
     entry.sent = true;
-    board.promised += 1;
+    board.awaitingSlot += 1;
     board.meanPrefillMs += MEAN_WEIGHT * (workMs - board.meanPrefillMs);
-    board.places.givePrefill(runner, now, workMs);
+    board.capacity.addPrefill(runner, now, workMs);
     board.prefixes.add(runner, entry.arrival.blocks);
-    board.health.given(now, runner);
+    board.health.recordDispatch(now, runner);
     board.emit({ kind: 'prefill', id: entry.arrival.id, runner });
   }
 }
--- a/src/core/cell/prefixes.ts
+++ b/src/core/cell/prefixes.ts
@@ -6,19 +6,19 @@
  */
 
 /** Read-only view of the prediction. */
-export interface Prefixes {
+export interface PrefixPrediction {
   /** Leading blocks of a prompt that the runner should have. */
-  hits(runner: string, blocks: readonly number[]): number;
+  cachedBlocks(runner: string, blocks: readonly number[]): number;
 }
 
 /** Blocks remembered for each runner, least recently used out first. */
 const BLOCKS_PER_RUNNER = 4096;
 
 /** Prediction from routing and events. */
-export class PrefixMap implements Prefixes {
+export class PrefixMap implements PrefixPrediction {
   readonly #runners = new Map<string, Set<number>>();
 
-  hits(runner: string, blocks: readonly number[]): number {
+  cachedBlocks(runner: string, blocks: readonly number[]): number {
     const known = this.#runners.get(runner);
     if (!known) return 0;
     const miss = blocks.findIndex((block) => !known.has(block));
@@ -45,7 +45,7 @@
   }
 
   /** A runner that was lost comes back with an empty cache. */
-  forget(runner: string): void {
+  clear(runner: string): void {
     this.#runners.delete(runner);
   }
 }
--- a/src/core/cell/admit.ts
+++ b/src/core/cell/queue.ts
@@ -2,10 +2,10 @@
 
 import type { CodeName } from '../codes';
 import { uncachedTokens } from '../prefix';
-import type { Admission, Verdict } from './admission';
+import type { Admission, AdmissionDecision } from './admission';
 import { bestHitBlocks, jitter } from './admission';
-import type { CellBoard } from './board';
-import { RESUME_LANE } from './board';
+import type { CellState } from './state';
+import { RESUME_QUEUE } from './state';
 import type { Entry } from './entry';
 import { newEntry } from './entry';
 import type { Arrival } from './types';
@@ -15,19 +15,19 @@
 
 /** Writes the queue. */
 export class QueueController {
-  readonly #board: CellBoard;
+  readonly #board: CellState;
 
   readonly #admission: Admission;
 
   /** When the first queued request is lost. */
   #nextLoss = Infinity;
 
-  constructor(board: CellBoard, admission: Admission) {
+  constructor(board: CellState, admission: Admission) {
     this.#board = board;
     this.#admission = admission;
   }
 
-  get nextLoss(): number {
+  get nextUnservableAt(): number {
     return this.#nextLoss;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** A request that ended its engines is not taken in, whatever room there is. */
-  #decide(now: number, arrival: Arrival): Verdict {
+  #decide(now: number, arrival: Arrival): AdmissionDecision {
     const retryAfterMs = this.#refusedForMs(now, arrival);
     if (retryAfterMs !== undefined) return { admitted: false, code: 'quarantined', retryAfterMs };
     return this.#admission.decide(now, this.#board, arrival);
@@ -71,19 +71,19 @@
   retry(now: number, entry: Entry): void {
     const board = this.#board;
     if (this.#refusedForMs(now, entry.arrival) !== undefined) {
-      this.giveUp(now, entry, 'quarantined');
+      this.refuse(now, entry, 'quarantined');
       return;
     }
     if (!board.budget.spend(entry.arrival.team)) {
-      this.giveUp(now, entry, 'retriesSpent');
+      this.refuse(now, entry, 'retriesSpent');
       return;
     }
     board.counters.retries += 1;
     entry.stage = 'queued';
     entry.since = now;
-    if (entry.resumedAt > 0) {
+    if (entry.resumedTokens > 0) {
       entry.arrival = { ...entry.arrival, deadline: now + RESUME_WAIT_MS };
-      board.waiting.unshift(RESUME_LANE, entry);
+      board.waiting.unshift(RESUME_QUEUE, entry);
     } else {
       board.waiting.unshift(entry.arrival.team, entry);
     }
@@ -91,17 +91,17 @@
   }
 
   /** Ends a request that will not be served; after it was sent to a runner this is not "not run". */
-  giveUp(now: number, entry: Entry, code: CodeName): void {
+  refuse(now: number, entry: Entry, code: CodeName): void {
     const board = this.#board;
     board.counters.refused += 1;
     const { id } = entry.arrival;
     const retryAfterMs = jitter(id, board.meanPrefillMs);
     board.emit({ kind: 'refuse', id, code, notRun: !entry.sent, retryAfterMs });
-    board.drop(now, entry);
+    board.remove(now, entry);
   }
 
   /** Refuses what can no longer have its first token in time, at the moment that is known. */
-  refuseLost(now: number): void {
+  refuseUnservable(now: number): void {
     if (now < this.#nextLoss) return;
     const board = this.#board;
     const lost = board.waiting.removeWhere((entry) => now >= this.#lossTime(entry));
@@ -114,7 +114,7 @@
           entry.arrival.deadline - entry.arrivedAt,
         );
       }
-      this.giveUp(now, entry, entry.sent ? 'timedOut' : 'deadlineUnreachable');
+      this.refuse(now, entry, entry.sent ? 'timedOut' : 'deadlineUnreachable');
     }
     this.#nextLoss = Infinity;
     for (const entry of board.requests.values()) {
@@ -123,7 +123,7 @@
   }
 
   /** Tells again what was lost with a link. */
-  repeat({ arrival: { id }, stage, prefillRunner, decodeRunner }: Entry): void {
+  resendAction({ arrival: { id }, stage, prefillRunner, decodeRunner }: Entry): void {
     if (prefillRunner === undefined) return;
     if (stage === 'prefilling') this.#board.emit({ kind: 'prefill', id, runner: prefillRunner });
     if (stage === 'transferring' && decodeRunner !== undefined) {
@@ -139,11 +139,11 @@
   #arriveAgain(now: number, entry: Entry): void {
     if (entry.stage === 'queued') return;
     if (entry.stage === 'prefilling') {
-      this.repeat(entry);
+      this.resendAction(entry);
       return;
     }
-    this.#board.waste(entry);
-    this.#board.leaveStage(now, entry);
+    this.#board.countWaste(entry);
+    this.#board.releaseResources(now, entry);
     this.retry(now, entry);
   }
 
--- a/src/core/cell/shares.ts
+++ b/src/core/cell/shares.ts
@@ -3,13 +3,13 @@
 import { FairShares } from '../fair';
 
 /** Read-only view of who waits. */
-export interface Waiting {
+export interface QueueView {
   /** Entries waiting in all groups. */
   readonly size: number;
   /** Entries waiting in one group. */
-  waitingOf(group: string): number;
+  sizeOf(group: string): number;
   /** Entries that go before a new entry of this group, at the mean cost of an entry. */
-  ahead(group: string): number;
+  countAhead(group: string): number;
 }
 
 /** Weight of the newest entry in the mean cost. */
@@ -21,7 +21,7 @@
 }
 
 /** Entries in groups; one entry at a time is offered and then taken. */
-export class FairQueue<T> implements Waiting {
+export class FairQueue<T> implements QueueView {
   readonly #lanes = new Map<string, Lane<T>>();
 
   readonly #shares: FairShares;
@@ -42,12 +42,12 @@
     return this.#size;
   }
 
-  waitingOf(group: string): number {
+  sizeOf(group: string): number {
     return this.#lanes.get(group)?.entries.length ?? 0;
   }
 
-  ahead(group: string): number {
-    const own = this.waitingOf(group);
+  countAhead(group: string): number {
+    const own = this.sizeOf(group);
     const tag = this.#shares.tagOf(group) + this.#shares.stepOf(group, own * this.#meanCost);
     let count = own;
     for (const lane of this.#lanes.values()) {
--- a/src/core/cell/start.ts
+++ b/src/core/cell/start.ts
@@ -1,6 +1,6 @@
 /** When a prefill may start, given that its result needs a decode slot soon after. */
 
-import { chanceOfAtLeast, expectReleases } from './forecast';
+import { probabilityAtLeast, forecastReleases } from './forecast';
 import type { CellView } from './view';
 
 /** A rule for starting prefills. */
@@ -20,19 +20,19 @@
  * evicted. The threshold is the critical fractile of the two costs: prefill
  * thrown away against a slot left idle.
  */
-export class DecodeFirst implements StartRule {
+export class SlotForecastStart implements StartRule {
   mayStart(now: number, view: CellView, readyInMs: number): boolean {
-    const missing = view.promised + 1 - view.places.freeSlots;
+    const missing = view.awaitingSlot + 1 - view.capacity.freeSlots;
     if (missing <= 0) return true;
     const { goodputWeight, wasteWeight, keepMs } = view.policy;
     const threshold = wasteWeight / (wasteWeight + goodputWeight);
-    const releases = expectReleases(now, view, readyInMs + keepMs * KEEP_MARGIN);
-    return chanceOfAtLeast(releases, missing) >= threshold;
+    const releases = forecastReleases(now, view, readyInMs + keepMs * KEEP_MARGIN);
+    return probabilityAtLeast(releases, missing) >= threshold;
   }
 }
 
 /** Baseline: starts at once and waits for a slot afterwards. */
-export class AtOnce implements StartRule {
+export class ImmediateStart implements StartRule {
   mayStart(): boolean {
     return true;
   }
--- a/src/core/cell/board.ts
+++ b/src/core/cell/state.ts
@@ -3,14 +3,14 @@
 import { RetryBudget } from './budget';
 import { LearntCosts } from './costs';
 import type { Entry } from './entry';
-import { isPromised } from './entry';
+import { needsDecodeSlot } from './entry';
 import { RunnerHealth } from './health';
 import { OutputHistogram } from './outputs';
-import type { PrefillPlace } from './places';
-import { PlaceBook } from './places';
+import type { PrefillLoad } from './capacity';
+import { CapacityTracker } from './capacity';
 import { PrefixMap } from './prefixes';
 import { Quarantine } from '../quarantine/quarantine';
-import { Margins } from './margins';
+import { LatenessMargins } from './margins';
 import { FairQueue } from './shares';
 import type { CellAction, CellPolicy } from './types';
 import type { CellRequest, CellView } from './view';
@@ -30,7 +30,7 @@
 }
 
 /** Queue of requests whose caller has tokens already; it goes before all teams. */
-export const RESUME_LANE = '\u0000resume';
+export const RESUME_QUEUE = '\u0000resume';
 /** Weight of that queue against a team of weight 1. */
 const RESUME_WEIGHT = 1e6;
 
@@ -38,12 +38,12 @@
 const CREDIT_MS = 3000;
 
 /** Sections of the blackboard. */
-export class CellBoard implements CellView {
+export class CellState implements CellView {
   /** Written by the cell on new settings. */
   policy: CellPolicy;
 
   /** Written by the lifecycle, the prefill and the transfer controller through `leaveStage` and their own grants. */
-  readonly places = new PlaceBook();
+  readonly capacity = new CapacityTracker();
 
   /** Written by the lifecycle controller. */
   readonly outputs: OutputHistogram;
@@ -85,9 +85,9 @@
   };
 
   /** Written by the queue and the transfer controller. */
-  readonly margins = new Margins();
+  readonly margins = new LatenessMargins();
 
-  promised = 0;
+  awaitingSlot = 0;
 
   meanPrefillMs: number;
 
@@ -100,7 +100,7 @@
     this.costs = new LearntCosts(policy);
     this.meanPrefillMs = policy.prefillBaseMs;
     this.waiting = new FairQueue<Entry>(
-      (team) => (team === RESUME_LANE ? RESUME_WEIGHT : (this.policy.shares[team] ?? 1)),
+      (team) => (team === RESUME_QUEUE ? RESUME_WEIGHT : (this.policy.shares[team] ?? 1)),
       CREDIT_MS,
     );
   }
@@ -114,20 +114,20 @@
   }
 
   /** The prefill runner that has worked for a request. */
-  sourceOf({ prefillRunner }: CellRequest): PrefillPlace | undefined {
-    return prefillRunner === undefined ? undefined : this.places.prefillPlace(prefillRunner);
+  prefillLoadOf({ prefillRunner }: CellRequest): PrefillLoad | undefined {
+    return prefillRunner === undefined ? undefined : this.capacity.prefillLoad(prefillRunner);
   }
 
   /** Gives back whatever the request holds at its stage and leaves it queued nowhere. */
-  leaveStage(now: number, entry: Entry): void {
+  releaseResources(now: number, entry: Entry): void {
     const { stage, prefillRunner, decodeRunner, arrival } = entry;
     if (stage === 'queued') this.#leaveQueue(entry);
     if (stage === 'prefilling' && prefillRunner !== undefined) {
-      this.places.endPrefill(prefillRunner, now);
+      this.capacity.removePrefill(prefillRunner, now);
     }
-    if (isPromised(stage)) this.promised -= 1;
+    if (needsDecodeSlot(stage)) this.awaitingSlot -= 1;
     if (stage === 'transferring') this.endTransfer(entry);
-    if (decodeRunner !== undefined) this.places.freeSlot(decodeRunner, now, arrival.promptTokens);
+    if (decodeRunner !== undefined) this.capacity.freeSlot(decodeRunner, now, arrival.promptTokens);
     this.prefilled.delete(entry);
     this.decoding.delete(entry);
     entry.decodeRunner = undefined;
@@ -135,30 +135,31 @@
   }
 
   endTransfer(entry: Entry): void {
-    const source = this.sourceOf(entry);
-    if (source) this.places.freeLink(source.runner.link);
+    const source = this.prefillLoadOf(entry);
+    if (source) this.capacity.freeLink(source.runner.link);
   }
 
   /** Forgets a request after giving back what it holds. */
-  drop(now: number, entry: Entry): void {
-    this.leaveStage(now, entry);
+  remove(now: number, entry: Entry): void {
+    this.releaseResources(now, entry);
     this.requests.delete(entry.arrival.id);
   }
 
   /** Counts the prefill of a request as thrown away. */
-  waste({ arrival, hitBlocks }: CellRequest): void {
+  countWaste({ arrival, hitBlocks }: CellRequest): void {
     this.counters.wastedTokens += uncachedTokens(arrival.promptTokens, hitBlocks);
   }
 
   /** Checks the account against the requests; each line means a place was lost or counted twice. */
   violations(): readonly string[] {
     const all = [...this.requests.values()];
-    const found = this.places.decodeRunners.flatMap(({ runner, held }) => {
+    const found = this.capacity.decodeRunners.flatMap(({ runner, held }) => {
       const holders = all.filter(({ decodeRunner }) => decodeRunner === runner.id).length;
       return holders === held ? [] : [`${runner.id}: ${held} slots held by ${holders} requests`];
     });
-    const promised = all.filter(({ stage }) => isPromised(stage)).length;
-    if (promised !== this.promised) found.push(`${this.promised} promised, ${promised} counted`);
+    const promised = all.filter(({ stage }) => needsDecodeSlot(stage)).length;
+    if (promised !== this.awaitingSlot)
+      found.push(`${this.awaitingSlot} promised, ${promised} counted`);
     const queued = all.filter(({ stage }) => stage === 'queued').length;
     if (queued !== this.waiting.size) found.push(`${this.waiting.size} waiting, ${queued} counted`);
     return found;
@@ -166,6 +167,6 @@
 
   #leaveQueue(entry: Entry): void {
     const left = this.waiting.remove(entry.arrival.team, entry);
-    if (!left) this.waiting.remove(RESUME_LANE, entry);
+    if (!left) this.waiting.remove(RESUME_QUEUE, entry);
   }
 }
--- a/src/core/cell/view.ts
+++ b/src/core/cell/view.ts
@@ -4,9 +4,9 @@
 import type { Health } from './health';
 import type { ForecastMargins } from './margins';
 import type { OutputLengths } from './outputs';
-import type { Places } from './places';
-import type { Prefixes } from './prefixes';
-import type { Waiting } from './shares';
+import type { CellCapacity } from './capacity';
+import type { PrefixPrediction } from './prefixes';
+import type { QueueView } from './shares';
 import type { Arrival, CellPolicy } from './types';
 
 /** How far a request has come. */
@@ -31,9 +31,9 @@
   /** When the runner evicts the finished prefill. */
   readonly keptUntil: number;
   /** Runner that failed this request last; it is tried last. */
-  readonly avoid: string | undefined;
+  readonly lastFailedRunner: string | undefined;
   /** Output tokens the caller has from earlier runners. */
-  readonly resumedAt: number;
+  readonly resumedTokens: number;
   /** Output length up to which the request has been counted in the learnt distribution. */
   readonly countedTokens: number;
   /** Batch that the request joined, for learning time between tokens. */
@@ -43,16 +43,16 @@
 /** Everything a policy may look at. */
 export interface CellView {
   readonly policy: CellPolicy;
-  readonly places: Places;
+  readonly capacity: CellCapacity;
   readonly outputs: OutputLengths;
   readonly costs: Costs;
-  readonly waiting: Waiting;
-  readonly prefixes: Prefixes;
+  readonly waiting: QueueView;
+  readonly prefixes: PrefixPrediction;
   readonly health: Health;
   /** Requests that hold a decode slot and stream. */
   readonly decoding: Iterable<CellRequest>;
   /** Prefills given or finished whose request holds no decode slot yet. */
-  readonly promised: number;
+  readonly awaitingSlot: number;
   readonly margins: ForecastMargins;
   /** Fading mean of prefill cost after cache hits, in milliseconds. */
   readonly meanPrefillMs: number;
--- a/src/core/plain/balancer.ts
+++ b/src/core/plain/balancer.ts
@@ -40,7 +40,7 @@
     const from = this.#turn % Math.max(1, able.length);
     const turned = [...able.slice(from), ...able.slice(0, from)];
     const [best] = turned.sort((a, b) => this.#cost(a) - this.#cost(b));
-    if (best) this.#health.given(now, best.id);
+    if (best) this.#health.recordDispatch(now, best.id);
     return best;
   }
 
@@ -50,9 +50,9 @@
 
   end(now: number, runner: string, result: 'ok' | 'lost' | 'leaving' | 'inconclusive'): void {
     this.#outstanding.set(runner, Math.max(0, this.#of(runner) - 1));
-    if (result === 'ok') this.#health.succeeded(runner);
-    else if (result === 'lost') this.#health.failed(now, runner);
-    else this.#health.inconclusive(runner);
+    if (result === 'ok') this.#health.recordSuccess(runner);
+    else if (result === 'lost') this.#health.recordFailure(now, runner);
+    else this.#health.recordInconclusive(runner);
     if (result === 'leaving') this.#leavingUntil.set(runner, now + LEAVING_MS);
   }
 
--- a/src/core/registry/keys.ts
+++ b/src/core/registry/keys.ts
@@ -12,7 +12,7 @@
 }
 
 /** Where a request that was under way streams on its runner, so that another gateway can go on with it. */
-export interface StreamPlace {
+export interface StreamLocation {
   readonly runner: string;
   /** Id under which the runner knows the request. */
   readonly runId: string;
@@ -24,14 +24,14 @@
 }
 
 /** What a new attempt is told. */
-export type Attempt =
+export type AttemptResult =
   | { readonly kind: 'fresh' }
   /** Another gateway works on it; its stream can be read there. */
   | {
       readonly kind: 'running';
       readonly gateway: string;
       readonly id: string;
-      readonly place: StreamPlace | undefined;
+      readonly place: StreamLocation | undefined;
     }
   | { readonly kind: 'done'; readonly answer: FinishedAnswer }
   | { readonly kind: 'mismatch' };
@@ -40,7 +40,7 @@
   readonly fingerprint: string;
   gateway: string;
   id: string;
-  place: StreamPlace | undefined;
+  place: StreamLocation | undefined;
   answer: FinishedAnswer | undefined;
   until: number;
 }
@@ -69,7 +69,13 @@
   }
 
   /** Registers an attempt, or tells where the request already is. */
-  attempt(now: number, key: string, fingerprint: string, gateway: string, id: string): Attempt {
+  attempt(
+    now: number,
+    key: string,
+    fingerprint: string,
+    gateway: string,
+    id: string,
+  ): AttemptResult {
     const entry = this.#live(now, key);
     if (!entry) {
       this.#entries.set(key, {
@@ -89,13 +95,13 @@
   }
 
   /** Notes where the running attempt streams. */
-  locate(key: string, id: string, place: StreamPlace): void {
+  setLocation(key: string, id: string, place: StreamLocation): void {
     const entry = this.#entries.get(key);
     if (entry?.id === id) entry.place = place;
   }
 
   /** Gives a running request to a new attempt, if it still belongs to the old one. */
-  transfer(key: string, from: string, gateway: string, id: string): boolean {
+  reassign(key: string, from: string, gateway: string, id: string): boolean {
     const entry = this.#entries.get(key);
     if (!entry || entry.answer || entry.id !== from) return false;
     entry.gateway = gateway;
@@ -103,7 +109,7 @@
     return true;
   }
 
-  conclude(now: number, key: string, id: string, answer: FinishedAnswer): void {
+  complete(now: number, key: string, id: string, answer: FinishedAnswer): void {
     const entry = this.#entries.get(key);
     if (entry?.id !== id || entry.answer) return;
     entry.answer = answer;
--- a/src/core/settings/book.ts
+++ b/src/core/settings/documents.ts
@@ -6,7 +6,7 @@
 import { createHash } from 'node:crypto';
 
 import { toFailure } from '../failure';
-import type { Document } from './parse';
+import type { SettingsDocument } from './parse';
 import { CONSORTIUM, TEAM_PREFIX, parseDocument } from './parse';
 import type { Consortium, Pool, Service, TeamDocument } from './schema';
 
@@ -20,7 +20,7 @@
 }
 
 /** What became of a document that was offered. */
-export type Applied =
+export type ApplyResult =
   | { readonly kind: 'applied' }
   | { readonly kind: 'known' }
   /** It is older than what is in force: a store that lost writes, or a late message. */
@@ -52,7 +52,7 @@
 }
 
 /** The settings themselves; only their controller writes to them. */
-export class SettingsBook implements Settings {
+export class SettingsDocuments implements Settings {
   readonly #stored = new Map<string, StoredDocument>();
 
   /** Highest revision seen, malformed ones included, so that they are not parsed again. */
@@ -119,7 +119,7 @@
   }
 
   /** Puts a document in force if it is newer and well-formed. */
-  apply(offered: StoredDocument): Applied {
+  apply(offered: StoredDocument): ApplyResult {
     const inForce = this.revisionOf(offered.path);
     if (offered.revision < inForce) return { kind: 'older', inForce };
     if (offered.revision <= Math.max(inForce, this.#seen.get(offered.path) ?? 0)) {
@@ -141,7 +141,7 @@
       this.#remove(path);
       return;
     }
-    const document: Document = parseDocument(path, text);
+    const document: SettingsDocument = parseDocument(path, text);
     if (document.kind === 'team') {
       this.#teams.set(document.team, document.value);
       return;
--- a/src/core/settings/envelope.ts
+++ b/src/core/settings/envelope.ts
@@ -4,8 +4,8 @@
 import { z } from 'zod';
 
 import { Failure } from '../failure';
-import type { StoredDocument } from './book';
-import { CONSORTIUM, TEAM_PREFIX, parseText } from './parse';
+import type { StoredDocument } from './documents';
+import { CONSORTIUM, TEAM_PREFIX, parseJsonc } from './parse';
 
 /** Keys of settings documents start with this. */
 export const SETTINGS_PREFIX = 'settings/';
@@ -39,13 +39,13 @@
 }
 
 /** A path split into its document and the place inside it. */
-export interface Target {
+export interface DocumentTarget {
   readonly path: string;
   readonly inside: readonly string[];
 }
 
 /** Splits an operator's path: `teams/dosel/services/tiles` is `services.tiles` in `teams/dosel`. */
-export function splitPath(path: string): Target {
+export function splitPath(path: string): DocumentTarget {
   const parts = path.split('/').filter((part) => part !== '');
   const length = parts[0] === CONSORTIUM ? 1 : 2;
   const document = parts.slice(0, length).join('/');
@@ -76,6 +76,6 @@
       }
       throw new Failure('settingsNotFound', `${source}: there is no '${part}'`);
     },
-    parseText(text, source),
+    parseJsonc(text, source),
   );
 }
--- a/src/core/settings/parse.ts
+++ b/src/core/settings/parse.ts
@@ -19,7 +19,7 @@
 }
 
 /** Parses JSON with comments. */
-export function parseText(text: string, source: string): unknown {
+export function parseJsonc(text: string, source: string): unknown {
   const errors: ParseError[] = [];
   const value: unknown = parse(text, errors, { allowTrailingComma: true });
   const [first] = errors;
@@ -34,7 +34,7 @@
 }
 
 /** Checks a parsed value against a schema and fills in defaults. */
-export function check<T>(schema: z.ZodType<T>, value: unknown, source: string): T {
+export function validate<T>(schema: z.ZodType<T>, value: unknown, source: string): T {
   const result = schema.safeParse(value);
   if (result.success) return result.data;
   const [issue] = result.error.issues;
@@ -46,21 +46,21 @@
 }
 
 /** A checked document of either kind. */
-export type Document =
+export type SettingsDocument =
   | { readonly kind: 'consortium'; readonly value: Consortium }
   | { readonly kind: 'team'; readonly team: string; readonly value: TeamDocument };
 
 /** Checks the text of the document at a path. */
-export function parseDocument(path: string, text: string): Document {
-  const value = parseText(text, path);
+export function parseDocument(path: string, text: string): SettingsDocument {
+  const value = parseJsonc(text, path);
   if (path === CONSORTIUM) {
-    return { kind: 'consortium', value: check(consortiumSchema, value, path) };
+    return { kind: 'consortium', value: validate(consortiumSchema, value, path) };
   }
   if (path.startsWith(TEAM_PREFIX)) {
     return {
       kind: 'team',
       team: path.slice(TEAM_PREFIX.length),
-      value: check(teamDocumentSchema, value, path),
+      value: validate(teamDocumentSchema, value, path),
     };
   }
   throw new Failure('settingsNotFound', `${path}: expected ${CONSORTIUM} or ${TEAM_PREFIX}NAME`);
--- a/src/node/config.ts
+++ b/src/node/config.ts
@@ -5,7 +5,7 @@
 import { z } from 'zod';
 
 import { Failure } from '../core/failure';
-import { check, parseText } from '../core/settings/parse';
+import { validate, parseJsonc } from '../core/settings/parse';
 
 const address = z
   .strictObject({
@@ -109,7 +109,7 @@
 
 /** Reads and resolves the settings file of either daemon. */
 export function loadConfig(path: string): GatewayConfig | SchedulerConfig {
-  return Object.freeze(check(daemonSchema, parseText(readText(path), path), path));
+  return Object.freeze(validate(daemonSchema, parseJsonc(readText(path), path), path));
 }
 
 /** Reads the settings file of one role. */
--- a/src/node/gateway/auth.ts
+++ b/src/node/gateway/auth.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage } from 'node:http';
 
 import { Failure } from '../../core/failure';
-import type { Settings } from '../../core/settings/book';
+import type { Settings } from '../../core/settings/documents';
 
 const BEARER = 'Bearer ';
 
--- a/src/node/gateway/burn.ts
+++ b/src/node/gateway/burn.ts
@@ -5,8 +5,8 @@
 
 import type { CodeName } from '../../core/codes';
 import type { WindowName } from '../../core/burn/windows';
-import { BurnWindows, burnRate, windows } from '../../core/burn/windows';
-import type { Settings } from '../../core/settings/book';
+import { BurnWindows, burnRate, windowMinutes } from '../../core/burn/windows';
+import type { Settings } from '../../core/settings/documents';
 import type { BurnReport, BurnRow, GatewayBurn } from '../../types/burn';
 import type { ModelRequest, RunOutcome } from './request';
 
@@ -21,7 +21,7 @@
 }
 
 const PERCENTILE = 95;
-const windowNames = Object.keys(windows) as WindowName[];
+const windowNames = Object.keys(windowMinutes) as WindowName[];
 
 function newHistogram(): Histogram {
   return build({
--- a/src/node/gateway/callers.ts
+++ b/src/node/gateway/callers.ts
@@ -6,7 +6,7 @@
 import type { Logger } from 'pino';
 
 import { Failure, toFailure } from '../../core/failure';
-import { hashToken } from '../../core/settings/book';
+import { hashToken } from '../../core/settings/documents';
 import { readBody, sendFailure, sendJson } from '../../utils/http';
 import { teamOf, tokenOf } from './auth';
 import type { BurnRecorder } from './burn';
--- a/src/node/gateway/fleet.ts
+++ b/src/node/gateway/fleet.ts
@@ -5,9 +5,9 @@
 import { Failure } from '../../core/failure';
 import type { Member } from '../../core/membership/types';
 import { LEDGER_SHARDS } from '../../core/ledger/shard';
-import { Owners, chooseAddresses } from '../../core/ownership';
-import type { Settings } from '../../core/settings/book';
-import { SettingsBook } from '../../core/settings/book';
+import { OwnerCache, chooseAddresses } from '../../core/ownership';
+import type { Settings } from '../../core/settings/documents';
+import { SettingsDocuments } from '../../core/settings/documents';
 import { PeerLink } from '../peer/link';
 import type { MemberNotice, ToGateway } from '../peer/messages';
 import { PROTOCOL_VERSION } from '../peer/messages';
@@ -42,11 +42,11 @@
 export class Fleet {
   readonly #options: FleetOptions;
 
-  readonly #book = new SettingsBook();
+  readonly #book = new SettingsDocuments();
 
   readonly #members = new Map<string, Member>();
 
-  readonly #owners = new Owners();
+  readonly #owners = new OwnerCache();
 
   readonly #links = new Map<string, Used>();
 
@@ -172,7 +172,7 @@
   #receive(link: PeerLink, message: ToGateway, pass: FleetOptions['onMessage']): void {
     if (message.kind === 'settings') {
       for (const document of message.documents) this.#book.apply(document);
-      this.#owners.settingsChanged();
+      this.#owners.invalidate();
       this.#options.onChange();
     } else if (message.kind === 'members') {
       this.#learn(link, message.members);
--- a/src/node/gateway/model.ts
+++ b/src/node/gateway/model.ts
@@ -10,7 +10,7 @@
 import { contentIdOf, fingerprintOf } from '../../core/fingerprint';
 import { requestId } from '../../core/ids';
 import { countTokens, hashBlocks } from '../../core/prefix';
-import type { Attempt, StreamPlace } from '../../core/registry/keys';
+import type { AttemptResult, StreamLocation } from '../../core/registry/keys';
 import type { ModelService } from '../../core/settings/schema';
 import { readBody } from '../../utils/http';
 import type { PeerLink } from '../peer/link';
@@ -202,7 +202,7 @@
     const params = { key, fingerprint, gateway, id: request.id };
     const attempt = attemptSchema.parse(
       await this.#options.fleet.callKey(key, 'keys.attempt', params),
-    ) as Attempt;
+    ) as AttemptResult;
     if (attempt.kind === 'mismatch') {
       throw new Failure('keyReused', 'this key was used with another request');
     } else if (attempt.kind === 'done') {
@@ -219,7 +219,7 @@
   async #join(
     request: ModelRequest,
     key: string,
-    attempt: Extract<Attempt, { kind: 'running' }>,
+    attempt: Extract<AttemptResult, { kind: 'running' }>,
     sink: Sink,
     res: ServerResponse,
     now: number,
@@ -239,7 +239,7 @@
   async #takeOver(
     request: ModelRequest,
     key: string,
-    { id, place }: Extract<Attempt, { kind: 'running' }>,
+    { id, place }: Extract<AttemptResult, { kind: 'running' }>,
     sink: Sink,
     res: ServerResponse,
     now: number,
@@ -264,7 +264,7 @@
     run.takeOver(place.runner, place.runId);
   }
 
-  #located(run: ModelRun, place: StreamPlace): void {
+  #located(run: ModelRun, place: StreamLocation): void {
     const { id } = run.request;
     const key = this.#keys.get(id);
     if (key !== undefined) this.#tellRegistry(key, 'keys.locate', { key, id, ...place });
--- a/src/node/gateway/request.ts
+++ b/src/node/gateway/request.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 
 import type { CodeName } from '../../core/codes';
-import type { StreamPlace } from '../../core/registry/keys';
+import type { StreamLocation } from '../../core/registry/keys';
 import type { ModelService } from '../../core/settings/schema';
 import type { Metrics } from '../metrics';
 import type { Message } from '../peer/messages';
@@ -41,7 +41,7 @@
   /** Told once when the run has ended. */
   readonly onEnd: (run: ModelRun, outcome: RunOutcome) => void;
   /** Told where the answer streams, so that another gateway could go on with it. */
-  readonly onLocated: (run: ModelRun, place: StreamPlace) => void;
+  readonly onLocated: (run: ModelRun, place: StreamLocation) => void;
 }
 
 /** How a run ended. */
--- a/src/node/gateway/settings.ts
+++ b/src/node/gateway/settings.ts
@@ -3,7 +3,7 @@
 import { randomUUID } from 'node:crypto';
 
 import { Failure } from '../../core/failure';
-import type { Settings } from '../../core/settings/book';
+import type { Settings } from '../../core/settings/documents';
 import type { Envelope } from '../../core/settings/envelope';
 import {
   SETTINGS_PREFIX,
@@ -12,7 +12,7 @@
   splitPath,
   valueAt,
 } from '../../core/settings/envelope';
-import { CONSORTIUM, TEAM_PREFIX, parseDocument, parseText } from '../../core/settings/parse';
+import { CONSORTIUM, TEAM_PREFIX, parseDocument, parseJsonc } from '../../core/settings/parse';
 import type { Platform } from '../platform/client';
 
 /** A document or a part of it, as read. */
@@ -134,6 +134,6 @@
   body: string | null,
 ): string | null {
   if (inside.length === 0) return body;
-  const value = body === null ? undefined : parseText(body, document);
+  const value = body === null ? undefined : parseJsonc(body, document);
   return editText(old, inside, value);
 }
--- a/src/node/peer/server.ts
+++ b/src/node/peer/server.ts
@@ -9,7 +9,7 @@
 import { WebSocketServer } from 'ws';
 
 import { Failure, toFailure } from '../../core/failure';
-import { hashToken } from '../../core/settings/book';
+import { hashToken } from '../../core/settings/documents';
 import { PendingCalls, answerCall } from './calls';
 import { MESSAGE_LIMIT, decode, encode } from './codec';
 import type { Message, ToGateway, ToScheduler } from './messages';
--- a/src/node/router/accountowners.ts
+++ b/src/node/router/accountowners.ts
@@ -9,10 +9,10 @@
 import { toFailure } from '../../core/failure';
 import type { Member } from '../../core/membership/types';
 import { isPresent } from '../../core/membership/types';
-import { PauseWatch } from '../../core/pause';
+import { PauseDetector } from '../../core/pause';
 import type { QuotaAccounts } from '../../core/quotas/accounts';
 import type { QuotaMembers } from '../../core/quotas/share';
-import { renewMs } from '../../core/quotas/share';
+import { renewIntervalMs } from '../../core/quotas/share';
 import type { Metrics } from '../metrics';
 import type { RouterFleet } from './fleet';
 
@@ -75,7 +75,7 @@
 export class AccountOwners {
   readonly #context: AccountOwnersContext;
 
-  readonly #pauseWatch = new PauseWatch(CHECK_MS);
+  readonly #pauseWatch = new PauseDetector(CHECK_MS);
 
   readonly #timer: NodeJS.Timeout;
 
@@ -191,7 +191,8 @@
       const [owner] = this.#ownersOf(now, group);
       const before = this.#owners.get(group);
       if (owner?.vm === vm) owned.add(group);
-      const isDue = !isSameOwner(owner, before) || now - before.contactedAt > renewMs(this.members);
+      const isDue =
+        !isSameOwner(owner, before) || now - before.contactedAt > renewIntervalMs(this.members);
       if (owner && isDue) {
         const { vm: name, address, incarnation } = owner;
         this.#owners.set(group, { vm: name, address, incarnation, contactedAt: now });
@@ -202,7 +203,7 @@
     for (const group of this.#owners.keys()) {
       if (!groups.includes(group)) this.#owners.delete(group);
     }
-    accounts.own(now, owned);
+    accounts.setOwned(now, owned);
     for (const [address, moved] of left.byAddress) this.#sendJoin(now, address, moved, true);
     for (const [address, moved] of joined.byAddress) this.#sendJoin(now, address, moved, false);
   }
--- a/src/node/router/controllers.ts
+++ b/src/node/router/controllers.ts
@@ -9,12 +9,12 @@
 import type { Metrics } from '../metrics';
 import { PeerCalls } from './calls';
 import type { RouterFleet } from './fleet';
-import type { Gate } from './gate';
+import type { Authorizer } from './authorizer';
 import type { RoutingState } from './routingstate';
 import { StateSync } from './statesync';
-import type { PlanHost } from './owner';
+import type { PlannerHost } from './plannerhost';
 import { PermitController } from './permits';
-import { Places } from './places';
+import { ReservationClient } from './reservations';
 import { QuarantineController } from './quarantine';
 import { QuotaController } from './quotas';
 import type { RateChange } from './ratelimits';
@@ -26,9 +26,9 @@
 export interface ControllersContext {
   readonly settings: RouterSettings;
   readonly knowledge: RoutingState;
-  readonly gate: Gate;
+  readonly gate: Authorizer;
   readonly fleet: RouterFleet;
-  readonly host: PlanHost;
+  readonly host: PlannerHost;
   readonly feed: Feed;
   readonly archive: SuspectArchive;
   readonly metrics: Metrics;
@@ -47,7 +47,7 @@
 
   readonly quotas: QuotaController;
 
-  readonly places: Places;
+  readonly places: ReservationClient;
 
   readonly stateSync: StateSync;
 
@@ -87,7 +87,7 @@
       metrics,
       log: logOf(log, 'quotas'),
     });
-    this.places = new Places(vm, fleet, host, logOf(log, 'places'));
+    this.places = new ReservationClient(vm, fleet, host, logOf(log, 'places'));
     const sync = new StateExchange({ knowledge, quarantine, rateLimits, fleet });
     this.stateSync = new StateSync({
       knowledge,
@@ -104,7 +104,15 @@
       onDescription: context.onDescription,
     });
     const { places, quotas, permits } = this;
-    this.calls = new PeerCalls({ vm, fleet, host, places, sync, quotas, permits });
+    this.calls = new PeerCalls({
+      vm,
+      fleet,
+      planners: host,
+      reservations: places,
+      sync,
+      quotas,
+      permits,
+    });
   }
 
   /** Stops the timers of all controllers. */
--- a/src/node/router/daemon.ts
+++ b/src/node/router/daemon.ts
@@ -11,25 +11,25 @@
 import { RunnerHealth } from '../../core/cell/health';
 import { toFailure } from '../../core/failure';
 import { RetryWindow } from '../../core/retries';
-import type { History } from '../../core/routing/position';
+import type { StoreHistory } from '../../core/routing/position';
 import { bootNow } from '../../utils/clock';
 import { LazyMap } from '../../utils/lazymap';
 import { logOf } from '../log';
 import { Control } from './control';
 import { Controllers } from './controllers';
-import { endLineOf } from './endline';
+import { accessLogFields } from './accesslog';
 import type { Exchange } from './exchange';
 import { RouterFleet } from './fleet';
-import { Front } from './front';
-import { Gate } from './gate';
+import { FrontEnd } from './frontend';
+import { Authorizer } from './authorizer';
 import { InflightClient } from './inflight';
 import type { StateChange } from './routingstate';
 import { RoutingState } from './routingstate';
 import { RouterMetrics } from './metrics';
-import { ModelCaller } from './model';
-import { OrderDesk } from './orders';
-import { PlanHost } from './owner';
-import { PlainCaller } from './plain';
+import { ModelHandler } from './model';
+import { OrderController } from './orders';
+import { PlannerHost } from './plannerhost';
+import { PlainHandler } from './plain';
 import { Runs } from './runs';
 import type {
   ControlCodec,
@@ -44,7 +44,7 @@
 /** Adapters to the systems outside the router. */
 export interface RouterPorts {
   /** The store's eras, shared with the feed, which reads and updates it. */
-  readonly history: History;
+  readonly history: StoreHistory;
   readonly feed: Feed;
   readonly runners: RunnerClient;
   readonly ingress: IngressCodec;
@@ -75,19 +75,19 @@
 
   readonly #fleet: RouterFleet;
 
-  readonly #gate: Gate;
+  readonly #gate: Authorizer;
 
   readonly #runners: InflightClient;
 
-  readonly #planHost: PlanHost;
+  readonly #planHost: PlannerHost;
 
   readonly #controllers: Controllers;
 
-  readonly #front: Front;
+  readonly #front: FrontEnd;
 
-  readonly #plain: PlainCaller;
+  readonly #plain: PlainHandler;
 
-  readonly #model: ModelCaller;
+  readonly #model: ModelHandler;
 
   readonly #runs: Runs;
 
@@ -101,7 +101,7 @@
 
   readonly #health = new LazyMap<string, RunnerHealth>(() => new RunnerHealth());
 
-  #orders: OrderDesk | undefined;
+  #orders: OrderController | undefined;
 
   #isLeaving = false;
 
@@ -118,16 +118,16 @@
       (listing) => this.#state.latestStart(listing),
       logOf(log, 'runner'),
     );
-    this.#planHost = new PlanHost(this.#state, this.#runners, logOf(log, 'cell'), {
-      onUnsure: (service) => this.#controllers.calls.gather(service),
-      rationOf: (service) => this.#controllers.permits.allowanceOf(service),
+    this.#planHost = new PlannerHost(this.#state, this.#runners, logOf(log, 'cell'), {
+      onIncompleteState: (service) => this.#controllers.calls.collectHoldings(service),
+      rateAllowanceOf: (service) => this.#controllers.permits.allowanceOf(service),
     });
-    this.#gate = new Gate(this.#state, () => this.#settings.ages);
+    this.#gate = new Authorizer(this.#state, () => this.#settings.ages);
     const proofs = this.#state.freshnessExchange;
     this.#fleet = new RouterFleet(settings, proofs, this.#metrics, logOf(log, 'members'), {
       onCall: (vm, method, params, push) =>
         this.#controllers.calls.answer(vm, method, params, push),
-      onVmLost: (vm) => this.#planHost.vmLost(performance.now(), vm),
+      onVmLost: (vm) => this.#planHost.onVmLost(performance.now(), vm),
       onMembersChange: () => {
         this.#warmLinks();
         this.#controllers.membersChanged(performance.now());
@@ -148,33 +148,33 @@
       onDescription: () => this.#describe(),
     });
     const mayRepeat = (now: number, service: string): boolean =>
-      this.#retries.get(service).spend(now, this.#fleet.alive.length);
+      this.#retries.get(service).trySpend(now, this.#fleet.alive.length);
     const { quarantine, rateLimits, permits, quotas, places } = this.#controllers;
     this.#runs = new Runs({
       quarantine,
-      gate: this.#gate,
+      authorizer: this.#gate,
       rateLimits,
       metrics: this.#metrics,
       log: logOf(log, 'runner'),
     });
-    this.#plain = new PlainCaller({
+    this.#plain = new PlainHandler({
       knowledge: this.#state,
       runners: this.#runners,
       health: (service) => this.#health.get(service),
       runs: this.#runs,
       quotas,
       permits,
-      mayRepeat,
+      takeRetry: mayRepeat,
       domain: settings.domain,
     });
-    this.#model = new ModelCaller({
+    this.#model = new ModelHandler({
       knowledge: this.#state,
       runners: this.#runners,
-      places,
+      reservations: places,
       runs: this.#runs,
       quotas,
       permits,
-      mayRepeat,
+      takeRetry: mayRepeat,
     });
     this.#control = new Control({
       codec: ports.control,
@@ -182,9 +182,9 @@
       callerAddresses: (domain) => this.#callerAddresses(domain),
       addressTtlMs: () => this.#settings.addressTtlMs,
     });
-    this.#front = new Front({
+    this.#front = new FrontEnd({
       knowledge: this.#state,
-      gate: this.#gate,
+      authorizer: this.#gate,
       codec: ports.ingress,
       metrics: this.#metrics,
       log: logOf(log, 'front'),
@@ -207,15 +207,15 @@
       onVms: (vms) => this.#fleet.addListed(vms.filter((entry) => entry.vm !== vm)),
       onSuspects: (suspects, isAll) =>
         this.#controllers.quarantine.learnStored(performance.now(), suspects, isAll),
-      onConfirmed: (askedAt) => this.#state.freshness.storeAnswered(askedAt),
+      onConfirmed: (askedAt) => this.#state.freshness.recordStoreAnswer(askedAt),
       onStore: (up, detail) =>
         this.#controllers.stateSync.storeCallEnded(performance.now(), up, detail),
     });
     this.#controllers.stateSync.start();
-    this.#orders = new OrderDesk({
+    this.#orders = new OrderController({
       vm,
       knowledge: this.#state,
-      host: this.#planHost,
+      planners: this.#planHost,
       runners: this.#runners,
       lock: this.#ports.lock,
       owns: (service) => this.#owns(service),
@@ -255,17 +255,17 @@
     const { graceMs } = this.#settings;
     const endAt = performance.now() + graceMs - CUT_OFF_MS;
     const leaveUntil = performance.now() + graceMs * ACCEPT_GRACE_FRACTION;
-    this.#log.info({ active: this.#front.active }, 'Draining.');
+    this.#log.info({ active: this.#front.activeRequests }, 'Draining.');
     this.#isLeaving = true;
     this.#orders?.stop();
-    this.#planHost.leave();
-    this.#front.leave();
+    this.#planHost.startDraining();
+    this.#front.startDraining();
     this.#fleet.leave();
     this.#describe();
     while (performance.now() < leaveUntil) await pause(DRAIN_CHECK_MS);
     this.#front.close();
-    while (this.#front.active > 0 && performance.now() < endAt) await pause(DRAIN_CHECK_MS);
-    this.#log.info({ active: this.#front.active }, 'Stopped.');
+    while (this.#front.activeRequests > 0 && performance.now() < endAt) await pause(DRAIN_CHECK_MS);
+    this.#log.info({ active: this.#front.activeRequests }, 'Stopped.');
     this.#front.cutOff();
     this.#controllers.stop();
     this.#planHost.stop();
@@ -281,14 +281,14 @@
     return {
       vm: this.#settings.vm,
       ready: this.#isReady,
-      active: this.#front.active,
+      active: this.#front.activeRequests,
       ...this.#controllers.snapshot(now),
       ...this.#state.snapshot(now),
       vms: this.#fleet.all.map(({ vm, state, draining }) => ({ vm, state, draining })),
       owners: Object.fromEntries(
         models.map((name) => [name, this.#fleet.ownersOf(now, name)[0]?.vm ?? null]),
       ),
-      plans: this.#planHost.beliefs(now),
+      plans: this.#planHost.snapshot(now),
     };
   }
 
@@ -314,7 +314,7 @@
   async #serve(exchange: Exchange): Promise<void> {
     const { service } = exchange;
     const now = performance.now();
-    this.#retries.get(service).first(now);
+    this.#retries.get(service).recordFirst(now);
     const refusal = this.#runs.refusal(now, exchange);
     if (refusal) {
       exchange.fail(now, refusal);
@@ -329,7 +329,7 @@
   #done(exchange: Exchange, ms: number): void {
     const { service, status, code } = exchange;
     this.#metrics.recordRequest(service, status, code, ms);
-    this.#log.info(endLineOf(exchange, ms, this.#state.configVersion), 'Request ended.');
+    this.#log.info(accessLogFields(exchange, ms, this.#state.configVersion), 'Request ended.');
   }
 
   /** Whether this VM accepts callers; see `#isServing` for whether it can serve them now. */
@@ -342,7 +342,7 @@
    * request that carries one, so callers are sent to other VMs.
    */
   get #isServing(): boolean {
-    return this.#isReady && this.#gate.isSure(bootNow());
+    return this.#isReady && this.#gate.isConfigFresh(bootNow());
   }
 
   #describe(): void {
@@ -359,10 +359,10 @@
         this.#warmLinks();
         this.#controllers.quotas.refresh(performance.now());
       })
-      .with({ kind: 'runners' }, () => this.#runners.endLost())
+      .with({ kind: 'runners' }, () => this.#runners.abortLost())
       .with({ kind: 'era' }, ({ cameBack }) => {
-        this.#state.freshness.storeCameBack(bootNow());
-        if (cameBack) this.#orders?.storeCameBack(performance.now());
+        this.#state.freshness.recordStoreRestore(bootNow());
+        if (cameBack) this.#orders?.onStoreRestored(performance.now());
       })
       .exhaustive();
     this.#controllers.stateSync.announce(change);
--- a/src/node/router/fleet.ts
+++ b/src/node/router/fleet.ts
@@ -4,8 +4,8 @@
 
 import { setTimeout as pause } from 'node:timers/promises';
 
-import type { Description, Member, Members, Rumour } from '../../core/membership/types';
-import { isPresent, mayOwn } from '../../core/membership/types';
+import type { MemberStatus, Member, Members, GossipUpdate } from '../../core/membership/types';
+import { isPresent, canOwn } from '../../core/membership/types';
 import { addressesNear, rankByCores } from '../../core/ownership';
 import { toFailure } from '../../core/failure';
 import { LineBudget } from '../budget';
@@ -34,7 +34,7 @@
   /** The digest of another VM's state differs from this VM's. */
   onDigestDiffers(address: string): void;
   /** A gossip update of another VM arrived. */
-  onUpdate(update: Rumour, address: string): void;
+  onUpdate(update: GossipUpdate, address: string): void;
 }
 
 /** Period of membership probes, in milliseconds; a dead VM is detected within about 1.5 s. */
@@ -208,7 +208,7 @@
   }
 
   /** Sets the description of this VM that is announced to the other members. */
-  describe(description: Description): void {
+  describe(description: MemberStatus): void {
     this.#members.tell({ kind: 'described', description });
   }
 
@@ -223,7 +223,7 @@
   }
 
   /** Sends gossip updates to the other members. */
-  gossip(rumours: readonly Rumour[]): void {
+  gossip(rumours: readonly GossipUpdate[]): void {
     if (rumours.length > 0) this.#members.tell({ kind: 'rumours', rumours });
   }
 
@@ -266,7 +266,7 @@
   #ranked(key: string): readonly Member[] {
     const known = this.#ranking.get(key);
     if (known) return known;
-    const owners = rankByCores(key, this.all.filter(mayOwn));
+    const owners = rankByCores(key, this.all.filter(canOwn));
     this.#ranking.set(key, owners);
     return owners;
   }
--- a/src/node/router/permits.ts
+++ b/src/node/router/permits.ts
@@ -10,7 +10,7 @@
 import type { QuotaBounds, Rate } from '../../core/quotas/account';
 import type { QuotaKey } from '../../core/quotas/accounts';
 import { QuotaAccounts } from '../../core/quotas/accounts';
-import type { Ration } from '../../core/ratelimits/types';
+import type { RateAllowance } from '../../core/ratelimits/types';
 import type { Metrics } from '../metrics';
 import { AccountOwners } from './accountowners';
 import type { RouterFleet } from './fleet';
@@ -195,7 +195,7 @@
   }
 
   /** The rate allowance of the planner of a service. */
-  allowanceOf(service: string): Ration {
+  allowanceOf(service: string): RateAllowance {
     const { vm, rateLimits } = this.#context;
     const isFree = (runner: string): boolean => rateLimits.ratePerS(runner) === undefined;
     return {
--- a/src/node/router/plainchoice.ts
+++ b/src/node/router/plainbalancer.ts
@@ -10,7 +10,7 @@
 import type { PermitController } from './permits';
 
 /** What a choice works with. */
-export interface ChoiceContext {
+export interface BalancerContext {
   readonly knowledge: RoutingState;
   readonly health: (service: string) => RunnerHealth;
   readonly permits: Pick<
@@ -28,27 +28,27 @@
 const WAIT_PART = 0.5;
 
 /** Requests in flight by runner, and the choice by them. */
-export class PlainChoice {
-  readonly #context: ChoiceContext;
+export class PlainBalancer {
+  readonly #context: BalancerContext;
 
   readonly #busy = new Map<string, number>();
 
-  constructor(context: ChoiceContext) {
+  constructor(context: BalancerContext) {
     this.#context = context;
   }
 
-  begin({ id }: Runner): void {
+  requestStarted({ id }: Runner): void {
     this.#busy.set(id, (this.#busy.get(id) ?? 0) + 1);
   }
 
-  end({ id }: Runner): void {
+  requestEnded({ id }: Runner): void {
     const left = (this.#busy.get(id) ?? 1) - 1;
     if (left > 0) this.#busy.set(id, left);
     else this.#busy.delete(id);
   }
 
   /** Whether a runner is left that may get a request, as far as this VM knows. */
-  hasAnother(now: number, service: string, tried: readonly string[]): boolean {
+  hasAlternative(now: number, service: string, tried: readonly string[]): boolean {
     return this.#able(now, service, tried).some((runner) => this.#mayTake(now, runner));
   }
 
--- a/src/node/router/quarantine.ts
+++ b/src/node/router/quarantine.ts
@@ -7,7 +7,7 @@
 import type { Logger } from 'pino';
 
 import { Failure, toFailure } from '../../core/failure';
-import { KEPT_MS, Quarantine } from '../../core/quarantine/quarantine';
+import { TTL_MS, Quarantine } from '../../core/quarantine/quarantine';
 import type { Suspect } from '../../core/quarantine/types';
 import type { Metrics } from '../metrics';
 import type { SuspectArchive } from './types';
@@ -75,7 +75,7 @@
   refusal(now: number, fingerprint: string): Failure | undefined {
     const retryAfterMs = this.#quarantine.refusedForMs(now, fingerprint);
     if (retryAfterMs === undefined) return undefined;
-    const ends = this.#quarantine.endsOf(fingerprint);
+    const ends = this.#quarantine.crashCount(fingerprint);
     return new Failure('quarantined', `${ends} runners crashed while processing this request`, {
       retryAfterMs,
     });
@@ -86,13 +86,13 @@
    * to have.
    */
   crashed(now: number, fingerprint: string, runner: string): number {
-    this.#changed(now, this.#quarantine.ended(now, fingerprint, runner), 'own');
-    return this.#quarantine.endsOf(fingerprint);
+    this.#changed(now, this.#quarantine.recordCrash(now, fingerprint, runner), 'own');
+    return this.#quarantine.crashCount(fingerprint);
   }
 
   /** Records that a runner answered a request completely. */
   completed(now: number, fingerprint: string): void {
-    this.#changed(now, this.#quarantine.completed(now, fingerprint), 'own');
+    this.#changed(now, this.#quarantine.recordCompletion(now, fingerprint), 'own');
   }
 
   /**
@@ -101,7 +101,7 @@
    */
   learn(now: number, suspects: readonly Suspect[], source: string): void {
     for (const suspect of suspects) {
-      this.#changed(now, this.#quarantine.learn(now, suspect), source);
+      this.#changed(now, this.#quarantine.apply(now, suspect), source);
     }
   }
 
@@ -171,7 +171,7 @@
     const released = [...before].filter((fingerprint) => !this.#refused.has(fingerprint));
     for (const { fingerprint, ends } of added) {
       const runners = ends.map(({ runner }) => runner);
-      log.warn({ fingerprint, runners, source, forMs: KEPT_MS }, 'Quarantined a request.');
+      log.warn({ fingerprint, runners, source, forMs: TTL_MS }, 'Quarantined a request.');
     }
     for (const fingerprint of released) log.info({ fingerprint, source }, 'Released a request.');
     if (added.length + released.length === 0) return;
@@ -200,7 +200,7 @@
     this.#saveAt.set(fingerprint, now + SAVE_RETRY_MS);
     const { archive, log } = this.#context;
     archive
-      .save(suspect, KEPT_MS)
+      .save(suspect, TTL_MS)
       .then(() => {
         log.info({ fingerprint }, 'Saved a quarantined request.');
         this.#stored.add(fingerprint);
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -10,7 +10,7 @@
 import { sizeOf } from '../../core/customers/size';
 import type { Quota } from '../../core/customers/types';
 import { Failure } from '../../core/failure';
-import type { QuotaBounds, QuotaVerdict } from '../../core/quotas/account';
+import type { QuotaBounds, QuotaDecision } from '../../core/quotas/account';
 import type { QuotaKey } from '../../core/quotas/accounts';
 import { QuotaAccounts } from '../../core/quotas/accounts';
 import { LineBudget } from '../budget';
@@ -100,7 +100,7 @@
   async cover(exchange: Exchange): Promise<Failure | undefined> {
     const { request, charge } = exchange;
     const quota = this.#quotaOf(request.customer);
-    if (request.customer === undefined || !quota || charge.covered) return undefined;
+    if (request.customer === undefined || !quota || charge.isCovered) return undefined;
     const size = sizeOf(quota, request.usage);
     const version = this.#context.knowledge.configVersion;
     const verdict = await this.#ask({ customer: request.customer, quota, version, size });
@@ -115,11 +115,11 @@
     const size = charge.settle();
     if (customer === undefined || size === 0) return;
     const isSent = this.#owners.notify(groupOf(customer), 'quotaBack', { customer, size });
-    if (!isSent) this.#accounts.giveBack(keyOf(customer), size);
+    if (!isSent) this.#accounts.refund(keyOf(customer), size);
   }
 
   /** Answers a VM that asks to charge an attempt. */
-  onAsk(now: number, vm: string, params: unknown): QuotaVerdict {
+  onAsk(now: number, vm: string, params: unknown): QuotaDecision {
     return this.#charge(now, vm, askSchema.parse(params));
   }
 
@@ -131,7 +131,7 @@
   /** Handles a refund of another VM. */
   onRefund(params: unknown): void {
     const { customer, size } = backSchema.parse(params);
-    this.#accounts.giveBack(keyOf(customer), size);
+    this.#accounts.refund(keyOf(customer), size);
   }
 
   /** Must be called when the members or the customers changed. */
@@ -158,7 +158,7 @@
    * The verdict of the first owner that answers; if none does, this VM grants from its own share of
    * the quota.
    */
-  async #ask(ask: Ask): Promise<QuotaVerdict> {
+  async #ask(ask: Ask): Promise<QuotaDecision> {
     const verdict = await this.#owners.ask(groupOf(ask.customer), 'quota', ask, (answer) =>
       verdictSchema.parse(answer),
     );
@@ -166,7 +166,7 @@
   }
 
   /** Charges the quota as defined by the newer configuration of the two VMs. */
-  #charge(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaVerdict {
+  #charge(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaDecision {
     const isOutdated = version > this.#context.knowledge.configVersion;
     const valid = isOutdated ? quota : this.#quotaOf(customer);
     if (!valid) return { granted: true, waitMs: 0 };
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -119,7 +119,7 @@
     const { rateNotice: notice } = reply;
     if (notice.kind === 'unreadable') this.#reportUnreadable(now, runner, notice.text);
     const provesEnd = notice.kind === 'none' && isHealthyReply(runner, reply);
-    const change = this.#rates.saw(now, runner, { sentAt, notice, provesEnd });
+    const change = this.#rates.observe(now, runner, { sentAt, notice, provesEnd });
     if (change) this.#changed(now, change, OWN);
   }
 
@@ -128,7 +128,7 @@
    * @param source address or name of that VM
    */
   learn(now: number, rates: readonly RunnerRate[], source: string): void {
-    for (const rate of rates) if (this.#rates.learn(now, rate)) this.#changed(now, rate, source);
+    for (const rate of rates) if (this.#rates.apply(now, rate)) this.#changed(now, rate, source);
   }
 
   #changed(now: number, rate: RunnerRate, source: string): void {
--- a/src/node/router/ratewire.ts
+++ b/src/node/router/ratewire.ts
@@ -2,7 +2,7 @@
 
 import { z } from 'zod';
 
-import type { Rumour } from '../../core/membership/types';
+import type { GossipUpdate } from '../../core/membership/types';
 import type { RunnerRate } from '../../core/ratelimits/types';
 import { toUpdate } from './updates';
 
@@ -19,6 +19,6 @@
 });
 
 /** The gossip update about one runner's rate limit. */
-export function rateUpdate(rate: RunnerRate): Rumour {
+export function rateUpdate(rate: RunnerRate): GossipUpdate {
   return toUpdate(`${RATE_PATH}${rate.runner}`, rate.version, rate);
 }
--- a/src/node/router/routingstate.ts
+++ b/src/node/router/routingstate.ts
@@ -5,11 +5,11 @@
 
 import type { Logger } from 'pino';
 
-import type { RunnerFact } from '../../core/routing/directory';
+import type { RunnerRecord } from '../../core/routing/directory';
 import { RunnerDirectory } from '../../core/routing/directory';
-import type { Proof } from '../../core/routing/freshness';
+import type { FreshnessProof } from '../../core/routing/freshness';
 import { Freshness } from '../../core/routing/freshness';
-import type { History, Position } from '../../core/routing/position';
+import type { StoreHistory, Position } from '../../core/routing/position';
 import { isLater } from '../../core/routing/position';
 import { RouteTable } from '../../core/routing/table';
 import { Failure } from '../../core/failure';
@@ -41,7 +41,7 @@
 /** A change of the configuration, of runners or of the store's era. */
 export type StateChange =
   | { readonly kind: 'config' }
-  | { readonly kind: 'runners'; readonly facts: readonly RunnerFact[] }
+  | { readonly kind: 'runners'; readonly facts: readonly RunnerRecord[] }
   /** `cameBack`: a different era was known before, so the store was restored from an older copy. */
   | { readonly kind: 'era'; readonly cameBack: boolean };
 
@@ -64,7 +64,7 @@
   /** Tracks the maximum age of the configuration. */
   readonly freshness = new Freshness();
 
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   #table: RouteTable | undefined;
 
@@ -81,7 +81,7 @@
 
   readonly #lines: LineBudget;
 
-  constructor(history: History, log: Logger, listener: RoutingStateListener) {
+  constructor(history: StoreHistory, log: Logger, listener: RoutingStateListener) {
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
@@ -103,15 +103,15 @@
   /** Callbacks by which members exchange freshness confirmations in their probes. */
   get freshnessExchange(): ProofExchange {
     return {
-      tell: () => this.freshness.tell(bootNow(), this.configVersion),
-      ask: (seq) => this.freshness.ask(bootNow(), seq),
-      answer: (seq, proof) => this.freshness.answer(seq, proof, this.configVersion),
+      tell: () => this.freshness.proofAt(bootNow(), this.configVersion),
+      ask: (seq) => this.freshness.recordQuery(bootNow(), seq),
+      answer: (seq, proof) => this.freshness.recordReply(seq, proof, this.configVersion),
     };
   }
 
   /** This VM's freshness confirmation as a field of a message; empty if it has none. */
-  proof(now: number): { readonly proof?: Proof } {
-    const proof = this.freshness.tell(now, this.configVersion);
+  proof(now: number): { readonly proof?: FreshnessProof } {
+    const proof = this.freshness.proofAt(now, this.configVersion);
     return proof ? { proof } : {};
   }
 
@@ -141,8 +141,8 @@
   }
 
   /** Runner records in the parts of the digest that differ from another VM's, about `most` at most. */
-  recordsDiffering(now: number, theirs: readonly number[], most: number): readonly RunnerFact[] {
-    return this.#directory.factsIn(now, this.#directory.digest.differing(theirs), most);
+  recordsDiffering(now: number, theirs: readonly number[], most: number): readonly RunnerRecord[] {
+    return this.#directory.factsIn(now, this.#directory.digest.differingParts(theirs), most);
   }
 
   /** Records a successful call to the store. */
@@ -162,7 +162,7 @@
    */
   learnEras(now: number, starts: readonly Position[], source: string): void {
     const { era: before } = this.#history;
-    const cameBack = this.#history.learn(starts);
+    const cameBack = this.#history.apply(starts);
     const [start] = this.#history.starts;
     if (cameBack) {
       this.storeFailed(now);
@@ -217,8 +217,8 @@
   }
 
   /** Applies runner records, each if it is newer than the known one. */
-  learnRunners(now: number, facts: readonly RunnerFact[], source: string): void {
-    const changed: RunnerFact[] = [];
+  learnRunners(now: number, facts: readonly RunnerRecord[], source: string): void {
+    const changed: RunnerRecord[] = [];
     for (const fact of facts) {
       const { id, position, runner, unreadable } = fact;
       if (unreadable !== undefined && !this.#directory.isKnown(fact)) {
@@ -227,7 +227,7 @@
       const gone = !runner && unreadable === undefined;
       // The sender's value takes precedence: this VM may not read the store and thus not know of its outage.
       const graceMs = gone ? (fact.graceMs ?? this.#graceMs(now, position)) : 0;
-      if (this.#directory.learn(now, fact, graceMs)) {
+      if (this.#directory.apply(now, fact, graceMs)) {
         changed.push(gone ? { ...fact, graceMs } : fact);
         this.#checkService(fact);
         const leaving = runner?.leaving;
@@ -247,21 +247,21 @@
    * earlier is gone.
    */
   learnStart(listing: string, bornAt: number): void {
-    if (!this.#directory.learnStart(listing, bornAt)) return;
+    if (!this.#directory.applyInstanceStart(listing, bornAt)) return;
     this.#log.info({ runner: listing, bornAt, source: 'report' }, 'Runner restarted.');
     this.#listener.onChange({ kind: 'runners', facts: [] });
   }
 
   /** The latest known start time of a listing's instances, in Unix milliseconds; 0 if none is known. */
   latestStart(listing: string): number {
-    return this.#directory.latestStart(listing);
+    return this.#directory.latestInstanceStart(listing);
   }
 
   /**
    * Reports a runner whose service the configuration does not define. It gets no requests until a
    * configuration does.
    */
-  #checkService({ id, position, runner }: RunnerFact): void {
+  #checkService({ id, position, runner }: RunnerRecord): void {
     if (!runner || !this.#table || this.#table.service(runner.service)) return;
     this.#reportInvalidEntry(
       id,
@@ -285,7 +285,7 @@
     this.#relistedAt ??= position;
     const gone = this.#directory
       .missing(listed)
-      .map((id): RunnerFact => ({ id, position, runner: undefined }));
+      .map((id): RunnerRecord => ({ id, position, runner: undefined }));
     this.learnRunners(now, gone, 'list');
   }
 
--- a/src/node/router/stateexchange.ts
+++ b/src/node/router/stateexchange.ts
@@ -6,7 +6,7 @@
 import type { Member } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
 import { DIGEST_PARTS } from '../../core/routing/digest';
-import type { RunnerFact } from '../../core/routing/directory';
+import type { RunnerRecord } from '../../core/routing/directory';
 import type { Position } from '../../core/routing/position';
 import { bootNow } from '../../utils/clock';
 import { memberSchema } from '../scheduler/members';
@@ -83,7 +83,7 @@
 type Answer = Readonly<z.infer<typeof answerSchema>>;
 type WireRecord = Answer['facts'][number];
 
-function toWire({ id, position, runner, graceMs }: RunnerFact): WireRecord {
+function toWire({ id, position, runner, graceMs }: RunnerRecord): WireRecord {
   return {
     id,
     position,
@@ -100,7 +100,7 @@
   return { ...suspect, ends: [...suspect.ends] };
 }
 
-function fromWire({ id, position, runner, graceMs }: WireRecord): RunnerFact {
+function fromWire({ id, position, runner, graceMs }: WireRecord): RunnerRecord {
   return { id, position, runner, graceMs };
 }
 
@@ -112,12 +112,12 @@
 }
 
 /** Encodes a runner record as the text of a gossip update. */
-export function encodeRecord(fact: RunnerFact): string {
+export function encodeRecord(fact: RunnerRecord): string {
   return JSON.stringify(toWire(fact));
 }
 
 /** Decodes a runner record; throws a `peerRejected` failure. */
-export function decodeRecord(text: string): RunnerFact {
+export function decodeRecord(text: string): RunnerRecord {
   const parsed = factSchema.safeParse(parseJson(text));
   if (!parsed.success) throw new Failure('peerRejected', 'found a record that does not fit');
   return fromWire(parsed.data);
@@ -179,7 +179,7 @@
     rateLimits.learn(now, answer.rates, address);
     if (answer.config) knowledge.learnConfig(now, unpackConfig(answer.config), address);
     if (answer.proof) {
-      knowledge.freshness.told(askedAt, answer.proof, knowledge.configVersion);
+      knowledge.freshness.acceptProof(askedAt, answer.proof, knowledge.configVersion);
     }
     knowledge.learnEras(now, answer.eras, address);
     knowledge.learnRunners(now, answer.facts.map(fromWire), address);
--- a/src/node/router/statesync.ts
+++ b/src/node/router/statesync.ts
@@ -8,16 +8,16 @@
 
 import { toFailure } from '../../core/failure';
 import { isIsolated, joinTargets, readersOf, shouldRead } from '../../core/membership/readers';
-import type { Rumour } from '../../core/membership/types';
+import type { GossipUpdate } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
 import type { RunnerRate } from '../../core/ratelimits/types';
 import { isPresent } from '../../core/membership/types';
-import { ProofPace } from '../../core/routing/freshness';
-import { ERA_PATH, NewsSpread, RUNNER_PATH } from '../../core/routing/spread';
+import { ProofBackoff } from '../../core/routing/freshness';
+import { ERA_PATH, UpdatePropagation, RUNNER_PATH } from '../../core/routing/propagation';
 import { bootNow } from '../../utils/clock';
 import type { Metrics } from '../metrics';
 import type { RouterFleet } from './fleet';
-import type { Gate } from './gate';
+import type { Authorizer } from './authorizer';
 import type { RoutingState, StateChange } from './routingstate';
 import type { QuarantineController } from './quarantine';
 import type { RateLimitController } from './ratelimits';
@@ -31,7 +31,7 @@
 /** Dependencies of the replication. */
 export interface StateSyncContext {
   readonly knowledge: RoutingState;
-  readonly gate: Gate;
+  readonly gate: Authorizer;
   readonly quarantine: QuarantineController;
   readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
@@ -78,7 +78,7 @@
 export class StateSync {
   readonly #context: StateSyncContext;
 
-  readonly #spread = new NewsSpread();
+  readonly #spread = new UpdatePropagation();
 
   readonly #startedAt = performance.now();
 
@@ -106,7 +106,7 @@
 
   #lostAt = -Infinity;
 
-  readonly #confirmationPace = new ProofPace();
+  readonly #confirmationPace = new ProofBackoff();
 
   /**
    * Whether the members changed since the readers were chosen. Choosing them costs one hash per VM
@@ -157,9 +157,9 @@
     const { fleet, knowledge, metrics } = this.#context;
     this.setDigest();
     const updates = match(change)
-      .with({ kind: 'config' }, () => this.#spread.configRumours(knowledge.configVersion))
-      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerRumours(facts, encodeRecord))
-      .with({ kind: 'era' }, () => this.#spread.eraRumours(knowledge.eras))
+      .with({ kind: 'config' }, () => this.#spread.configUpdates(knowledge.configVersion))
+      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerUpdates(facts, encodeRecord))
+      .with({ kind: 'era' }, () => this.#spread.eraUpdates(knowledge.eras))
       .exhaustive();
     if (change.kind === 'era' && change.cameBack) metrics.count('store.returns');
     fleet.gossip(updates);
@@ -185,7 +185,7 @@
   }
 
   /** Applies a gossip update of a member. */
-  receive(update: Rumour, address: string): void {
+  receive(update: GossipUpdate, address: string): void {
     const { knowledge, quarantine, rateLimits, log } = this.#context;
     const now = performance.now();
     const { path, text } = update;
@@ -198,7 +198,7 @@
       else if (path.startsWith(RUNNER_PATH) && text !== undefined) {
         knowledge.learnRunners(now, [decodeRecord(text)], address);
       } else {
-        this.#spread.heard(update, address, knowledge);
+        this.#spread.receive(update, address, knowledge);
         this.#fetchDue();
       }
     } catch (error) {
@@ -208,7 +208,7 @@
 
   /** Schedules a state exchange with a member whose digest differs. */
   digestDiffers(address: string): void {
-    this.#spread.differs(performance.now(), address);
+    this.#spread.reportMismatch(performance.now(), address);
     this.#fetchDue();
   }
 
@@ -250,7 +250,7 @@
     this.#isReading = reading;
     if (reading && !this.#hasFetched) log.info('Configured by the store alone: no VM answered.');
     feed.setReading(reading);
-    const { chosen, deputies } = readersOf(self.domain, all);
+    const { primaries: chosen, standbys: deputies } = readersOf(self.domain, all);
     const names = [...chosen, ...deputies].map(({ vm }) => vm);
     log.info({ reading, readers: names }, 'Readers of the store changed.');
   }
@@ -268,9 +268,9 @@
       this.#confirmationPace.reset();
       return;
     }
-    const { chosen, deputies } = readersOf(fleet.self.domain, fleet.all);
+    const { primaries: chosen, standbys: deputies } = readersOf(fleet.self.domain, fleet.all);
     fleet.contact([...chosen, ...deputies].map(({ address }) => address));
-    if (source !== 'store' || !this.#confirmationPace.asks(now, this.#isReading)) return;
+    if (source !== 'store' || !this.#confirmationPace.tryQuery(now, this.#isReading)) return;
     metrics.count('proofs.asked');
     feed.confirmConfig();
   }
@@ -303,10 +303,10 @@
 
   #fetchDue(): void {
     const now = performance.now();
-    const address = this.#spread.takeDue(now);
+    const address = this.#spread.takeFetchTarget(now);
     if (address !== undefined) this.#fetch(address, false);
     clearTimeout(this.#fetchTimer);
-    const { dueAt } = this.#spread;
+    const { nextFetchAt: dueAt } = this.#spread;
     if (Number.isFinite(dueAt)) {
       this.#fetchTimer = setTimeout(() => this.#fetchDue(), Math.max(1, dueAt - now)).unref();
     }
--- a/src/node/router/suspects.ts
+++ b/src/node/router/suspects.ts
@@ -2,7 +2,7 @@
 
 import { z } from 'zod';
 
-import type { Rumour } from '../../core/membership/types';
+import type { GossipUpdate } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
 import { toUpdate } from './updates';
 
@@ -19,7 +19,7 @@
 });
 
 /** The gossip update about one suspect request. */
-export function suspectUpdate(suspect: Suspect): Rumour {
+export function suspectUpdate(suspect: Suspect): GossipUpdate {
   const { fingerprint, ends } = suspect;
   return toUpdate(`${SUSPECT_PATH}${fingerprint}`, ends.length, suspect);
 }
--- a/src/node/router/types.ts
+++ b/src/node/router/types.ts
@@ -7,7 +7,7 @@
 import type { MemoryReport } from '../../core/memory/types';
 import type { Suspect } from '../../core/quarantine/types';
 import type { RateNotice } from '../../core/ratelimits/types';
-import type { RunnerFact } from '../../core/routing/directory';
+import type { RunnerRecord } from '../../core/routing/directory';
 import type { Position } from '../../core/routing/position';
 import type { RetryBounds } from '../../core/retries';
 import type { Runner, RoutingConfig } from '../../core/routing/types';
@@ -175,7 +175,7 @@
 /** Receives what a feed reads from the store. */
 export interface FeedListener {
   onConfig(config: RoutingConfig): void;
-  onRunners(facts: readonly RunnerFact[]): void;
+  onRunners(facts: readonly RunnerRecord[]): void;
   /** The store is in another era than the last known one. Called before the store's content is delivered. */
   onEra(start: Position): void;
   /** The ids of all listed runners as of a position of the store. */
--- a/src/node/router/updates.ts
+++ b/src/node/router/updates.ts
@@ -3,18 +3,18 @@
 import type { z } from 'zod';
 
 import { Failure } from '../../core/failure';
-import type { Rumour } from '../../core/membership/types';
+import type { GossipUpdate } from '../../core/membership/types';
 
 /**
  * Encodes a gossip update.
  * @param revision a higher one replaces a lower one of the same path
  */
-export function toUpdate(path: string, revision: number, value: unknown): Rumour {
+export function toUpdate(path: string, revision: number, value: unknown): GossipUpdate {
   return { path, revision, text: JSON.stringify(value) };
 }
 
 /** Decodes and checks a gossip update; throws a `peerRejected` failure. */
-export function fromUpdate<T>({ path, text = '' }: Rumour, schema: z.ZodType<T>): T {
+export function fromUpdate<T>({ path, text = '' }: GossipUpdate, schema: z.ZodType<T>): T {
   let value: unknown;
   try {
     value = JSON.parse(text);
--- a/src/node/scheduler/cells.ts
+++ b/src/node/scheduler/cells.ts
@@ -6,7 +6,7 @@
 import { Cell } from '../../core/cell/cell';
 import { policyOf, runnersOf } from '../../core/cell/pool';
 import type { Arrival, CellAction, CellEvent } from '../../core/cell/types';
-import type { Settings } from '../../core/settings/book';
+import type { Settings } from '../../core/settings/documents';
 import type { Metrics } from '../metrics';
 import type { Message, ToScheduler } from '../peer/messages';
 import type { Peer } from '../peer/server';
@@ -199,7 +199,7 @@
         metrics.gauge(`cell.${pool}.${name}`, value);
       }
       metrics.gauge(`cell.${pool}.queued`, cell.view.waiting.size);
-      metrics.gauge(`cell.${pool}.free`, cell.view.places.freeSlots);
+      metrics.gauge(`cell.${pool}.free`, cell.view.capacity.freeSlots);
     }
   }
 
@@ -216,7 +216,7 @@
     }
     const cell = new Cell({
       policy: policyOf(spec, settings.consortium),
-      grantsFrom: Math.max(this.#startedAt, Date.now()) + CAUTION_MS,
+      warmUpUntil: Math.max(this.#startedAt, Date.now()) + CAUTION_MS,
     });
     const hosted: Hosted = { cell, peers: new Map(), timer: undefined };
     this.#hosted.set(pool, hosted);
--- a/src/node/scheduler/methods.ts
+++ b/src/node/scheduler/methods.ts
@@ -6,7 +6,7 @@
 import { OUTCOME_LIMIT_BYTES, ledgerKey, shardOf } from '../../core/ledger/shard';
 import type { Member } from '../../core/membership/types';
 import type { KeyRegistry } from '../../core/registry/keys';
-import type { Settings } from '../../core/settings/book';
+import type { Settings } from '../../core/settings/documents';
 import type { LedgerWriter } from './ledger';
 
 /** What the methods work with. */
@@ -99,15 +99,15 @@
     },
     'keys.locate': (params) => {
       const { key, id, runner, runId, base } = locateSchema.parse(params);
-      keys.locate(key, id, { runner, runId, base });
+      keys.setLocation(key, id, { runner, runId, base });
     },
     'keys.transfer': (params) => {
       const { key, from, gateway, id } = transferSchema.parse(params);
-      return keys.transfer(key, from, gateway, id);
+      return keys.reassign(key, from, gateway, id);
     },
     'keys.conclude': (params) => {
       const { key, id, text, tokens } = concludeSchema.parse(params);
-      keys.conclude(Date.now(), key, id, { text, tokens });
+      keys.complete(Date.now(), key, id, { text, tokens });
     },
     'keys.abandon': (params) => {
       const { key, id } = abandonSchema.parse(params);
--- a/src/node/scheduler/monitor.ts
+++ b/src/node/scheduler/monitor.ts
@@ -6,7 +6,7 @@
 import type { Logger } from 'pino';
 
 import type { Cell } from '../../core/cell/cell';
-import type { Settings } from '../../core/settings/book';
+import type { Settings } from '../../core/settings/documents';
 import type { RunnerSettings } from '../../core/settings/schema';
 import { requestOf } from '../../core/ids';
 import type { Metrics } from '../metrics';
--- a/src/platform/feed.ts
+++ b/src/platform/feed.ts
@@ -6,8 +6,8 @@
 
 import { toFailure } from '../core/failure';
 import type { Suspect } from '../core/quarantine/types';
-import type { RunnerFact } from '../core/routing/directory';
-import type { History } from '../core/routing/position';
+import type { RunnerRecord } from '../core/routing/directory';
+import type { StoreHistory } from '../core/routing/position';
 import type { Feed, FeedListener } from '../node/router/types';
 import { bootNow } from '../utils/clock';
 import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './facts';
@@ -35,7 +35,7 @@
 
   readonly #self: { readonly vm: string; readonly address: string };
 
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   #listener: FeedListener | undefined;
 
@@ -62,7 +62,7 @@
   constructor(
     store: StoreClient,
     self: { readonly vm: string; readonly address: string },
-    history: History,
+    history: StoreHistory,
     log: Logger,
   ) {
     this.#store = store;
@@ -166,7 +166,7 @@
 
   /** @param isAll whether the store holds no other items */
   #tell(items: readonly Item[], isAll: boolean): void {
-    const runners: RunnerFact[] = [];
+    const runners: RunnerRecord[] = [];
     const suspects: Suspect[] = [];
     const vms: { vm: string; address: string }[] = [];
     for (const item of items) {
@@ -200,7 +200,7 @@
   }
 
   /** An entry that cannot be read is a fact too: whatever was listed there before is no longer. */
-  #factOf(item: Item): RunnerFact {
+  #factOf(item: Item): RunnerRecord {
     const id = idOf(item);
     const { revision, value } = item;
     const position = this.#history.positionOf(revision);
--- a/src/platform/settings.ts
+++ b/src/platform/settings.ts
@@ -4,7 +4,7 @@
 
 import { z } from 'zod';
 
-import { check, parseText } from '../core/settings/parse';
+import { validate, parseJsonc } from '../core/settings/parse';
 import { readText } from '../node/config';
 import type { RouterSettings } from '../node/router/types';
 
@@ -70,7 +70,7 @@
 
 /** Resolves the text of a settings file. */
 export function resolveSettings(text: string, source: string): PlatformSettings {
-  const file = check(fileSchema, parseText(text, source), source);
+  const file = validate(fileSchema, parseJsonc(text, source), source);
   const { bounds, ip, listen, limits } = file;
   const port = file['internal-port-range'][0] ?? 0;
   const router: RouterSettings = {
--- a/test/core/cell.test.ts
+++ b/test/core/cell.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 
-import { OpenAdmission } from '../../src/core/cell/admission';
+import { QueueLimitAdmission } from '../../src/core/cell/admission';
 import { Cell } from '../../src/core/cell/cell';
 import type { Arrival, CellAction } from '../../src/core/cell/types';
 import { Bench, policyOf, runnersOf } from '../fakes/virtual/bench';
@@ -85,7 +85,7 @@
   });
 
   test('refuses a queued request at the moment it is lost and not later', () => {
-    const cell = new Cell({ policy: policyOf(bagmatiWork), grantsFrom: 1e9 });
+    const cell = new Cell({ policy: policyOf(bagmatiWork), warmUpUntil: 1e9 });
     cell.handle(0, { kind: 'runners', runners: runnersOf(bagmatiWork) });
     cell.handle(0, { kind: 'arrived', arrival: arrival('waits') });
     let now = 0;
@@ -136,7 +136,7 @@
    * its load once more to the domains that are left.
    */
   test('bounds retries by the budget of the team', () => {
-    const cell = new Cell({ policy: policyOf(bagmatiWork), admission: new OpenAdmission() });
+    const cell = new Cell({ policy: policyOf(bagmatiWork), admission: new QueueLimitAdmission() });
     cell.handle(0, { kind: 'runners', runners: runnersOf(bagmatiWork) });
     for (let i = 0; i < 40; i += 1) {
       const id = `r${i}`;
@@ -239,7 +239,7 @@
   });
 
   test('lets a new owner grant nothing before it knows what runs', () => {
-    const cell = new Cell({ policy: policyOf(bagmatiWork), grantsFrom: 500 });
+    const cell = new Cell({ policy: policyOf(bagmatiWork), warmUpUntil: 500 });
     cell.handle(0, { kind: 'runners', runners: runnersOf(bagmatiWork) });
     expect(cell.handle(100, { kind: 'arrived', arrival: arrival('a') })).toEqual([]);
     expect(cell.handle(500, { kind: 'woke' }).map(({ kind }) => kind)).toEqual(['prefill']);
--- a/test/core/learning.test.ts
+++ b/test/core/learning.test.ts
@@ -1,8 +1,8 @@
 import { RetryBudget } from '../../src/core/cell/budget';
 import { RunnerHealth } from '../../src/core/cell/health';
-import { ScaledLine } from '../../src/core/cell/line';
+import { LinearCost } from '../../src/core/cell/linear';
 import { OutputHistogram } from '../../src/core/cell/outputs';
-import { PlaceBook, freeOf } from '../../src/core/cell/places';
+import { CapacityTracker, freeSlotsOf } from '../../src/core/cell/capacity';
 import { RunningQuantile } from '../../src/core/cell/quantile';
 import { seeded } from '../fakes/virtual/workload';
 
@@ -18,19 +18,19 @@
     const histogram = new OutputHistogram(300);
     const horizon = 100;
     for (const length of lengths) {
-      histogram.expose(0, Math.min(length, horizon));
-      if (length <= horizon) histogram.end(length);
+      histogram.addExposure(0, Math.min(length, horizon));
+      if (length <= horizon) histogram.addCompletion(length);
     }
     expect(histogram.mean).toBeGreaterThan(240);
     expect(histogram.mean).toBeLessThan(360);
-    expect(histogram.endsWithin(0, 100)).toBeCloseTo(1 - Math.exp(-100 / 300), 1);
+    expect(histogram.probabilityOfEndWithin(0, 100)).toBeCloseTo(1 - Math.exp(-100 / 300), 1);
   });
 
   test('of costs holds at the size where it was learnt', () => {
-    const line = new ScaledLine(12, 1);
+    const line = new LinearCost(12, 1);
     for (let i = 0; i < 400; i += 1) line.observe(20, 64);
-    expect(line.at(20)).toBeCloseTo(64, 0);
-    expect(Math.floor(line.sizeWithin(64.5))).toBe(20);
+    expect(line.estimate(20)).toBeCloseTo(64, 0);
+    expect(Math.floor(line.maxSizeWithin(64.5))).toBe(20);
   });
 
   test('of a quantile ends where that part of the values lies below', () => {
@@ -58,11 +58,11 @@
   test('ejects after failures in a row, probes once, and takes back after a success', () => {
     const health = new RunnerHealth();
     health.setPoolSize(4);
-    for (let i = 0; i < 3; i += 1) health.failed(0, 'a');
+    for (let i = 0; i < 3; i += 1) health.recordFailure(0, 'a');
     const seen = [health.allows(10, 'a'), health.allows(1000, 'a')];
-    health.given(1000, 'a');
+    health.recordDispatch(1000, 'a');
     seen.push(health.allows(1001, 'a'));
-    health.succeeded('a');
+    health.recordSuccess('a');
     seen.push(health.allows(1002, 'a'));
     expect(seen).toEqual([false, true, false, true]);
   });
@@ -72,7 +72,7 @@
     const health = new RunnerHealth();
     health.setPoolSize(4);
     const runners = ['a', 'b', 'c', 'd'];
-    for (let i = 0; i < 10; i += 1) runners.forEach((runner) => health.failed(0, runner));
+    for (let i = 0; i < 10; i += 1) runners.forEach((runner) => health.recordFailure(0, runner));
     expect(runners.filter((runner) => health.allows(1, runner))).toHaveLength(2);
   });
 });
@@ -89,18 +89,18 @@
 
   /* A report looks 300 ms back. What was granted since is not in it and must not be overridden by it. */
   test('is not overridden by a report from before the grant', () => {
-    const book = new PlaceBook();
+    const book = new CapacityTracker();
     book.setRunners([runner]);
-    for (let i = 0; i < 5; i += 1) book.holdSlot('d', 1000, 10);
-    book.report(1100, { runner: 'd', asOf: 800, running: 0, leaving: false });
-    expect(freeOf(book.decodePlace('d') as never)).toBe(15);
+    for (let i = 0; i < 5; i += 1) book.reserveSlot('d', 1000, 10);
+    book.applyReport(1100, { runner: 'd', asOf: 800, running: 0, leaving: false });
+    expect(freeSlotsOf(book.decodeLoad('d') as never)).toBe(15);
   });
 
   test('counts slots that others hold', () => {
-    const book = new PlaceBook();
+    const book = new CapacityTracker();
     book.setRunners([runner]);
-    book.holdSlot('d', 1000, 10);
-    book.report(2000, { runner: 'd', asOf: 1700, running: 8, leaving: false });
-    expect(freeOf(book.decodePlace('d') as never)).toBe(12);
+    book.reserveSlot('d', 1000, 10);
+    book.applyReport(2000, { runner: 'd', asOf: 1700, running: 8, leaving: false });
+    expect(freeSlotsOf(book.decodeLoad('d') as never)).toBe(12);
   });
 });
--- a/test/core/settings.test.ts
+++ b/test/core/settings.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 
 import { toFailure } from '../../src/core/failure';
-import { SettingsBook } from '../../src/core/settings/book';
+import { SettingsDocuments } from '../../src/core/settings/documents';
 import { editText, splitPath } from '../../src/core/settings/envelope';
 import { parseDocument } from '../../src/core/settings/parse';
 
@@ -18,7 +18,7 @@
     });
     fc.assert(
       fc.property(fc.array(document, { maxLength: 60 }), (documents) => {
-        const book = new SettingsBook();
+        const book = new SettingsDocuments();
         const highest: Record<string, number> = {};
         for (const { path, revision, bad, gone } of documents) {
           const text = bad ? '{ "services": 1 }' : team(revision);
@@ -43,7 +43,7 @@
     }));
     fc.assert(
       fc.property(fc.shuffledSubarray(documents, { minLength: 8 }), (order) => {
-        const [one, two] = [new SettingsBook(), new SettingsBook()];
+        const [one, two] = [new SettingsDocuments(), new SettingsDocuments()];
         documents.forEach((document) => one.apply(document));
         order.forEach((document) => two.apply(document));
         expect(two.digest).toBe(one.digest);
@@ -53,7 +53,7 @@
   });
 
   test('keep the last good document when a newer one is malformed', () => {
-    const book = new SettingsBook();
+    const book = new SettingsDocuments();
     book.apply({ path: 'teams/a', revision: 1, text: team(7) });
     const applied = book.apply({ path: 'teams/a', revision: 2, text: '{' });
     expect(applied).toMatchInlineSnapshot(`
--- a/test/core/shares.test.ts
+++ b/test/core/shares.test.ts
@@ -47,7 +47,7 @@
             queue.take(1);
           }
           teams.forEach((team, i) => queue.push(team, `${i}`));
-          const ahead = queue.ahead('a');
+          const ahead = queue.countAhead('a');
           queue.push('a', 'new');
           let before = 0;
           while (queue.take(1) !== 'new') before += 1;
--- a/test/fakes/cluster.ts
+++ b/test/fakes/cluster.ts
@@ -7,7 +7,7 @@
 import type { GatewayConfig, SchedulerConfig } from '../../src/node/config';
 import { Gateway } from '../../src/node/gateway/daemon';
 import { Scheduler } from '../../src/node/scheduler/daemon';
-import { hashToken } from '../../src/core/settings/book';
+import { hashToken } from '../../src/core/settings/documents';
 import type { EngineFigures } from './engine/model';
 import { EngineServer } from './engine/server';
 import { call } from './http';
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -2,11 +2,11 @@
 
 import pino from 'pino';
 
-import { History } from '../../src/core/routing/position';
-import { Gate } from '../../src/node/router/gate';
+import { StoreHistory } from '../../src/core/routing/position';
+import { Authorizer } from '../../src/node/router/authorizer';
 import { RoutingState } from '../../src/node/router/routingstate';
 import { RouterMetrics } from '../../src/node/router/metrics';
-import type { ChoiceContext } from '../../src/node/router/plainchoice';
+import type { BalancerContext } from '../../src/node/router/plainbalancer';
 import type { QuarantineContext } from '../../src/node/router/quarantine';
 import { QuarantineController } from '../../src/node/router/quarantine';
 import type { QuotaController } from '../../src/node/router/quotas';
@@ -33,11 +33,11 @@
 export const noQuotas: Pick<QuotaController, 'cover'> = { cover: async () => undefined };
 
 function newKnowledge(): RoutingState {
-  return new RoutingState(new History(), log, silentListener);
+  return new RoutingState(new StoreHistory(), log, silentListener);
 }
 
 /** Permits of a VM that knows no rate limit. */
-export const noPermits: ChoiceContext['permits'] = {
+export const noPermits: BalancerContext['permits'] = {
   isLimited: () => false,
   mayTake: () => true,
   isTrialDue: () => false,
@@ -46,8 +46,8 @@
 };
 
 /** A gate of a VM that goes by what it knows, however old that is. */
-export function gateOf(knowledge = newKnowledge()): Gate {
-  return new Gate(knowledge, () => ({ keyMs: Infinity, finalMs: Infinity }));
+export function gateOf(knowledge = newKnowledge()): Authorizer {
+  return new Authorizer(knowledge, () => ({ keyMs: Infinity, finalMs: Infinity }));
 }
 
 /** Rate limits of a VM, by default one that knows no runner. */
@@ -63,5 +63,11 @@
 /** Runs of which nobody takes notice. */
 export function runsOf(quarantine = quarantineOf()): Runs {
   const rateLimits = rateLimitsOf();
-  return new Runs({ quarantine, gate: gateOf(), rateLimits, metrics: new RouterMetrics(), log });
+  return new Runs({
+    quarantine,
+    authorizer: gateOf(),
+    rateLimits,
+    metrics: new RouterMetrics(),
+    log,
+  });
 }
--- a/test/fakes/virtual/storehistory.ts
+++ b/test/fakes/virtual/storehistory.ts
@@ -5,9 +5,9 @@
  */
 
 import pino from 'pino';
-import type { RunnerFact } from '../../../src/core/routing/directory';
+import type { RunnerRecord } from '../../../src/core/routing/directory';
 import type { Position } from '../../../src/core/routing/position';
-import { History } from '../../../src/core/routing/position';
+import { StoreHistory } from '../../../src/core/routing/position';
 import type { Runner } from '../../../src/core/routing/types';
 
 import type { StateChange } from '../../../src/node/router/routingstate';
@@ -148,7 +148,7 @@
 
 /** A VM: what it knows, and where it stands in the store. */
 export class HistoryVm {
-  readonly history = new History();
+  readonly history = new StoreHistory();
 
   readonly knowledge: RoutingState;
 
@@ -197,7 +197,7 @@
     return this.knowledge.runnersOf(now, 's');
   }
 
-  #facts(items: readonly [string, Item][]): readonly RunnerFact[] {
+  #facts(items: readonly [string, Item][]): readonly RunnerRecord[] {
     return items.map(([id, { revision, runner }]) => ({
       id,
       position: this.history.positionOf(revision),
--- a/test/fakes/virtual/storm.ts
+++ b/test/fakes/virtual/storm.ts
@@ -131,7 +131,7 @@
   /** A slot is never given on a runner that has none left, whatever others hold there. */
   #checkSlot(event: CellEvent, action: CellAction): void {
     if (action.kind !== 'decode') return;
-    const place = this.#cell.view.places.decodeRunners.find(
+    const place = this.#cell.view.capacity.decodeRunners.find(
       ({ runner }) => runner.id === action.runner,
     );
     if (!place || place.held > place.runner.slots) {
--- a/test/platform/olderstore.test.ts
+++ b/test/platform/olderstore.test.ts
@@ -1,6 +1,6 @@
 import pino from 'pino';
 
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import { RoutingState } from '../../src/node/router/routingstate';
 import { StoreFeed } from '../../src/platform/feed';
 import { StoreLock } from '../../src/platform/lock';
@@ -13,7 +13,7 @@
 
 /** A VM that reads a store, and what it knows from it. */
 class Reader {
-  readonly #history = new History();
+  readonly #history = new StoreHistory();
 
   readonly knowledge = new RoutingState(this.#history, log, silentListener);
 
--- a/test/router/routingstate.test.ts
+++ b/test/router/routingstate.test.ts
@@ -1,9 +1,9 @@
 import pino from 'pino';
 
-import type { RunnerFact } from '../../src/core/routing/directory';
+import type { RunnerRecord } from '../../src/core/routing/directory';
 import type { RoutingConfig, Runner } from '../../src/core/routing/types';
-import { History } from '../../src/core/routing/position';
-import { startId } from '../../src/core/routing/types';
+import { StoreHistory } from '../../src/core/routing/position';
+import { instanceId } from '../../src/core/routing/types';
 import { RoutingState } from '../../src/node/router/routingstate';
 import { at } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
@@ -19,7 +19,7 @@
 });
 
 const fresh = (): RoutingState =>
-  new RoutingState(new History(), pino({ level: 'silent' }), silentListener);
+  new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
 
 const ids = (state: RoutingState, now: number): readonly string[] =>
   state.runnersOf(now, 's').map(({ id }) => id);
@@ -134,7 +134,7 @@
   test('treats a restarted runner as another instance, and never returns to the earlier one', () => {
     const state = fresh();
     const start = (bornAt: number, leaving = false): Runner =>
-      runner('r', { id: startId('r', bornAt), bornAt, leaving });
+      runner('r', { id: instanceId('r', bornAt), bornAt, leaving });
     const learn = (revision: number, reported: Runner): void =>
       state.learnRunners(0, [{ id: 'r', position: at(revision), runner: reported }], 'store');
     learn(1, start(1000, true));
@@ -152,7 +152,7 @@
    */
   test('gives no work to an instance that the runner itself reports as replaced', () => {
     const state = fresh();
-    const start = (bornAt: number): Runner => runner('r', { id: startId('r', bornAt), bornAt });
+    const start = (bornAt: number): Runner => runner('r', { id: instanceId('r', bornAt), bornAt });
     state.learnRunners(0, [{ id: 'r', position: at(1), runner: start(1000) }], 'store');
     state.learnStart('r', 2000);
     expect(ids(state, 0)).toEqual([]);
@@ -171,7 +171,7 @@
     const lines: string[] = [];
     let counted = 0;
     const state = new RoutingState(
-      new History(),
+      new StoreHistory(),
       pino({ level: 'warn' }, { write: (line) => lines.push(line) }),
       {
         onChange: () => {},
@@ -181,7 +181,7 @@
       },
     );
     state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    const invalidEntry = (revision: number): RunnerFact => ({
+    const invalidEntry = (revision: number): RunnerRecord => ({
       id: 'r',
       position: at(revision),
       runner: undefined,
@@ -200,7 +200,7 @@
 
   test('reports a runner of an unknown service once', () => {
     let counted = 0;
-    const state = new RoutingState(new History(), pino({ level: 'silent' }), {
+    const state = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), {
       onChange: () => {},
       onInvalidEntry: () => {
         counted += 1;
--- a/test/router/stateexchange.test.ts
+++ b/test/router/stateexchange.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import type { RoutingConfig } from '../../src/core/routing/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import type { RouterFleet } from '../../src/node/router/fleet';
 import { RoutingState } from '../../src/node/router/routingstate';
 import { StateExchange, decodeRecord, encodeRecord } from '../../src/node/router/stateexchange';
@@ -19,9 +19,9 @@
 
 /** Two VMs, of which one fetches the other's state. */
 class Pair {
-  readonly caller = new RoutingState(new History(), pino({ level: 'silent' }), silentListener);
+  readonly caller = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
 
-  readonly callee = new RoutingState(new History(), pino({ level: 'silent' }), silentListener);
+  readonly callee = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
 
   readonly quarantines = { caller: quarantineOf(), callee: quarantineOf() };
 
--- a/test/router/statesync.test.ts
+++ b/test/router/statesync.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import type { Member } from '../../src/core/membership/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import { RoutingState } from '../../src/node/router/routingstate';
 import type { StateSyncContext } from '../../src/node/router/statesync';
 import { StateSync } from '../../src/node/router/statesync';
@@ -36,7 +36,7 @@
     const log = pino({ base: null }, { write: (line) => this.lines.push(line) });
     const self = memberOf('new');
     const all = [self, ...others.map(memberOf)];
-    const knowledge = new RoutingState(new History(), log, silentListener);
+    const knowledge = new RoutingState(new StoreHistory(), log, silentListener);
     this.controller = new StateSync({
       knowledge,
       gate: gateOf(knowledge),
--- a/test/router/storerestore.test.ts
+++ b/test/router/storerestore.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 
-import type { RunnerFact } from '../../src/core/routing/directory';
+import type { RunnerRecord } from '../../src/core/routing/directory';
 import type { Position } from '../../src/core/routing/position';
 import type { StateChange } from '../../src/node/router/routingstate';
 import { seeded } from '../fakes/virtual/workload';
@@ -77,7 +77,7 @@
   readonly #messages: {
     readonly at: number;
     readonly to: number;
-    readonly facts: readonly RunnerFact[];
+    readonly facts: readonly RunnerRecord[];
   }[] = [];
 
   constructor(random: () => number) {
