--- /dev/null
+++ b/src/node/router/controllers.ts
@@ -0,0 +1,149 @@
+/**
+ * The controllers for what VMs share: replicated state, reservations, quotas, permits and
+ * quarantined requests.
+ */
+
+import type { Logger } from 'pino';
+
+import { logOf } from '../log';
+import type { Metrics } from '../metrics';
+import { PeerCalls } from './calls';
+import type { RouterFleet } from './fleet';
+import type { Authorizer } from './authorizer';
+import type { RoutingState } from './routingstate';
+import { StateSync } from './statesync';
+import type { PlannerHost } from './plannerhost';
+import { PermitController } from './permits';
+import { ReservationClient } from './reservations';
+import { QuarantineController } from './quarantine';
+import { QuotaController } from './quotas';
+import type { RateChange } from './ratelimits';
+import { RateLimitController } from './ratelimits';
+import { StateExchange } from './stateexchange';
+import type { Feed, RouterSettings, SuspectArchive } from './types';
+
+/** Dependencies of the controllers. */
+export interface ControllersContext {
+  readonly settings: RouterSettings;
+  readonly knowledge: RoutingState;
+  readonly gate: Authorizer;
+  readonly fleet: RouterFleet;
+  readonly host: PlannerHost;
+  readonly feed: Feed;
+  readonly archive: SuspectArchive;
+  readonly metrics: Metrics;
+  readonly log: Logger;
+  /** Called when the description that this VM announces has changed. */
+  readonly onDescription: () => void;
+}
+
+/** The controllers of one VM and the handler for the calls of other VMs. */
+export class Controllers {
+  readonly quarantine: QuarantineController;
+
+  readonly rateLimits: RateLimitController;
+
+  readonly permits: PermitController;
+
+  readonly quotas: QuotaController;
+
+  readonly places: ReservationClient;
+
+  readonly stateSync: StateSync;
+
+  readonly calls: PeerCalls;
+
+  constructor(context: ControllersContext) {
+    const { settings, knowledge, gate, fleet, host, feed, archive, metrics, log } = context;
+    const { vm, seeds, peer: self } = settings;
+    this.quarantine = new QuarantineController({
+      archive,
+      readsStore: () => this.stateSync.reading,
+      metrics,
+      log: logOf(log, 'quarantine'),
+      onChanges: (suspects) => this.stateSync.announceSuspects(suspects),
+      onRefusedChange: () => this.stateSync.setDigest(),
+    });
+    this.rateLimits = new RateLimitController({
+      knowledge,
+      metrics,
+      log: logOf(log, 'ratelimits'),
+      onChanges: (changes) => this.#onRateChanges(performance.now(), changes),
+    });
+    const { quarantine, rateLimits } = this;
+    this.permits = new PermitController({
+      vm,
+      bounds: settings.rateLimits,
+      rateLimits,
+      fleet,
+      metrics,
+      log: logOf(log, 'ratelimits'),
+    });
+    this.quotas = new QuotaController({
+      vm,
+      bounds: settings.quotas,
+      knowledge,
+      fleet,
+      metrics,
+      log: logOf(log, 'quotas'),
+    });
+    this.places = new ReservationClient(vm, fleet, host, logOf(log, 'places'));
+    const sync = new StateExchange({ knowledge, quarantine, rateLimits, fleet });
+    this.stateSync = new StateSync({
+      knowledge,
+      gate,
+      quarantine,
+      rateLimits,
+      fleet,
+      feed,
+      sync,
+      metrics,
+      log: logOf(log, 'knowledge'),
+      seeds,
+      self,
+      onDescription: context.onDescription,
+    });
+    const { places, quotas, permits } = this;
+    this.calls = new PeerCalls({
+      vm,
+      fleet,
+      planners: host,
+      reservations: places,
+      sync,
+      quotas,
+      permits,
+    });
+  }
+
+  /** Stops the timers of all controllers. */
+  stop(): void {
+    this.stateSync.stop();
+    this.quarantine.stop();
+    this.rateLimits.stop();
+    this.permits.stop();
+    this.quotas.stop();
+    this.places.stop();
+  }
+
+  /** Must be called when the members of the fleet have changed. */
+  membersChanged(now: number): void {
+    this.quotas.refresh(now);
+    this.permits.refresh(now);
+    this.stateSync.membersChanged();
+  }
+
+  /** State of the controllers, for operators. */
+  snapshot(now: number): Readonly<Record<string, unknown>> {
+    return {
+      readsStore: this.stateSync.reading,
+      refuses: this.quarantine.snapshot(now),
+      quotas: this.quotas.snapshot(),
+      rateLimits: this.permits.snapshot(),
+    };
+  }
+
+  #onRateChanges(now: number, changes: readonly RateChange[]): void {
+    this.permits.limitsChanged(now, changes);
+    this.stateSync.announceRates(changes.map(({ rate }) => rate));
+  }
+}
--- a/src/node/router/frontend.ts
+++ b/src/node/router/frontend.ts
@@ -19,12 +19,12 @@
 import type { Metrics } from '../metrics';
 import { Exchange, sendRefusal } from './exchange';
 import type { Authorizer } from './authorizer';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { CallRequest, IngressCodec } from './types';
 
 /** Dependencies of the front end. */
 export interface FrontEndContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly authorizer: Authorizer;
   readonly codec: IngressCodec;
   readonly metrics: Metrics;
--- a/src/node/router/ratewire.ts
+++ b/src/node/router/ratewire.ts
@@ -1,24 +1,24 @@
-/** Rate limits of runners in the messages between VMs. */
+/** Encodes rate limits of runners for the messages between VMs. */
 
 import { z } from 'zod';
 
 import type { GossipUpdate } from '../../core/membership/types';
 import type { RunnerRate } from '../../core/ratelimits/types';
-import { toRumour } from './rumours';
+import { toUpdate } from './updates';
 
-/** Path of news of one runner's limit, followed by the id of its start. */
+/** Path prefix of gossip updates about a rate limit, followed by the id of the runner's instance. */
 export const RATE_PATH = 'rate/';
 
-/** One runner's limit in a message. */
+/** Schema of one runner's rate limit in a message. */
 export const rateSchema = z.object({
   runner: z.string().min(1),
   service: z.string(),
   version: z.int().min(1),
-  /** Left out if the limit has ended. */
+  /** Requests per second; omitted if the limit has ended. */
   ratePerS: z.number().min(0).optional(),
 });
 
-/** News of one runner's limit. */
-export function rateRumour(rate: RunnerRate): GossipUpdate {
-  return toRumour(`${RATE_PATH}${rate.runner}`, rate.version, rate);
+/** The gossip update about one runner's rate limit. */
+export function rateUpdate(rate: RunnerRate): GossipUpdate {
+  return toUpdate(`${RATE_PATH}${rate.runner}`, rate.version, rate);
 }
--- /dev/null
+++ b/test/router/routingstate.test.ts
@@ -0,0 +1,215 @@
+import pino from 'pino';
+
+import type { RunnerRecord } from '../../src/core/routing/directory';
+import type { RoutingConfig, Runner } from '../../src/core/routing/types';
+import { StoreHistory } from '../../src/core/routing/position';
+import { instanceId } from '../../src/core/routing/types';
+import { RoutingState } from '../../src/node/router/routingstate';
+import { at } from '../fakes/position';
+import { runnerOf } from '../fakes/runner';
+import { silentListener } from '../fakes/listener';
+
+const runner = (id: string, change: Partial<Runner> = {}): Runner => runnerOf(id, 'plain', change);
+
+const config = (version: number): RoutingConfig => ({
+  version,
+  routes: [],
+  services: [],
+  limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
+});
+
+const fresh = (): RoutingState =>
+  new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+
+const ids = (state: RoutingState, now: number): readonly string[] =>
+  state.runnersOf(now, 's').map(({ id }) => id);
+
+describe('the routing state of a VM', () => {
+  test('never returns to an older configuration', () => {
+    const state = fresh();
+    expect(state.learnConfig(0, config(7), 'store')).toBe(true);
+    expect(state.learnConfig(1, config(4), 'peer')).toBe(false);
+    expect(state.configVersion).toBe(7);
+  });
+
+  /*
+   * A peer with outdated state sends the record of a runner that meanwhile leaves. The runner must
+   * not get new work.
+   */
+  test('never returns to an older record of a runner', () => {
+    const state = fresh();
+    const leaving = runner('r', { leaving: true });
+    state.learnRunners(0, [{ id: 'r', position: at(9), runner: leaving }], 'store');
+    state.learnRunners(1, [{ id: 'r', position: at(5), runner: runner('r') }], 'peer');
+    expect(ids(state, 2)).toEqual([]);
+  });
+
+  /*
+   * The runners' leases expired during an outage of the store; they register again
+   * within two seconds of its end. If they were dropped at once, every request of
+   * those two seconds would be rejected.
+   */
+  test('keeps runners that disappeared in an outage until they had time to register again', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.storeFailed(1000);
+    state.learnList(1500, new Set(), at(8));
+    expect(ids(state, 2500)).toEqual(['r']);
+    expect(ids(state, 4100)).toEqual([]);
+  });
+
+  /*
+   * A single VM had lost the store and has read the full list again. A runner whose entry
+   * is removed after that list leaves for good: its lease did not expire in the outage.
+   * Kept for as long as an expired one, it got work two seconds after it had left.
+   */
+  test('keeps a runner that disappears after the first full list only for the short grace period', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.storeFailed(1000);
+    state.learnList(1500, new Set(['r']), at(8));
+    state.learnRunners(2100, [{ id: 'r', position: at(9), runner: undefined }], 'store');
+    expect(ids(state, 3000)).toEqual(['r']);
+    expect(ids(state, 3200)).toEqual([]);
+  });
+
+  /*
+   * A runner left, and its entry was removed; the store was restored from a copy that contains
+   * the entry, and it is removed once more. With a grace period each time, the runner got work
+   * four seconds after it had left.
+   */
+  test('does not extend the grace period of a runner whose removal is reported again', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    state.storeFailed(1000);
+    state.learnRunners(2000, [{ id: 'r', position: at(3), runner: undefined }], 'store');
+    expect(ids(state, 2001)).toEqual([]);
+  });
+
+  /*
+   * A runner announced that it leaves. A heartbeat that it had sent before is written seconds
+   * later at a later position and overwrites that. The runner must not get work again.
+   */
+  test('does not use a runner again that announced to leave', () => {
+    const state = fresh();
+    const learn = (revision: number, leaving: boolean): void => {
+      const reported = runner('r', { leaving });
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: reported }], 'store');
+    };
+    learn(1, false);
+    learn(2, true);
+    learn(3, false);
+    expect(ids(state, 9)).toEqual([]);
+  });
+
+  /*
+   * An entry that is removed without an outage means that the runner leaves: it completes its
+   * requests, but gets no new ones.
+   */
+  test('drops a runner whose entry is removed while the store is available', () => {
+    const state = fresh();
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    expect(ids(state, 10)).toEqual([]);
+  });
+
+  /*
+   * A runner announced that it leaves, then its entry expired in an outage. The outage must not
+   * make it usable again.
+   */
+  test('grants no grace period to a runner that announced to leave', () => {
+    const state = fresh();
+    const leaving = runner('r', { leaving: true });
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: leaving }], 'store');
+    state.storeFailed(1000);
+    state.learnList(1500, new Set(), at(8));
+    expect(ids(state, 1600)).toEqual([]);
+  });
+
+  /*
+   * A runner lost power and restarts under its id without its earlier state: it is another
+   * instance. Late records of the earlier instance, even at a higher revision, must change nothing.
+   */
+  test('treats a restarted runner as another instance, and never returns to the earlier one', () => {
+    const state = fresh();
+    const start = (bornAt: number, leaving = false): Runner =>
+      runner('r', { id: instanceId('r', bornAt), bornAt, leaving });
+    const learn = (revision: number, reported: Runner): void =>
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: reported }], 'store');
+    learn(1, start(1000, true));
+    expect(ids(state, 0)).toEqual([]);
+    learn(2, start(2000));
+    expect(ids(state, 0)).toEqual(['r@2000']);
+    learn(3, start(1000, true));
+    expect(ids(state, 0)).toEqual(['r@2000']);
+    expect(state.latestStart('r')).toBe(2000);
+  });
+
+  /*
+   * A runner reports a later start than its entry. The listed instance is gone; the new one gets
+   * work once it is listed.
+   */
+  test('gives no work to an instance that the runner itself reports as replaced', () => {
+    const state = fresh();
+    const start = (bornAt: number): Runner => runner('r', { id: instanceId('r', bornAt), bornAt });
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: start(1000) }], 'store');
+    state.learnStart('r', 2000);
+    expect(ids(state, 0)).toEqual([]);
+    state.learnRunners(0, [{ id: 'r', position: at(2), runner: start(1000) }], 'peer');
+    expect(ids(state, 0)).toEqual([]);
+    state.learnRunners(0, [{ id: 'r', position: at(3), runner: start(2000) }], 'store');
+    expect(ids(state, 0)).toEqual(['r@2000']);
+  });
+
+  /*
+   * Another writer has overwritten a runner's entry with an invalid one, which every full list
+   * and every peer repeats. The runner must get no work, and the log must have one line per
+   * revision of the entry, not one per read.
+   */
+  test('reports an invalid entry once for each revision', () => {
+    const lines: string[] = [];
+    let counted = 0;
+    const state = new RoutingState(
+      new StoreHistory(),
+      pino({ level: 'warn' }, { write: (line) => lines.push(line) }),
+      {
+        onChange: () => {},
+        onInvalidEntry: () => {
+          counted += 1;
+        },
+      },
+    );
+    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    const invalidEntry = (revision: number): RunnerRecord => ({
+      id: 'r',
+      position: at(revision),
+      runner: undefined,
+      unreadable: 'runner r: at slots: unfit',
+    });
+    for (let now = 0; now < 200_000; now += 1000) {
+      state.learnRunners(now, [invalidEntry(2)], 'store');
+      expect(ids(state, now)).toEqual([]);
+    }
+    state.learnRunners(200_000, [invalidEntry(3)], 'peer');
+    expect([lines.length, counted]).toEqual([2, 2]);
+    expect(lines[0]).toContain('[503] runner r: at slots: unfit');
+    state.learnRunners(201_000, [{ id: 'r', position: at(4), runner: runner('r') }], 'store');
+    expect(ids(state, 201_000)).toEqual(['r']);
+  });
+
+  test('reports a runner of an unknown service once', () => {
+    let counted = 0;
+    const state = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), {
+      onChange: () => {},
+      onInvalidEntry: () => {
+        counted += 1;
+      },
+    });
+    state.learnConfig(0, config(1), 'store');
+    for (let revision = 1; revision < 9; revision += 1) {
+      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: runner('r') }], 'store');
+    }
+    expect(counted).toBe(1);
+  });
+});
--- /dev/null
+++ b/test/router/stateexchange.test.ts
@@ -0,0 +1,146 @@
+import pino from 'pino';
+
+import type { RoutingConfig } from '../../src/core/routing/types';
+import { StoreHistory } from '../../src/core/routing/position';
+import type { RouterFleet } from '../../src/node/router/fleet';
+import { RoutingState } from '../../src/node/router/routingstate';
+import { StateExchange, decodeRecord, encodeRecord } from '../../src/node/router/stateexchange';
+import { silentListener } from '../fakes/listener';
+import { at } from '../fakes/position';
+import { runnerOf } from '../fakes/runner';
+import { quarantineOf, rateLimitsOf } from '../fakes/runs';
+
+const config = (version: number): RoutingConfig => ({
+  version,
+  routes: [],
+  services: [],
+  limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
+});
+
+/** Two VMs, of which one fetches the other's state. */
+class Pair {
+  readonly caller = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+
+  readonly callee = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+
+  readonly quarantines = { caller: quarantineOf(), callee: quarantineOf() };
+
+  readonly rateLimits = {
+    caller: rateLimitsOf(this.caller),
+    callee: rateLimitsOf(this.callee),
+  };
+
+  /** Number of runner records in each answer. */
+  readonly answered: number[] = [];
+
+  async exchange(): Promise<void> {
+    const server = new StateExchange({
+      knowledge: this.callee,
+      quarantine: this.quarantines.callee,
+      rateLimits: this.rateLimits.callee,
+      fleet: { all: [] } as unknown as RouterFleet,
+    });
+    const call = async (_address: string, _method: string, params: unknown): Promise<unknown> => {
+      const answer = server.answer(performance.now(), params);
+      this.answered.push(answer.facts.length);
+      return answer;
+    };
+    const fleet = { call, sync: () => {} } as unknown as RouterFleet;
+    const { caller: quarantine } = this.quarantines;
+    const { caller: rateLimits } = this.rateLimits;
+    const sync = new StateExchange({ knowledge: this.caller, quarantine, rateLimits, fleet });
+    await sync.fetch('a:1', false);
+  }
+}
+
+const recordOf = (
+  id: string,
+  revision: number,
+): Parameters<RoutingState['learnRunners']>[1][number] => ({
+  id,
+  position: at(revision),
+  runner: runnerOf(id, 'plain'),
+});
+
+describe('the state exchange between two VMs', () => {
+  test('transfers the configuration and all runners to a new VM, and then only differences', async () => {
+    const pair = new Pair();
+    pair.callee.learnConfig(0, config(7), 'store');
+    pair.callee.learnRunners(
+      0,
+      Array.from({ length: 300 }, (_, i) => recordOf(`r${i}`, i + 1)),
+      'store',
+    );
+    await pair.exchange();
+    expect(pair.caller.configVersion).toBe(7);
+    expect(pair.caller.digest).toBe(pair.callee.digest);
+    pair.callee.learnRunners(0, [{ id: 'r9', position: at(900), runner: undefined }], 'store');
+    expect(pair.caller.digest).not.toBe(pair.callee.digest);
+    await pair.exchange();
+    expect(pair.caller.digest).toBe(pair.callee.digest);
+    expect(pair.answered[0]).toBe(300);
+    expect(pair.answered[1]).toBeLessThan(20);
+  });
+
+  /*
+   * Two changes arrive in the wrong order, the later one first. The highest revision is then
+   * the same at both VMs, but their records differ: the digests must show that.
+   */
+  test('finds a change that arrives after a later one', async () => {
+    const pair = new Pair();
+    pair.callee.learnRunners(0, [recordOf('r1', 5), recordOf('r2', 6)], 'store');
+    pair.caller.learnRunners(0, [recordOf('r2', 6)], 'peer');
+    expect(pair.caller.digest).not.toBe(pair.callee.digest);
+    await pair.exchange();
+    expect(pair.caller.runnersOf(0, 's').map(({ id }) => id)).toEqual(['r2', 'r1']);
+  });
+
+  /*
+   * The runners' entries expired in an outage of the store. Only readers of the store know of
+   * the outage; a VM that learns of the removal from one must use the runner for as long.
+   */
+  test('transfers how long a runner stays in use whose entry has expired', () => {
+    const pair = new Pair();
+    pair.callee.learnRunners(0, [recordOf('r1', 1)], 'store');
+    pair.caller.learnRunners(0, [recordOf('r1', 1)], 'peer');
+    pair.callee.storeFailed(1000);
+    pair.callee.learnList(1500, new Set(), at(8));
+    const [gone] = pair.callee.recordsDiffering(2000, pair.caller.digestParts, 100);
+    expect(gone?.graceMs).toBe(2000);
+    pair.caller.learnRunners(2000, gone ? [decodeRecord(encodeRecord(gone))] : [], 'peer');
+    expect(pair.caller.runnersOf(3900, 's').length).toBe(1);
+    expect(pair.caller.runnersOf(4100, 's').length).toBe(0);
+  });
+
+  test('rejects a runner record that does not fit the schema', () => {
+    expect(() => decodeRecord('{"id": 3}')).toThrow('does not fit');
+    expect(() => decodeRecord('{')).toThrow('no JSON');
+  });
+
+  /* A VM that starts while a runner is rate limited must not learn that by sending requests to it. */
+  test('transfers the rate limits of runners, including ended ones', async () => {
+    const pair = new Pair();
+    const { callee, caller } = pair.rateLimits;
+    pair.callee.learnRunners(0, [recordOf('a', 1)], 'store');
+    callee.learn(0, [{ runner: 'a', service: 's', version: 1, ratePerS: 1.4 }], 'x');
+    await pair.exchange();
+    expect(caller.ratePerS('a')).toBe(1.4);
+    expect(caller.digest(0)).toBe(callee.digest(0));
+    callee.learn(0, [{ runner: 'a', service: 's', version: 2 }], 'x');
+    await pair.exchange();
+    expect([caller.ratePerS('a'), caller.digest(0)]).toEqual([undefined, '']);
+  });
+
+  /*
+   * A rate-limited runner is gone, and one VM has dropped its limit already. If the others sent it
+   * the limit, it would keep it for another retention period and send it back, and so on forever.
+   */
+  test('transfers no rate limits of runners that are gone', async () => {
+    const pair = new Pair();
+    const { callee, caller } = pair.rateLimits;
+    callee.learn(0, [{ runner: 'gone', service: 's', version: 1, ratePerS: 1.4 }], 'x');
+    expect(callee.digest(0)).toBe('');
+    await pair.exchange();
+    expect(caller.rateOf('gone')).toBeUndefined();
+  });
+});
