--- a/src/cli/check.ts
+++ b/src/cli/check.ts
@@ -1,4 +1,4 @@
-/** The command `check`: reads a settings file without running anything. */
+/** The command `check`: validates a settings file. */
 
 import { parseDocument } from '../core/settings/parse';
 import { loadConfig, readText } from '../node/config';
@@ -6,14 +6,14 @@
 
 /** Options of the command. */
 export interface CheckOptions {
-  /** Path under which operators would write the settings, or `platform`. */
+  /** Path at which operators store the settings, or `platform`. Default: the file is the configuration of a gateway or scheduler. */
   readonly as?: string;
 }
 
-/** Name under which a file is checked as the settings that the platform hands to `node`. */
+/** Value of `--as` for the settings that the platform passes to `node`. */
 const PLATFORM = 'platform';
 
-/** Checks a file; throws a `Failure` that says what was found and expected. */
+/** Validates a file and prints the result; throws a `Failure` with what was found and expected. */
 export function checkFile(file: string, { as }: CheckOptions): void {
   if (as === PLATFORM) {
     const { vm, listen, peer } = loadSettings(file).router;
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,6 +1,6 @@
 /**
- * The commands of the command line. Each loads what it runs only when it is
- * called: a node that is started anew is the sooner back, the less it loads.
+ * The commands of the command line. Each imports its modules only when it runs, which
+ * shortens the restart of a node.
  */
 
 import type { CAC } from 'cac';
@@ -9,7 +9,7 @@
 import type { CheckOptions } from './check';
 import { registerCtl } from './ctl';
 
-/** Registers all commands. */
+/** Registers all commands and their options. */
 export function registerCommands(cli: CAC): void {
   cli
     .command('gateway <file>', 'Run a gateway with the settings in FILE')
@@ -40,7 +40,7 @@
   registerCtl(cli);
 }
 
-/** The failure for a command line that names no known command. */
+/** The failure for a command line without a known command. */
 export function unknownCommand(args: readonly string[]): Failure {
   return new Failure(
     'usage',
--- a/src/cli/ctl.ts
+++ b/src/cli/ctl.ts
@@ -1,4 +1,4 @@
-/** `goldcrestdock ctl`: the operators' client. */
+/** The command `ctl`: client of the operators' API. */
 
 import { writeFileSync } from 'node:fs';
 
@@ -27,8 +27,8 @@
 }
 
 const DEFAULT_SERVER = '127.0.0.1:8081';
-/** Time limit of a request, in milliseconds: waiting for settings to be in force takes longest. */
-const CALL_LIMIT_MS = 15_000;
+/** Timeout of a request, in milliseconds. The longest one waits until settings are in force. */
+const CALL_TIMEOUT_MS = 15_000;
 
 const errorSchema = z.object({ error: z.object({ code: z.number(), message: z.string() }) });
 const readSchema = z.object({ path: z.string(), revision: z.number(), text: z.string() });
@@ -43,13 +43,14 @@
   process.stdout.write(text.endsWith('\n') ? text : `${text}\n`);
 }
 
-function codeNamed(number: number): CodeName {
+/** Name of the code with a number; `internal` if it is unknown. */
+function codeNameOf(number: number): CodeName {
   const found = Object.entries(codes).find(([, code]) => code.number === number);
   return (found?.[0] ?? 'internal') as CodeName;
 }
 
-/** Asks a gateway's operators' port. */
-async function ask(
+/** Calls the operators' API of a gateway; throws its error as a `Failure`. */
+async function callOperators(
   options: CtlOptions,
   method: string,
   path: string,
@@ -64,7 +65,7 @@
     method,
     url: `http://${options.server}${path}`,
     headers: { authorization: `Bearer ${token}`, ...headers },
-    timeoutMs: CALL_LIMIT_MS,
+    timeoutMs: CALL_TIMEOUT_MS,
     ...(body === undefined ? {} : { body }),
   }).catch((error: Error) => {
     throw new Failure('usage', `${options.server} does not answer: ${error.message}`);
@@ -72,7 +73,7 @@
   const value: unknown = JSON.parse(answer.body);
   if (answer.status === 200) return value;
   const { error } = errorSchema.parse(value);
-  throw new Failure(codeNamed(error.code), error.message);
+  throw new Failure(codeNameOf(error.code), error.message);
 }
 
 function settingsPath(path: string): string {
@@ -83,15 +84,16 @@
   path: string,
   options: CtlOptions,
 ): Promise<z.infer<typeof readSchema>> {
-  return readSchema.parse(await ask(options, 'GET', settingsPath(path)));
+  return readSchema.parse(await callOperators(options, 'GET', settingsPath(path)));
 }
 
+/** Writes settings at a revision; throws `settingsUnconfirmed` if they are accepted but not yet in force everywhere. */
 async function writeSettings(path: string, text: string, options: CtlOptions): Promise<void> {
   const { revision: given, wait } = options;
   const revision = given ?? (await currentRevision(path, options));
   const url = `${settingsPath(path)}${wait ? '?wait=1' : ''}`;
   const written = writtenSchema.parse(
-    await ask(options, 'PUT', url, text, { 'if-match': String(revision) }),
+    await callOperators(options, 'PUT', url, text, { 'if-match': String(revision) }),
   );
   print(`${written.path} is at revision ${written.revision}`);
   if (written.missing && written.missing.length > 0) {
@@ -103,6 +105,7 @@
   if (written.inForce) print('in force everywhere');
 }
 
+/** Revision of the settings at a path; 0 if there are none. */
 async function currentRevision(path: string, options: CtlOptions): Promise<number> {
   try {
     return (await readSettings(path, options)).revision;
@@ -112,7 +115,7 @@
   }
 }
 
-/** Sets one value at a path, given as JSON on the command line. */
+/** Sets the value at a path to JSON from the command line. */
 async function editSettings(
   path: string,
   value: string | undefined,
@@ -160,7 +163,9 @@
     .with('diff', () => diffSettings(path, value, options))
     .with('delete', async () => {
       const revision = options.revision ?? (await currentRevision(path, options));
-      await ask(options, 'DELETE', settingsPath(path), undefined, { 'if-match': String(revision) });
+      await callOperators(options, 'DELETE', settingsPath(path), undefined, {
+        'if-match': String(revision),
+      });
       print(`${path} is deleted`);
     })
     .otherwise(() => {
@@ -169,16 +174,16 @@
 }
 
 async function statusCommand(options: CtlOptions): Promise<void> {
-  print(JSON.stringify(await ask(options, 'GET', '/v1/status'), null, 2));
+  print(JSON.stringify(await callOperators(options, 'GET', '/v1/status'), null, 2));
 }
 
-/** Prints what one node of the platform goes by; its metrics address needs no token. */
+/** Prints the state snapshot of one node of the platform. Its metrics address needs no token. */
 async function nodeCommand(server: string | undefined): Promise<void> {
   if (server === undefined) {
     throw new Failure('usage', 'found no address, expected: ctl node METRICS-ADDRESS');
   }
   const url = `http://${server}${BELIEFS_PATH}`;
-  const { body } = await call({ method: 'GET', url, timeoutMs: CALL_LIMIT_MS }).catch(
+  const { body } = await call({ method: 'GET', url, timeoutMs: CALL_TIMEOUT_MS }).catch(
     (error: Error) => {
       throw new Failure('usage', `${server} does not answer: ${error.message}`);
     },
@@ -187,7 +192,7 @@
 }
 
 async function burnCommand(options: CtlOptions): Promise<void> {
-  const report = (await ask(options, 'GET', '/v1/burn')) as BurnReport;
+  const report = (await callOperators(options, 'GET', '/v1/burn')) as BurnReport;
   if (options.html !== undefined) {
     writeFileSync(options.html, burnHtml(report));
     print(`wrote ${options.html}`);
@@ -196,7 +201,7 @@
   }
 }
 
-/** Registers `ctl` and its options. */
+/** Registers the command `ctl` and its options. */
 export function registerCtl(cli: CAC): void {
   const common = (command: ReturnType<CAC['command']>): ReturnType<CAC['command']> =>
     command
@@ -212,7 +217,7 @@
   )
     .option(
       '--revision <number>',
-      'Write only if the path still is at this revision; default: the one read just now',
+      'Write only if the path is still at this revision; default: the current one',
     )
     .option('--wait', 'Wait until the settings are in force on every live VM')
     .option('--json', 'Print the report as JSON')
--- a/src/cli/daemons.ts
+++ b/src/cli/daemons.ts
@@ -1,4 +1,4 @@
-/** The commands `gateway` and `scheduler`: the two daemons of larger VMs. */
+/** The commands `gateway` and `scheduler`: the two daemons that run on larger VMs. */
 
 import { loadConfigOf } from '../node/config';
 import { Gateway } from '../node/gateway/daemon';
@@ -6,7 +6,7 @@
 import { Scheduler } from '../node/scheduler/daemon';
 import { stopOnSignal } from './signals';
 
-/** Runs a gateway with the settings in a file. */
+/** Runs a gateway with the settings in a file until a signal stops it. */
 export async function runGateway(file: string): Promise<void> {
   const config = loadConfigOf(file, 'gateway');
   const gateway = new Gateway(config, createLog(config.log, config.vm));
@@ -14,7 +14,7 @@
   stopOnSignal(() => gateway.stop());
 }
 
-/** Runs a scheduler with the settings in a file. */
+/** Runs a scheduler with the settings in a file until a signal stops it. */
 export async function runScheduler(file: string): Promise<void> {
   const config = loadConfigOf(file, 'scheduler');
   const log = createLog(config.log, config.vm);
--- a/src/cli/diff.ts
+++ b/src/cli/diff.ts
@@ -1,9 +1,9 @@
-/** Line differences for operators. */
+/** Line-by-line differences of two texts. */
 
-/** Lines of `old` and `fresh` that are not in their longest common subsequence, marked `-` and `+`. */
-export function lineDiff(old: string, fresh: string): readonly string[] {
+/** Lines of two texts that are not in their longest common subsequence: removed ones marked `-`, added ones `+`. */
+export function lineDiff(old: string, updated: string): readonly string[] {
   const a = old.split('\n');
-  const b = fresh.split('\n');
+  const b = updated.split('\n');
   const common = commonLengths(a, b);
   const lines: string[] = [];
   let i = 0;
@@ -26,6 +26,7 @@
   return lines;
 }
 
+/** Length of the longest common subsequence of `a` from line i and `b` from line j. */
 function commonLengths(a: readonly string[], b: readonly string[]): readonly (readonly number[])[] {
   const table = Array.from({ length: a.length + 1 }, () => new Array<number>(b.length + 1).fill(0));
   for (let i = a.length - 1; i >= 0; i -= 1) {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** Entry of the `goldcrestdock` program. */
+/** Entry point of the `goldcrestdock` program. */
 
 import { cac } from 'cac';
 
@@ -6,17 +6,17 @@
 import { version } from '../version';
 import { registerCommands, unknownCommand } from './commands';
 
-const USAGE_EXIT = 2;
+const FAILURE_EXIT_CODE = 2;
 
-/** Prints one line and sets the exit code; a stack would help nobody at the command line. */
-function report(error: unknown): void {
+/** Prints a failure as one line without a stack trace and sets the exit code. */
+function printFailure(error: unknown): void {
   const isUsage = error instanceof Error && error.name === 'CACError';
   const failure = isUsage ? new Failure('usage', error.message) : toFailure(error);
   process.stderr.write(`goldcrestdock: ${failure.line}\n`);
-  process.exitCode = USAGE_EXIT;
+  process.exitCode = FAILURE_EXIT_CODE;
 }
 
-/** Runs the command line. */
+/** Parses the command line and runs the command; failures are printed. */
 export async function main(argv: readonly string[]): Promise<void> {
   const cli = cac('goldcrestdock');
   registerCommands(cli);
@@ -28,8 +28,8 @@
     if (!cli.matchedCommand) throw unknownCommand(cli.args);
     await cli.runMatchedCommand();
   } catch (error) {
-    report(error);
+    printFailure(error);
   }
 }
 
-main(process.argv).catch(report);
+main(process.argv).catch(printFailure);
--- a/src/cli/node.ts
+++ b/src/cli/node.ts
@@ -1,10 +1,10 @@
-/** The command `node`: one process a VM on the platform. */
+/** The command `node`: the router process of a VM on the platform. */
 
 import { createBoundedLog } from '../node/log';
 import { createRouter, settingsOfEnvironment } from '../platform/run';
 import { stopOnSignal } from './signals';
 
-/** Runs a router with the settings that the environment names. */
+/** Runs a router with the settings file named by the environment until a signal stops it. SIGHUP reloads the settings. */
 export async function runNode(): Promise<void> {
   const settings = settingsOfEnvironment(process.env);
   const { log, flush } = createBoundedLog('info', settings.router.vm);
--- a/src/cli/signals.ts
+++ b/src/cli/signals.ts
@@ -1,11 +1,11 @@
-/** Signals that end a daemon. */
+/** Handling of the signals that stop a daemon. */
 
-/** Ends the process after a graceful stop; a second signal ends it at once. */
+/** Shuts the process down gracefully on SIGTERM or SIGINT; a second signal exits at once with code 1. */
 export function stopOnSignal(stop: () => Promise<void>): void {
-  let stopping = false;
+  let isStopping = false;
   const onSignal = (): void => {
-    if (stopping) process.exit(1);
-    stopping = true;
+    if (isStopping) process.exit(1);
+    isStopping = true;
     stop()
       .then(() => process.exit(0))
       .catch((error: Error) => {
--- a/src/platform/era.ts
+++ b/src/platform/era.ts
@@ -1,55 +1,57 @@
-/** Reads from the store's answers which era they are of. */
+/** Validates the era in responses of the store. */
 
 import type { Logger } from 'pino';
 
 import { Failure } from '../core/failure';
 import type { History } from '../core/routing/position';
 
-const NUMBER = /^\d{1,9}$/;
-/** Characters of what was found that are shown. */
-const SHOWN = 20;
+const ERA_PATTERN = /^\d{1,9}$/;
+/** Maximum number of characters of an invalid era in a message. */
+const MAX_SHOWN_CHARS = 20;
 
-/** The eras of answers, against the latest that is known. */
+/** Compares the eras of responses with the latest known one. */
 export class EraReader {
   readonly #history: History;
 
   readonly #log: Logger;
 
-  /** Latest era that an answer named. Default: none did. */
-  #seen: number | undefined;
+  /** Latest era in a response so far; undefined if there was none. */
+  #latestSeen: number | undefined;
 
-  /** What was last found in place of an era; logged once for each change. */
-  #complaint = '';
+  /** Last logged message about an invalid era, so that a repeated one is not logged again; empty after a valid era. */
+  #lastLogged = '';
 
   constructor(history: History, log: Logger) {
     this.#history = history;
     this.#log = log;
   }
 
-  /** The latest era that is known, from an answer or from another VM; 0 where none is told. */
+  /** The latest era known from a response or from another VM; 0 if there is none. */
   get latest(): number {
-    return Math.max(this.#seen ?? 0, this.#history.era ?? 0);
+    return Math.max(this.#latestSeen ?? 0, this.#history.era ?? 0);
   }
 
   /**
-   * The era of an answer; undefined if it names none that can be used. Throws
-   * `eraUnfit` if it is an earlier one: such an answer tells what was lost since.
+   * The era of a response; undefined if it is missing or invalid. Throws `eraUnfit` if it
+   * is earlier than the latest known one: such a response has state from before the
+   * store was restored, some of which no longer exists.
+   * @param text value of the era header, if any
    */
   read(text: string | undefined): number | undefined {
     const { latest } = this;
-    const isUntold = text === undefined && latest === 0;
-    const era = isUntold ? 0 : Number(NUMBER.exec(text ?? '')?.[0] ?? NaN);
+    const hasNoEras = text === undefined && latest === 0;
+    const era = hasNoEras ? 0 : Number(ERA_PATTERN.exec(text ?? '')?.[0] ?? NaN);
     if (era >= latest) {
-      this.#complaint = '';
-      this.#seen = era;
+      this.#lastLogged = '';
+      this.#latestSeen = era;
       return era;
     }
     const failure = new Failure(
       'eraUnfit',
-      `found era ${text?.slice(0, SHOWN) ?? 'none'}, expected a number from ${latest} on`,
+      `found era ${text?.slice(0, MAX_SHOWN_CHARS) ?? 'none'}, expected a number from ${latest} on`,
     );
-    if (this.#complaint !== failure.message) this.#log.error(failure.line);
-    this.#complaint = failure.message;
+    if (this.#lastLogged !== failure.message) this.#log.error(failure.line);
+    this.#lastLogged = failure.message;
     if (era < latest) throw failure;
     return undefined;
   }
--- a/src/platform/facts.ts
+++ b/src/platform/facts.ts
@@ -1,4 +1,4 @@
-/** Decodes the store's entries into the router's own types. */
+/** Decodes entries of the store into the router's types, and encodes those that the router writes. */
 
 import { isIPv4 } from 'node:net';
 
@@ -11,18 +11,22 @@
 import type { CallKind, RoutingConfig, Runner, RunnerRole } from '../core/routing/types';
 import { startId } from '../core/routing/types';
 
-const kinds: Readonly<Record<string, CallKind>> = {
+/** Call kinds by the value of `kind` in a route. */
+const callKinds: Readonly<Record<string, CallKind>> = {
   idempotent: 'repeatable',
   non_idempotent: 'once',
   streaming: 'stream',
 };
 
-/** Longest wait of a route that names none, in milliseconds. */
-const TIMEOUT_MS = 60_000;
-/** Callers of streams leave after the longest of these: a fixed time, and multiples of the route's aims. */
-const PATIENCE_MS = 2000;
-const PATIENCE_AIMS = 4;
-const PATIENCE_GAPS = 8;
+/** Timeout of a route that specifies none, in milliseconds. */
+const DEFAULT_TIMEOUT_MS = 60_000;
+/**
+ * Callers of a stream disconnect if its first event does not arrive within the longest of these
+ * times: a fixed one, and multiples of the route's latency and gap targets.
+ */
+const MIN_PATIENCE_MS = 2000;
+const PATIENCE_LATENCY_TARGETS = 4;
+const PATIENCE_GAP_TARGETS = 8;
 
 const routeSchema = z.object({
   name: z.string(),
@@ -31,14 +35,14 @@
   kind: z.string(),
   service: z.string().optional(),
   'traffic-split': z.array(z.object({ service: z.string(), weight: z.number() })).optional(),
-  'timeout-ms': z.number().default(TIMEOUT_MS),
+  'timeout-ms': z.number().default(DEFAULT_TIMEOUT_MS),
   'target-latency-ms': z.number().default(1000),
   'max-attempts': z.int().default(1),
   priority: z.int().default(5),
   resumable: z.boolean().default(false),
-  /** Longest pause between events for which a stream is on time. */
+  /** Target for the longest pause between two events of a stream, in milliseconds; 0 means no target. */
   'gap-target-ms': z.number().default(0),
-  /** Whether requests without a key may run. */
+  /** Whether requests without an API key are admitted. */
   'allow-anonymous': z.boolean().default(false),
 });
 
@@ -48,7 +52,7 @@
   priority: z.int().min(0).optional(),
   unit: z.enum(['requests', 'tokens']).default('requests'),
   'plain-tokens': z.number().min(0).default(0),
-  /** 0: any amount. */
+  /** 0 means no limit. */
   'rate-per-s': z.number().min(0).default(0),
   burst: z.number().min(0).default(0),
 });
@@ -71,10 +75,13 @@
       engine: engineSchema.optional(),
     }),
   ),
-  /** Left out where requests need no key. */
+  /** Undefined if requests need no API key. */
   tenants: z
     .array(customerSchema)
-    .refine((all) => new Set(all.map(({ name }) => name)).size === all.length, 'a name twice')
+    .refine(
+      (all) => new Set(all.map(({ name }) => name)).size === all.length,
+      'found a duplicate name',
+    )
     .optional(),
   limits: z
     .object({
@@ -85,51 +92,53 @@
     .prefault({}),
 });
 
-const PORT_MOST = 65_535;
+const MAX_PORT = 65_535;
 
-/** Whether a text is `IPV4:PORT`. */
+/** Whether a text has the form `IPV4:PORT`. */
 function isAddress(text: string): boolean {
   const [host = '', port = '', ...rest] = text.split(':');
   const number = Number(port);
   return (
-    rest.length === 0 && isIPv4(host) && /^\d+$/.test(port) && number > 0 && number <= PORT_MOST
+    rest.length === 0 && isIPv4(host) && /^\d+$/.test(port) && number > 0 && number <= MAX_PORT
   );
 }
 
 /**
- * A runner's own entry has all of these fields. One that lacks a field or has it
- * of another type is not a runner's, and work sent to where it points would be lost.
+ * The entry of a runner, with all fields that runners write. An entry that lacks a field
+ * or has one of another type was not written by a runner, and requests sent to its
+ * address would be lost.
  */
 const runnerSchema = z.object({
   service: z.string().min(1),
-  address: z.string().refine(isAddress, 'no IPV4:PORT'),
+  address: z.string().refine(isAddress, 'expected IPV4:PORT'),
   zone: z.string(),
-  /** Version of its software. */
+  /** Software version of the runner. */
   version: z.string(),
   slots: z.int().min(1),
   state: z.enum(['ready', 'draining']),
   'cold-remaining-ms': z.number(),
-  /** Orders that it accepted since its start. */
+  /** Number of orders that the runner accepted since it started. */
   sequence: z.int().min(0),
   stage: z.enum(['prefill', 'decode']).optional(),
-  /** Its start, in Unix milliseconds. */
+  /** Start time of the runner, in Unix milliseconds; 0 if it reports none. */
   born: z.int().min(0).default(0),
 });
 
 const vmSchema = z.object({ address: z.string() });
 
-/** A refused request. Times of day, in Unix milliseconds: all VMs may have started anew when it is read. */
+/** A quarantined request. Times are wall-clock times in Unix milliseconds, because all VMs may have restarted before the entry is read. */
 const suspectSchema = z.object({
   ends: z.array(z.object({ runner: z.string(), at: z.number() })),
   completedAt: z.number().optional(),
 });
 
+/** Parses a JSON text with a schema; throws `factUnreadable`. */
 function parse<T>(schema: z.ZodType<T>, text: string, what: string): T {
   let value: unknown;
   try {
     value = JSON.parse(text);
   } catch {
-    throw new Failure('factUnreadable', `${what}: found no JSON, expected an object`);
+    throw new Failure('factUnreadable', `${what}: found invalid JSON, expected an object`);
   }
   const result = schema.safeParse(value);
   if (result.success) return result.data;
@@ -151,13 +160,17 @@
     name: route.name,
     host: route.host.toLowerCase(),
     prefix: route['path-prefix'],
-    // A kind that is not known may not be repeated: the safe reading.
-    kind: kinds[route.kind] ?? 'once',
+    // Unknown kinds are treated as non-idempotent, which is the safe choice.
+    kind: callKinds[route.kind] ?? 'once',
     targets: targetsOf(route),
     timeoutMs: route['timeout-ms'],
     aimMs,
     gapMs,
-    patienceMs: Math.max(PATIENCE_MS, PATIENCE_AIMS * aimMs, PATIENCE_GAPS * gapMs),
+    patienceMs: Math.max(
+      MIN_PATIENCE_MS,
+      PATIENCE_LATENCY_TARGETS * aimMs,
+      PATIENCE_GAP_TARGETS * gapMs,
+    ),
     attempts: Math.max(1, route['max-attempts']),
     priority: route.priority,
     resumable: route.resumable,
@@ -170,14 +183,14 @@
   const quota = { unit, ratePerS, burst, plainTokens: entry['plain-tokens'] };
   return {
     name,
-    // An empty key is no key: it would be held by whoever sends none.
+    // An empty key is dropped: it would match requests that carry no key.
     keys: entry['api-keys'].filter((one) => one !== '').map(digestOfKey),
     ...(rank === undefined ? {} : { rank }),
     ...(ratePerS > 0 ? { quota } : {}),
   };
 }
 
-/** Decodes a configuration; throws `factUnreadable`. */
+/** Decodes the configuration; throws `factUnreadable`. */
 export function decodeConfig(text: string): RoutingConfig {
   const file = parse(configSchema, text, 'the configuration');
   return {
@@ -203,7 +216,10 @@
   };
 }
 
-/** Decodes a runner's entry; throws `factUnreadable`. */
+/**
+ * Decodes the entry of a runner; throws `factUnreadable`.
+ * @param id the part of its key after `servers/`
+ */
 export function decodeRunner(id: string, text: string): Runner {
   const entry = parse(runnerSchema, text, `runner ${id}`);
   const role: RunnerRole = entry.stage ?? 'plain';
@@ -220,7 +236,7 @@
   };
 }
 
-/** Decodes the router's own entry of a VM; throws `factUnreadable`. */
+/** Decodes the entry that a router writes for its VM; throws `factUnreadable`. */
 export function decodeVm(
   vm: string,
   text: string,
@@ -228,26 +244,29 @@
   return { vm, address: parse(vmSchema, text, `VM ${vm}`).address };
 }
 
-/** The entry of a VM. */
+/** Encodes the entry of a VM. */
 export function encodeVm(address: string): string {
   return JSON.stringify({ address });
 }
 
 /**
- * Decodes the router's own entry of a refused request; throws `factUnreadable`.
- * @param wallNow time of day, in Unix milliseconds; clocks differ, and an end in the future counts as one of now
+ * Decodes the entry that a router writes for a quarantined request; throws `factUnreadable`.
+ * @param wallNow wall-clock time, in Unix milliseconds; clocks of VMs differ, so a crash in the future is taken to be at this time
  */
 export function decodeSuspect(wallNow: number, fingerprint: string, text: string): Suspect {
   const { ends, completedAt } = parse(suspectSchema, text, `request ${fingerprint}`);
-  const ago = (at: number): number => Math.max(0, wallNow - at);
+  const agoMsOf = (at: number): number => Math.max(0, wallNow - at);
   return {
     fingerprint,
-    ends: ends.map(({ runner, at }) => ({ runner, agoMs: ago(at) })),
-    ...(completedAt === undefined ? {} : { completedAgoMs: ago(completedAt) }),
+    ends: ends.map(({ runner, at }) => ({ runner, agoMs: agoMsOf(at) })),
+    ...(completedAt === undefined ? {} : { completedAgoMs: agoMsOf(completedAt) }),
   };
 }
 
-/** @param wallNow time of day, in Unix milliseconds */
+/**
+ * Encodes the entry of a quarantined request.
+ * @param wallNow wall-clock time, in Unix milliseconds
+ */
 export function encodeSuspect(wallNow: number, { ends, completedAgoMs }: Suspect): string {
   return JSON.stringify({
     ends: ends.map(({ runner, agoMs }) => ({ runner, at: Math.round(wallNow - agoMs) })),
--- a/src/platform/feed.ts
+++ b/src/platform/feed.ts
@@ -1,4 +1,7 @@
-/** Feeds the router with what the store holds: a range, then watches, and a range again after any trouble. */
+/**
+ * Keeps the router up to date with the store: reads all entries, then watches for changes,
+ * and reads all entries again after any failure.
+ */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
@@ -14,20 +17,21 @@
 import { key } from './names';
 import type { Item, Snapshot, StoreClient } from './store';
 
-/** Longest wait of one watch, in milliseconds: a watch that hangs on a silent store is noticed soon after. */
-const WATCH_MS = 2000;
-/** Least time between two watches, in milliseconds: runners' heartbeats would otherwise end one every 100 ms, and each is a priced call. */
-const WATCH_PACE_MS = 700;
-/** Waits after a failure, in milliseconds; doubled up to the limit. */
-const RETRY_MS = 150;
-const RETRY_LIMIT_MS = 800;
-/** Time limit of the one call that follows a failed one, in milliseconds: a slow store answers within it, and that a store is lost is known half a second sooner, so that others read it in time. */
-const CHECK_LIMIT_MS = 600;
-
-/** Everything below the root: one watch serves configuration, runners and VMs. */
-const ALL = '';
-
-/** Reads the store and tells the router. */
+/** Longest wait of one watch call, in milliseconds. Kept short so that a watch on a hung store is detected soon after it. */
+const WATCH_WAIT_MS = 2000;
+/** Minimum interval between two watch calls, in milliseconds. Heartbeats of runners would otherwise complete a watch every 100 ms, and each call costs money. */
+const MIN_WATCH_INTERVAL_MS = 700;
+/** First delay before a retry, in milliseconds; it doubles with each failure up to the maximum. */
+const MIN_RETRY_DELAY_MS = 150;
+/** Longest delay before a retry, in milliseconds. */
+const MAX_RETRY_DELAY_MS = 800;
+/** Timeout of the first call after a failed one, in milliseconds. A slow store still answers within it, and an unreachable store is detected half a second sooner, so that another VM takes over reading in time. */
+const RECHECK_TIMEOUT_MS = 600;
+
+/** Prefix of all keys: one watch covers the configuration, runners and VMs. */
+const ALL_KEYS = '';
+
+/** Reads the store and passes its entries to the router's listener. */
 export class StoreFeed implements Feed {
   readonly #store: StoreClient;
 
@@ -39,25 +43,25 @@
 
   #listener: FeedListener | undefined;
 
-  #reading = false;
+  #isReading = false;
 
-  /** Revision of the last configuration that could not be read. */
-  #unfitRevision = -1;
+  /** Revision of the last configuration that could not be decoded; -1 if there was none. */
+  #invalidRevision = -1;
 
-  #confirming = false;
+  #isConfirming = false;
 
-  /** Whether the loop of readings runs; one that was told to end may still have a call under way. */
-  #running = false;
+  /** Whether the read loop is running; after `setReading(false)` it still completes the call in progress. */
+  #isRunning = false;
 
-  #registered = false;
+  #isRegistered = false;
 
-  /** Era of what was read last. */
+  /** Era of the last full read; undefined before the first one. */
   #era: number | undefined;
 
-  #waitMs = RETRY_MS;
+  #retryDelayMs = MIN_RETRY_DELAY_MS;
 
-  /** Calls that failed since the last answer. */
-  #failed = 0;
+  /** Failed attempts since the last complete read of all entries. */
+  #failureCount = 0;
 
   constructor(
     store: StoreClient,
@@ -76,29 +80,29 @@
   }
 
   setReading(reading: boolean): void {
-    this.#reading = reading;
-    if (!reading || this.#running) return;
-    this.#running = true;
+    this.#isReading = reading;
+    if (!reading || this.#isRunning) return;
+    this.#isRunning = true;
     this.#run()
       .catch((error) => this.#log.error(toFailure(error).line))
       .finally(() => {
-        this.#running = false;
+        this.#isRunning = false;
       });
   }
 
   confirm(): void {
-    if (this.#confirming) return;
-    this.#confirming = true;
+    if (this.#isConfirming) return;
+    this.#isConfirming = true;
     this.#confirm()
       .then(() => this.#listener?.onStore(true, 'answers'))
       .catch((error) => this.#log.debug(toFailure(error).line))
       .finally(() => {
-        this.#confirming = false;
+        this.#isConfirming = false;
       });
   }
 
   stop(): void {
-    this.#reading = false;
+    this.#isReading = false;
   }
 
   async #confirm(): Promise<void> {
@@ -106,73 +110,79 @@
     const { items, revision, era } = await this.#store.get(key.config);
     if (items.length === 0 || era === undefined) return;
     if (era !== this.#history.era) this.#listener?.onEra({ era, revision });
-    this.#tell(items, false);
+    this.#dispatch(items, false);
     this.#listener?.onProof(askedAt);
   }
 
   async #run(): Promise<void> {
-    while (this.#reading) {
+    while (this.#isReading) {
       try {
-        await this.#follow();
+        await this.#readAndWatch();
       } catch (error) {
-        this.#failed += 1;
+        this.#failureCount += 1;
         this.#listener?.onStore(false, toFailure(error).line);
-        // VMs that lost the store at the same moment should not come back at the same moment.
-        await pause(this.#waitMs * (0.5 + Math.random()));
-        this.#waitMs = Math.min(RETRY_LIMIT_MS, this.#waitMs * 2);
+        // Random jitter, so that VMs that lost the store at the same time do not reconnect at the same time.
+        await pause(this.#retryDelayMs * (0.5 + Math.random()));
+        this.#retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, this.#retryDelayMs * 2);
       }
     }
   }
 
-  /** One range and the watches after it, until something fails. */
-  async #follow(): Promise<void> {
+  /** Reads all entries, then watches for changes until a call fails or reading is turned off. */
+  async #readAndWatch(): Promise<void> {
     let { revision, era } = await this.#readAll();
-    this.#waitMs = RETRY_MS;
-    while (this.#reading) {
-      const since = performance.now();
+    this.#retryDelayMs = MIN_RETRY_DELAY_MS;
+    while (this.#isReading) {
+      const watchStartedAt = performance.now();
       const askedAt = bootNow();
-      const news = await this.#store.watch(ALL, revision, WATCH_MS);
-      // Where the store came back from a copy, revisions mean something else: what was watched from may have been given out again.
-      if (!news || news.era === undefined || news.era !== era) {
+      const changes = await this.#store.watch(ALL_KEYS, revision, WATCH_WAIT_MS);
+      // After the store was restored from an older copy, revisions are issued a second time, so the last one read is no valid start for a watch.
+      if (!changes || changes.era === undefined || changes.era !== era) {
         ({ revision, era } = await this.#readAll());
       } else {
         this.#listener?.onStore(true, 'answers');
-        revision = Math.max(revision, news.revision);
-        this.#tell(news.items, false);
+        revision = Math.max(revision, changes.revision);
+        this.#dispatch(changes.items, false);
         this.#listener?.onProof(askedAt);
       }
-      const left = WATCH_PACE_MS - (performance.now() - since);
-      if (left > 0) await pause(left);
+      const remainingMs = MIN_WATCH_INTERVAL_MS - (performance.now() - watchStartedAt);
+      if (remainingMs > 0) await pause(remainingMs);
     }
   }
 
   async #readAll(): Promise<Snapshot> {
     const askedAt = bootNow();
-    const snapshot = await this.#store.range(ALL, this.#failed === 1 ? CHECK_LIMIT_MS : undefined);
-    this.#failed = 0;
+    const snapshot = await this.#store.range(
+      ALL_KEYS,
+      this.#failureCount === 1 ? RECHECK_TIMEOUT_MS : undefined,
+    );
+    this.#failureCount = 0;
     const { items, revision, era = this.#store.era } = snapshot;
-    // What this VM wrote since the copy was made is gone.
-    if (era !== this.#era) this.#registered = false;
+    // After a restore from an older copy the entry of this VM may be missing.
+    if (era !== this.#era) this.#isRegistered = false;
     this.#era = era;
     if (era !== this.#history.era) this.#listener?.onEra({ era, revision });
     this.#listener?.onStore(true, 'answers');
     this.#register(items);
-    this.#tell(items, true);
+    this.#dispatch(items, true);
     const ids = items.filter((item) => item.key.startsWith(key.runners)).map(idOf);
     this.#listener?.onListed(new Set(ids), { era, revision });
     this.#listener?.onProof(askedAt);
     return snapshot;
   }
 
-  /** @param isAll whether the store holds no other items */
-  #tell(items: readonly Item[], isAll: boolean): void {
+  /**
+   * Decodes entries and passes them to the listener.
+   * @param isAll whether `items` are all entries of the store
+   */
+  #dispatch(items: readonly Item[], isAll: boolean): void {
     const runners: RunnerFact[] = [];
     const suspects: Suspect[] = [];
     const vms: { vm: string; address: string }[] = [];
     for (const item of items) {
       try {
-        if (item.key === key.config) this.#tellConfig(item);
-        else if (item.key.startsWith(key.runners)) runners.push(this.#factOf(item));
+        if (item.key === key.config) this.#dispatchConfig(item);
+        else if (item.key.startsWith(key.runners)) runners.push(this.#recordOf(item));
         else if (item.key.startsWith(key.vms) && item.value !== undefined) {
           vms.push(decodeVm(item.key.slice(key.vms.length), item.value));
         } else if (item.key.startsWith(key.suspects) && item.value !== undefined) {
@@ -188,19 +198,19 @@
     if (vms.length > 0) this.#listener?.onVms(vms);
   }
 
-  /** One that cannot be read changes nothing, and is complained of once. */
-  #tellConfig({ key: name, value, revision }: Item): void {
-    if (value === undefined || revision === this.#unfitRevision) return;
+  /** A configuration that cannot be decoded is ignored and logged once for each revision. */
+  #dispatchConfig({ key: name, value, revision }: Item): void {
+    if (value === undefined || revision === this.#invalidRevision) return;
     try {
       this.#listener?.onConfig(decodeConfig(value));
     } catch (error) {
-      this.#unfitRevision = revision;
+      this.#invalidRevision = revision;
       this.#log.error({ key: name, revision }, toFailure(error).line);
     }
   }
 
-  /** An entry that cannot be read is a fact too: whatever was listed there before is no longer. */
-  #factOf(item: Item): RunnerFact {
+  /** An entry that cannot be decoded also yields a record, because it replaced the runner that was listed under this key. */
+  #recordOf(item: Item): RunnerFact {
     const id = idOf(item);
     const { revision, value } = item;
     const position = this.#history.positionOf(revision);
@@ -213,20 +223,21 @@
   }
 
   /**
-   * Lists this VM, so that others find it. The entry needs no lease: probes tell
-   * who lives. Only readers are listed; whoever finds one of them finds all.
+   * Registers this VM in the store, so that other VMs find it. The entry needs no lease,
+   * because membership probes detect which VMs are alive. Only VMs that read the store
+   * register: a VM that contacts one of them learns of all others from it.
    */
   #register(items: readonly Item[]): void {
     const name = `${key.vms}${this.#self.vm}`;
     const entry = encodeVm(this.#self.address);
     const isListed = items.some((item) => item.key === name && item.value === entry);
-    if (this.#registered || isListed) return;
-    this.#registered = true;
+    if (this.#isRegistered || isListed) return;
+    this.#isRegistered = true;
     this.#store
       .put(name, entry)
-      .then(() => this.#log.info({ key: name, era: this.#era }, 'Listed this VM.'))
+      .then(() => this.#log.info({ key: name, era: this.#era }, 'Registered this VM.'))
       .catch((error) => {
-        this.#registered = false;
+        this.#isRegistered = false;
         this.#log.warn(toFailure(error).line);
       });
   }
--- a/src/platform/ingress.ts
+++ b/src/platform/ingress.ts
@@ -1,4 +1,4 @@
-/** Translates between callers and the router: requests, refusals, readiness and the directory's answer. */
+/** Translates between callers and the router: requests, rejections, readiness checks and address look-ups. */
 
 import type { IncomingMessage } from 'node:http';
 
@@ -7,59 +7,68 @@
 import { credentialOf } from './credential';
 import { connectionHeaders, header, path, routerHeaders } from './names';
 
-/** Most addresses that one directory answer may hold. */
-const ADDRESS_LIMIT = 64;
-/** Most characters of a prompt's id that are kept. */
-const PROMPT_ID_LENGTH = 64;
-/** Retry-After is in seconds and may have a fraction. */
-const RETRY_DIGITS = 1;
+/** Maximum number of addresses in one look-up response. */
+const MAX_ADDRESSES = 64;
+/** Maximum length of a prompt id, in characters; the rest is cut off. */
+const MAX_PROMPT_ID_CHARS = 64;
+/** Decimal digits of `retry-after`, which is in seconds and may have a fraction. */
+const RETRY_AFTER_DIGITS = 1;
 
+/** Parses a non-negative number; undefined for other texts. */
 function numberOf(text: string | undefined): number | undefined {
   if (text === undefined) return undefined;
   const value = Number(text);
   return Number.isFinite(value) && value >= 0 ? value : undefined;
 }
 
-function single(message: IncomingMessage, name: string): string | undefined {
+/** The first value of a header. */
+function firstValueOf(message: IncomingMessage, name: string): string | undefined {
   const value = message.headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Most tokens of a prompt or an output that a request may tell. */
-const TOKENS_MOST = 1e9;
+/** Maximum number of prompt or output tokens that a request may declare. */
+const MAX_TOKENS = 1e9;
 
-/** Not a number if it is no number of tokens. */
+/** NaN if the text is not a valid number of tokens. */
 function tokensOf(text: string): number {
   const tokens = text.trim() === '' ? NaN : Number(text);
-  return tokens >= 0 && tokens <= TOKENS_MOST ? tokens : NaN;
+  return tokens >= 0 && tokens <= MAX_TOKENS ? tokens : NaN;
 }
 
-/** Of the parts `ID:TOKENS` of a prompt, in order, the last one is the request's own. */
+/** The id of the last of the parts `ID:TOKENS`, which is the request's own prompt. */
 function promptIdOf(parts: string | undefined): string | undefined {
   const id = parts?.split(',').at(-1)?.split(':')[0]?.trim();
-  return id === '' ? undefined : id?.slice(0, PROMPT_ID_LENGTH);
+  return id === '' ? undefined : id?.slice(0, MAX_PROMPT_ID_CHARS);
 }
 
 /**
- * Rejects with `badRequest` by throwing if the header is there and no size: read as a
- * request without one, it would take less of its customer's quota than it uses.
+ * Declared size of a request; undefined if the header is missing. Throws `badRequest` if it
+ * is malformed: treated as missing, the request would be charged less of its customer's
+ * quota than it uses.
  */
 function usageOf(message: IncomingMessage): Usage | undefined {
-  const text = single(message, header.usage);
+  const text = firstValueOf(message, header.usage);
   if (text === undefined) return undefined;
   const [prompt = NaN, output = NaN, ...rest] = text.split(',').map(tokensOf);
   if (Number.isNaN(prompt + output) || rest.length > 0) {
-    throw new Failure('badRequest', `${header.usage}: found no two numbers of tokens`);
+    throw new Failure(
+      'badRequest',
+      `${header.usage}: found no two token counts, expected PROMPT,OUTPUT`,
+    );
   }
   return {
-    promptId: promptIdOf(single(message, header.promptParts)),
+    promptId: promptIdOf(firstValueOf(message, header.promptParts)),
     promptTokens: prompt,
     maxOutputTokens: output,
-    hintTokens: numberOf(single(message, header.lengthHint)),
+    hintTokens: numberOf(firstValueOf(message, header.lengthHint)),
   };
 }
 
-/** Raw headers without those that concern one connection, those it names, and a set of others. */
+/**
+ * Raw headers that may be forwarded: without hop-by-hop headers, those listed in `connection`,
+ * and those in `dropped`.
+ */
 export function forwardable(
   raw: readonly string[],
   connection: string | undefined,
@@ -76,19 +85,16 @@
   return kept;
 }
 
-const droppedOfRequests: ReadonlySet<string> = new Set([
-  ...routerHeaders,
-  'content-length',
-  'expect',
-]);
+/** Headers of requests that are not forwarded to runners. */
+const droppedHeaders: ReadonlySet<string> = new Set([...routerHeaders, 'content-length', 'expect']);
 
-/** Where requests carry keys, no runner may see them. */
-const droppedOfKeyed: ReadonlySet<string> = new Set([...droppedOfRequests, header.authorization]);
+/** The same where requests carry API keys, which runners must not see. */
+const droppedKeyedHeaders: ReadonlySet<string> = new Set([...droppedHeaders, header.authorization]);
 
-/** Requests and refusals. */
+/** Decodes requests, and builds the headers of responses that the router itself makes. */
 export class PlatformIngress implements IngressCodec {
   idOf(message: IncomingMessage): string | undefined {
-    return single(message, header.requestId);
+    return firstValueOf(message, header.requestId);
   }
 
   decode(message: IncomingMessage, body: Buffer, keyed: boolean): CallRequest {
@@ -104,10 +110,10 @@
       headers: forwardable(
         message.rawHeaders,
         message.headers.connection,
-        keyed ? droppedOfKeyed : droppedOfRequests,
+        keyed ? droppedKeyedHeaders : droppedHeaders,
       ),
       body,
-      deadlineMs: numberOf(single(message, header.deadline)),
+      deadlineMs: numberOf(firstValueOf(message, header.deadline)),
       usage: usageOf(message),
       credential: keyed ? credentialOf(message) : { kind: 'none' },
       customer: undefined,
@@ -122,12 +128,12 @@
       ...(id === undefined ? {} : { [header.requestId]: id }),
       ...(retryAfterMs === undefined
         ? {}
-        : { [header.retryAfter]: (retryAfterMs / 1000).toFixed(RETRY_DIGITS) }),
+        : { [header.retryAfter]: (retryAfterMs / 1000).toFixed(RETRY_AFTER_DIGITS) }),
     };
   }
 }
 
-/** Readiness and lookups. */
+/** Readiness checks and address look-ups. */
 export class PlatformControl implements ControlCodec {
   isReadiness(message: IncomingMessage): boolean {
     return pathOf(message) === path.readiness;
@@ -142,7 +148,7 @@
   }
 
   lookupBody(addresses: readonly string[], ttlMs: number): string {
-    return JSON.stringify({ addresses: addresses.slice(0, ADDRESS_LIMIT), 'ttl-s': ttlMs / 1000 });
+    return JSON.stringify({ addresses: addresses.slice(0, MAX_ADDRESSES), 'ttl-s': ttlMs / 1000 });
   }
 }
 
--- a/src/platform/lock.ts
+++ b/src/platform/lock.ts
@@ -1,17 +1,18 @@
-/** The right to give orders to runners: a key under a lease in the store. */
+/** Lock for the right to give orders to runners: a key with a lease in the store. */
 
 import { ordinalOf } from '../core/routing/position';
 import type { OrderLock, OrderRight } from '../node/router/types';
 import { key } from './names';
 import type { StoreClient } from './store';
 
-/** Time to live of the lease, in milliseconds: three renewals may be lost. */
-const LEASE_MS = 6000;
+/** Time to live of the lease, in milliseconds. Three renewals in a row may fail before it expires. */
+const LEASE_TTL_MS = 6000;
 
 /**
- * Takes the lock by compare-and-swap. Its fence is the position of that write as one
- * number: by the revision alone, a holder after the return of an older copy had a
- * lower fence than the one before, and runners that check fences refused its orders.
+ * Takes the lock by compare-and-swap. The fence is the position of that write as one
+ * number, era included. With the revision alone, the first holder after the store was
+ * restored from an older copy had a lower fence than the holder before, and runners
+ * that check fences rejected its orders.
  */
 export class StoreLock implements OrderLock {
   readonly #store: StoreClient;
@@ -27,9 +28,9 @@
     const { items } = await this.#store.range(key.orders);
     if (items.some((item) => item.key === key.orderHolder)) return undefined;
     const last = items.find((item) => item.key === key.orderLast);
-    const lease = await this.#store.grant(LEASE_MS);
+    const lease = await this.#store.grant(LEASE_TTL_MS);
     const mine = `${this.#vm} ${this.#store.era}`;
-    const taken = await this.#store.commit({
+    const position = await this.#store.commit({
       expected: [
         { key: key.orderHolder, revision: 0 },
         { key: key.orderLast, revision: last?.revision ?? 0 },
@@ -39,19 +40,19 @@
         { key: key.orderLast, value: mine, lease: 0 },
       ],
     });
-    if (taken === undefined) return undefined;
-    const { era } = taken;
+    if (position === undefined) return undefined;
+    const { era } = position;
     return {
-      fence: ordinalOf(taken),
+      fence: ordinalOf(position),
       fresh: this.#isFresh(last?.value, mine),
-      // A lease of the era before may be somebody else's by now.
+      // After a change of era the id of this lease may belong to another holder.
       renew: async () => (await this.#store.keep(lease)) && this.#store.era === era,
       release: () => this.#store.endLease(lease),
     };
   }
 
-  /** Whether no other VM had the right before. A store that came back from a copy may have lost who had it. */
-  #isFresh(last: string | undefined, mine: string): boolean {
-    return last === undefined ? this.#store.era === 0 : last === mine;
+  /** Whether no other VM has held the lock before. A store that was restored from an older copy may lack the last holder. */
+  #isFresh(lastHolder: string | undefined, mine: string): boolean {
+    return lastHolder === undefined ? this.#store.era === 0 : lastHolder === mine;
   }
 }
--- a/src/platform/names.ts
+++ b/src/platform/names.ts
@@ -1,38 +1,38 @@
-/** Names on the platform's wire. Nothing outside this folder knows them. */
+/** Names of the platform's protocol: headers, keys and paths. Used in this folder only. */
 
-/** Headers, in lower case as Node gives them. */
+/** Header names in lower case, as Node reports them. */
 export const header = {
   requestId: 'request-id',
-  /** Milliseconds that the sender will wait. */
+  /** Time that the sender waits for the response, in milliseconds. */
   deadline: 'request-deadline-ms',
-  /** On answers: the runner's signature over its body; an answer without it is not a runner's. */
+  /** In responses: the runner's signature of the body. A response without it does not come from a runner. */
   signature: 'server-signature',
-  /** The listed id of the runner that may run the request; a later start may have it again. */
+  /** Listed id of the runner that may run the request. A later instance of the runner may have the same id. */
   expectedRunner: 'expected-instance',
-  /** On answers: the request was not run and never will be. */
+  /** In responses: the request was not run and never will be. */
   notRun: 'not-executed',
-  /** On answers: the requests a second that the runner takes from all VMs together. */
+  /** In responses: the rate limit of the runner for all VMs together, in requests per second. */
   rateLimit: 'server-limit',
-  /** Prompt tokens and most output tokens. */
+  /** Number of prompt tokens and maximum number of output tokens, separated by a comma. */
   usage: 'token-usage',
-  /** Parts of the prompt in order, each `ID:TOKENS`; the last one is the request's own. */
+  /** Parts of the prompt in order, each `ID:TOKENS`; the last one is specific to the request. */
   promptParts: 'prompt-prefix',
   lengthHint: 'length-hint',
-  /** `prefill` has the prompt read and kept instead of running the request. */
+  /** `prefill`: the runner only prefills the prompt and keeps its KV cache. */
   stage: 'serving-stage',
-  /** `HOST:PORT/HANDLE` of a kept prompt. */
+  /** `HOST:PORT/HANDLE` of the KV cache of a prefilled prompt. */
   cacheSource: 'kv-source',
   lastEvent: 'last-event-id',
   retryAfter: 'retry-after',
-  /** From callers: their key. */
+  /** From callers: their API key. */
   authorization: 'authorization',
-  /** To runners: the name of the customer that holds the caller's key. */
+  /** To runners: the name of the customer that the caller's API key belongs to. */
   customer: 'tenant-id',
-  /** On the store's answers: how often it has come back from an older copy, one higher each time. */
+  /** In responses of the store: its era, which increases by one each time it is restored from an older copy. */
   era: 'store-era',
 } as const;
 
-/** Request headers that are the router's to set; what a caller sent under these names is dropped. */
+/** Request headers that only the router may set; those from callers are dropped. */
 export const routerHeaders: ReadonlySet<string> = new Set([
   header.deadline,
   header.expectedRunner,
@@ -47,7 +47,7 @@
   'request-priority',
 ]);
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which are not forwarded. */
 export const connectionHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -65,18 +65,18 @@
   config: 'op/config',
   /** Followed by the runner's id. */
   runners: 'servers/',
-  /** Followed by the VM's name: the router's own. */
+  /** Followed by the VM's name; written by the router. */
   vms: 'goldcrestdock/vms/',
   orders: 'goldcrestdock/orders/',
-  /** Followed by a request's fingerprint, under a lease: requests that are refused. */
+  /** Followed by the fingerprint of a quarantined request; with a lease. */
   suspects: 'goldcrestdock/suspects/',
-  /** Under a lease: who may give orders to runners. */
+  /** The VM that may give orders to runners; with a lease. */
   orderHolder: 'goldcrestdock/orders/holder',
-  /** Without a lease: who had that right last. */
+  /** The VM that held this right last; without a lease. */
   orderLast: 'goldcrestdock/orders/last',
 } as const;
 
-/** Paths of calls. */
+/** URL paths; those that end with a slash are followed by an id. */
 export const path = {
   readiness: '/v1/readiness',
   lookup: '/v1/lookup',
--- a/src/platform/run.ts
+++ b/src/platform/run.ts
@@ -1,4 +1,4 @@
-/** Puts the router on the platform: the command `node`. */
+/** Builds a router from the settings and the store of the platform, for the command `node`. */
 
 import type { Logger } from 'pino';
 
@@ -16,7 +16,10 @@
 import { StoreClient } from './store';
 import { StoreSuspects } from './suspects';
 
-/** Settings at the path that the environment names. */
+/**
+ * Reads the settings file named by the environment variable `SETTINGS_VARIABLE`.
+ * Throws `usage` if the variable is not set, or the failure of `loadSettings`.
+ */
 export function settingsOfEnvironment(
   env: Readonly<Record<string, string | undefined>>,
 ): PlatformSettings {
@@ -30,7 +33,7 @@
   return loadSettings(file);
 }
 
-/** A router on the platform, not yet started. */
+/** Creates a router that uses the platform's store, protocol and lock. It is not started yet. */
 export function createRouter({ router, store }: PlatformSettings, log: Logger): Router {
   const { vm, peer } = router;
   const history = new History();
--- a/src/platform/runner.ts
+++ b/src/platform/runner.ts
@@ -1,4 +1,4 @@
-/** Client of the runners. */
+/** HTTP client of the runners. */
 
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import { request as httpRequest } from 'node:http';
@@ -23,22 +23,22 @@
 import { header, path } from './names';
 import { rateNoticeOf } from './ratelimit';
 
-/** Time for a connection to a runner to come about, in milliseconds: many round trips, and less than the second after which a lost opening packet is sent again. */
-const CONNECT_MS = 350;
-/** Tries to connect before the runner counts as unreachable; nothing was sent by then. */
-const CONNECT_TRIES = 2;
-/** Time limit of a report and of freeing a cache, in milliseconds. */
-const SIDE_CALL_MS = 1000;
-/** Largest answer to a prefill, in bytes. */
-const PREFILL_ANSWER_BYTES = 64 * 1024;
+/** Connect timeout, in milliseconds. It allows for many round trips and is below the second after which TCP retransmits a lost SYN. */
+const CONNECT_TIMEOUT_MS = 350;
+/** Connection attempts before a runner counts as unreachable. Nothing has been sent until one succeeds. */
+const MAX_CONNECT_ATTEMPTS = 2;
+/** Timeout of calls that carry no request: reports, orders and freeing a cache, in milliseconds. */
+const CONTROL_CALL_TIMEOUT_MS = 1000;
+/** Maximum size of the response to a prefill, in bytes. */
+const MAX_PREFILL_RESPONSE_BYTES = 64 * 1024;
 
 const HTTP_OK = 200;
 const HTTP_ACCEPTED = 202;
-const HTTP_MISDIRECTED = 421;
+const HTTP_MISDIRECTED_REQUEST = 421;
 
 const prefillSchema = z.object({ 'kv-handle': z.string() });
 const bornSchema = z.int().min(0).default(0);
-/** Request, tokens in memory, events made, priority. */
+/** Request id, tokens in memory, events generated, priority. */
 const runSchema = z.tuple([z.string(), z.number(), z.number()]).rest(z.unknown());
 const reportSchema = z.object({
   'kv-used': z.number(),
@@ -54,9 +54,9 @@
 
 const EVENT_STREAM = 'text/event-stream';
 
-const none: ReadonlySet<string> = new Set();
+const noHeaders: ReadonlySet<string> = new Set();
 
-/** Sends requests, each over a connection of its own: bytes left over from another answer can then never be read as this one. */
+/** Sends each request over a new connection, so that left-over bytes of another response are never read as part of this one. */
 export class PlatformRunnerClient implements RunnerClient {
   send(dispatch: Dispatch): Promise<Reply> {
     return this.#exchange(dispatch, []);
@@ -71,24 +71,24 @@
   }
 
   async prefill(dispatch: Dispatch): Promise<CacheHandle> {
-    const { reply, body } = await this.#prefillAnswer(dispatch);
+    const { reply, body } = await this.#prefillResponse(dispatch);
     const { address } = dispatch.runner;
     if (reply.status !== HTTP_OK) {
       const name = reply.notRun ? 'runnerFull' : 'runnerFailed';
       throw new Failure(name, `${address} answered the prefill with ${reply.status}`);
     }
     const parsed = prefillSchema.safeParse(JSON.parse(body.toString()));
-    if (!parsed.success) throw new Failure('runnerFailed', `${address} gave no cache handle`);
+    if (!parsed.success) throw new Failure('runnerFailed', `${address} sent no cache handle`);
     return { address, handle: parsed.data['kv-handle'] };
   }
 
-  /** Rejects with `answerLost` if the runner took the request and its answer did not come, unless it was given up here. */
-  async #prefillAnswer(
+  /** Rejects with `answerLost` if the request was sent but the response was not received, unless the caller aborted the dispatch. */
+  async #prefillResponse(
     dispatch: Dispatch,
   ): Promise<{ readonly reply: Reply; readonly body: Buffer }> {
     try {
       const reply = await this.#exchange(dispatch, [header.stage, 'prefill']);
-      return { reply, body: await readBody(reply.body, PREFILL_ANSWER_BYTES) };
+      return { reply, body: await readBody(reply.body, MAX_PREFILL_RESPONSE_BYTES) };
     } catch (error) {
       const failure = toFailure(error);
       if (dispatch.signal.aborted || failure.codeName === 'runnerUnreachable') throw failure;
@@ -99,16 +99,21 @@
   async freeCache({ address, handle }: CacheHandle): Promise<void> {
     const url = `http://${address}${path.cacheHandle}${encodeURIComponent(handle)}`;
     const headers = { connection: 'close' };
-    await call({ method: 'DELETE', url, headers, timeoutMs: SIDE_CALL_MS });
+    await call({ method: 'DELETE', url, headers, timeoutMs: CONTROL_CALL_TIMEOUT_MS });
   }
 
   async report({ id, listing, address }: Runner): Promise<RunnerReport> {
     const url = `http://${address}${path.report}`;
     const headers = { connection: 'close', [header.expectedRunner]: listing };
-    const { status, body } = await call({ method: 'GET', url, headers, timeoutMs: SIDE_CALL_MS });
-    if (status !== HTTP_OK) throw new Failure('runnerFailed', `${address} reported ${status}`);
+    const { status, body } = await call({
+      method: 'GET',
+      url,
+      headers,
+      timeoutMs: CONTROL_CALL_TIMEOUT_MS,
+    });
+    if (status !== HTTP_OK) throw new Failure('runnerFailed', `${address} answered ${status}`);
     const { born, runs, 'kv-used': usedTokens } = reportSchema.parse(JSON.parse(body));
-    // A runner that does not tell its start has a new id with each.
+    // A runner that reports no start time gets a new id at each start.
     return {
       runner: born === 0 ? id : startId(listing, born),
       bornAt: born,
@@ -128,17 +133,17 @@
       method: 'GET',
       url: `http://${address}${path.report}`,
       headers,
-      timeoutMs: SIDE_CALL_MS,
+      timeoutMs: CONTROL_CALL_TIMEOUT_MS,
     });
     const { sequence, busy, born } = orderStateSchema.parse(JSON.parse(report.body));
-    // Another start of the runner has another stage and knows nothing of this holder.
+    // Another instance of the runner may have another stage and has no orders from this holder.
     if (busy || (born !== 0 && born !== bornAt)) return 'rejected';
     try {
       const { status } = await call({
         method: 'POST',
         url: `http://${address}${path.order}`,
         headers: { ...headers, 'content-type': 'application/json' },
-        // The number of orders that were accepted so far: one that is carried out late then changes nothing.
+        // `expected` is the number of orders accepted so far, so that an order that arrives late has no effect.
         body: JSON.stringify({
           operation: 'stage',
           stage: role,
@@ -146,7 +151,7 @@
           'fencing-token': fence,
           expected: sequence,
         }),
-        timeoutMs: SIDE_CALL_MS,
+        timeoutMs: CONTROL_CALL_TIMEOUT_MS,
       });
       return status === HTTP_OK || status === HTTP_ACCEPTED ? 'accepted' : 'rejected';
     } catch {
@@ -155,40 +160,43 @@
   }
 
   async #exchange(dispatch: Dispatch, extra: readonly string[]): Promise<Reply> {
-    for (let tries = 1; ; tries += 1) {
+    for (let attempts = 1; ; attempts += 1) {
       try {
         const reply = toReply(dispatch, await exchangeOnce(dispatch, extra));
         dispatch.onReply(reply);
         return reply;
       } catch (error) {
         const retry = error instanceof Failure && error.codeName === 'runnerUnreachable';
-        if (!retry || tries >= CONNECT_TRIES || dispatch.signal.aborted) throw error;
+        if (!retry || attempts >= MAX_CONNECT_ATTEMPTS || dispatch.signal.aborted) throw error;
       }
     }
   }
 }
 
+/** Raw headers to send: those of the caller and the ones that the router sets. */
 function headersOf({ runner, request, deadlineMs }: Dispatch, extra: readonly string[]): string[] {
   const headers = [...request.headers];
-  const hasLast = extra.includes(header.lastEvent);
-  const kept = hasLast ? forwardable(headers, undefined, new Set([header.lastEvent])) : headers;
+  const resumesStream = extra.includes(header.lastEvent);
+  const forwarded = resumesStream
+    ? forwardable(headers, undefined, new Set([header.lastEvent]))
+    : headers;
   const { length } = request.body;
-  const sized = length > 0 || (request.method !== 'GET' && request.method !== 'HEAD');
+  const hasLength = length > 0 || (request.method !== 'GET' && request.method !== 'HEAD');
   return [
-    ...kept,
+    ...forwarded,
     header.deadline,
     String(Math.max(1, Math.floor(deadlineMs))),
     header.expectedRunner,
     runner.listing,
     ...(request.customer === undefined ? [] : [header.customer, request.customer]),
     ...extra,
-    ...(sized ? ['content-length', String(length)] : []),
+    ...(hasLength ? ['content-length', String(length)] : []),
     'connection',
     'close',
   ];
 }
 
-/** One try. Rejects with `runnerUnreachable` if nothing was sent, else with `runnerFailed`. */
+/** Makes one attempt. Rejects with `runnerUnreachable` if nothing was sent, otherwise with `runnerFailed`. */
 function exchangeOnce(dispatch: Dispatch, extra: readonly string[]): Promise<IncomingMessage> {
   const { runner, request, signal } = dispatch;
   const [host = '', port = ''] = runner.address.split(':');
@@ -219,9 +227,9 @@
   });
 }
 
-/** Calls back once the connection stands, and ends the request if that takes too long. */
+/** Calls back once the connection is established, and destroys the request after the connect timeout. */
 function onConnected(req: ClientRequest, callback: () => void): void {
-  const timer = setTimeout(() => req.destroy(new Error('no connection')), CONNECT_MS);
+  const timer = setTimeout(() => req.destroy(new Error('connect timeout')), CONNECT_TIMEOUT_MS);
   req.on('socket', (socket) => {
     socket.setNoDelay(true);
     socket.once('connect', () => {
@@ -232,12 +240,13 @@
   req.on('close', () => clearTimeout(timer));
 }
 
+/** How the end of a response body is marked. */
 function framingOf(headers: IncomingMessage['headers']): Framing {
   if (headers['transfer-encoding'] !== undefined) return 'chunked';
   return headers['content-length'] === undefined ? 'close' : 'length';
 }
 
-/** An answer counts as the runner's if it names this request, is signed and not encoded on the way. */
+/** A response counts as the runner's if it is signed, carries no other request id and has no content encoding added on the way. */
 function toReply({ request }: Dispatch, message: IncomingMessage): Reply {
   const { headers } = message;
   const status = message.statusCode ?? 0;
@@ -250,10 +259,10 @@
     status,
     framing: framingOf(headers),
     isEvents: headers['content-type']?.startsWith(EVENT_STREAM) ?? false,
-    headers: forwardable(message.rawHeaders, headers.connection, none),
+    headers: forwardable(message.rawHeaders, headers.connection, noHeaders),
     genuine,
-    notRun: headers[header.notRun] !== undefined || status === HTTP_MISDIRECTED,
-    misdirected: status === HTTP_MISDIRECTED,
+    notRun: headers[header.notRun] !== undefined || status === HTTP_MISDIRECTED_REQUEST,
+    misdirected: status === HTTP_MISDIRECTED_REQUEST,
     rateNotice: rateNoticeOf(message),
     body: message,
   };
--- a/src/platform/settings.ts
+++ b/src/platform/settings.ts
@@ -1,4 +1,4 @@
-/** Reads the platform's settings file into the router's own settings. */
+/** Converts the platform's settings file to the router's settings. */
 
 import { createHash } from 'node:crypto';
 
@@ -22,9 +22,9 @@
     ready: address.optional(),
     directory: address.optional(),
   }),
-  /** First and last port that are free for links between VMs. */
+  /** First and last port of the range reserved for links between VMs. */
   'internal-port-range': z.array(z.int()).min(1),
-  /** Control addresses of VMs; the host is what matters, since links use the internal port. */
+  /** Control addresses of VMs. Only the host is used, because links use the internal port. */
   seeds: z.array(address).default([]),
   bounds: z.object({
     'grace-s': z.number(),
@@ -33,11 +33,11 @@
     'retry-budget-extra': z.number(),
     'lease-ms': z.number().default(3000),
     'config-apply-ms': z.number().default(2000),
-    /** Whether a key that was taken away must run nothing `revoke-ms` later. */
+    /** Whether a revoked API key must not start any request after `revoke-ms`. */
     'strict-revoke': z.boolean().default(false),
     'revoke-ms': z.number().default(5000),
     'quota-window-s': z.number().positive().default(10),
-    /** Part of what a quota allows in a window. */
+    /** Allowed excess, as a fraction of what a quota allows in a window. */
     'quota-overage': z.number().min(0).default(0),
     'quota-slack': z.number().min(0).default(0),
     ttl_max_s: z.number().default(5),
@@ -45,30 +45,33 @@
   platform: z.object({ address }),
   limits: z
     .object({
-      /** Part of each core that this VM may use. */
+      /** Fraction of each core that this VM may use. */
       'cpu-share': z.number().positive().default(1),
       cores: z.number().positive().default(1),
     })
     .prefault({}),
 });
 
-/** Settings of the router and where the store is. */
+/** Settings of the router, and the address of the store. */
 export interface PlatformSettings {
   readonly router: RouterSettings;
   /** `HOST:PORT` of the store. */
   readonly store: string;
 }
 
-/** Longest time that callers may keep a directory answer: they keep some for thrice as long, and a VM that stops has to serve these still, in milliseconds. */
-const ADDRESS_TTL_MS = 1000;
-/** By how much sooner than it must a key stop counting, in milliseconds: some turns of a busy event loop lie between the look at the clock and the send. */
-const KEY_MARGIN_MS = 300;
-/** By how much all VMs together may be over the rate limit that a runner names: the platform's bound. */
-const RATE_LIMITS = { windowMs: 4000, overage: 0.5, slack: 5, wholeRuns: true };
-/** Port of the metrics page; the deploy file names the same. */
+/** Maximum time to live of a look-up response, in milliseconds. Some callers cache it for three times as long, and a VM that shuts down must serve them until then. */
+const MAX_ADDRESS_TTL_MS = 1000;
+/** Margin by which a key expires early, in milliseconds. A busy event loop may run several iterations between the check of the clock and the send. */
+const KEY_EXPIRY_MARGIN_MS = 300;
+/** Bounds that the platform sets on how far all VMs together may exceed the rate limit that a runner announces. */
+const RATE_LIMIT_BOUNDS = { windowMs: 4000, overage: 0.5, slack: 5, wholeRuns: true };
+/** Port of the metrics endpoint; must match the deployment files. */
 const METRICS_PORT = 9464;
 
-/** Resolves the text of a settings file. */
+/**
+ * Converts the text of a settings file; throws `fileMalformed` or `settingsInvalid`.
+ * @param source name of the file in error messages
+ */
 export function resolveSettings(text: string, source: string): PlatformSettings {
   const file = validate(fileSchema, parseJsonc(text, source), source);
   const { bounds, ip, listen, limits } = file;
@@ -92,7 +95,7 @@
       windowMs: bounds['budget-window-s'] * 1000,
     },
     ages: {
-      keyMs: bounds['strict-revoke'] ? bounds['revoke-ms'] - KEY_MARGIN_MS : Infinity,
+      keyMs: bounds['strict-revoke'] ? bounds['revoke-ms'] - KEY_EXPIRY_MARGIN_MS : Infinity,
       finalMs: bounds['config-apply-ms'],
     },
     quotas: {
@@ -101,15 +104,15 @@
       slack: bounds['quota-slack'],
       wholeRuns: false,
     },
-    rateLimits: RATE_LIMITS,
+    rateLimits: RATE_LIMIT_BOUNDS,
     leaseMs: bounds['lease-ms'],
     graceMs: bounds['grace-s'] * 1000,
-    addressTtlMs: Math.min(bounds.ttl_max_s * 1000, ADDRESS_TTL_MS),
+    addressTtlMs: Math.min(bounds.ttl_max_s * 1000, MAX_ADDRESS_TTL_MS),
   };
   return { router, store: file.platform.address };
 }
 
-/** Reads and resolves the settings file at a path. */
+/** Reads and converts the settings file at a path; throws `fileUnreadable`, `fileMalformed` or `settingsInvalid`. */
 export function loadSettings(file: string): PlatformSettings {
   return resolveSettings(readText(file), file);
 }
--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -1,4 +1,4 @@
-/** The one client of the platform's store: ranges, watches and writes. */
+/** Client of the platform's key-value store: reads, watches, transactions and leases. */
 
 import { isUtf8 } from 'node:buffer';
 
@@ -11,28 +11,28 @@
 import type { EraReader } from './era';
 import { header, path } from './names';
 
-/** An item, or that it is gone. */
+/** An entry of the store, or its deletion. */
 export interface Item {
   readonly key: string;
-  /** Store revision of its last change. */
+  /** Store revision of the last change of this key. */
   readonly revision: number;
   /** Undefined if the item was deleted. */
   readonly value: string | undefined;
 }
 
-/** Items as of a revision. */
+/** Items of the store at a revision. */
 export interface Snapshot {
   readonly items: readonly Item[];
   readonly revision: number;
-  /** Undefined if the answer named none that can be used. */
+  /** Undefined if the response has no valid era. */
   readonly era: number | undefined;
 }
 
-/** Writes that take effect together, or not at all. */
+/** Writes that are applied atomically if all conditions hold. */
 export interface Transaction {
-  /** Revisions that keys must have; 0 means that there is no such key. */
+  /** Conditions: the revision that each key must have; 0 means that the key must not exist. */
   readonly expected: readonly { readonly key: string; readonly revision: number }[];
-  /** `lease` 0 means none. */
+  /** Items to write; `lease` 0 means no lease. */
   readonly writes: readonly {
     readonly key: string;
     readonly value: string;
@@ -57,32 +57,32 @@
 const leaseSchema = z.object({ lease: z.number() });
 const watchSchema = z.object({ events: z.array(itemSchema), 'as-of': z.number() });
 
-/** Time limit of one call, in milliseconds: a live store answers in some, a slow one in hundreds. */
-const CALL_LIMIT_MS = 1200;
-/** By how much a watch may overrun the wait it asked for, in milliseconds. */
-const WATCH_SLACK_MS = 700;
+/** Timeout of one call, in milliseconds. A healthy store answers within a few milliseconds, a slow one within hundreds. */
+const CALL_TIMEOUT_MS = 1200;
+/** Time beyond the requested wait after which a watch times out, in milliseconds. */
+const WATCH_GRACE_MS = 700;
 const HTTP_OK = 200;
 const HTTP_NOT_FOUND = 404;
 const HTTP_GONE = 410;
-const HTTP_PRECONDITION = 412;
-const HTTP_TOO_MANY = 429;
+const HTTP_PRECONDITION_FAILED = 412;
+const HTTP_TOO_MANY_REQUESTS = 429;
 
-/** Bytes that are no UTF-8 read as an empty text, which no decoder of entries accepts. */
+/** Decodes base64. Invalid UTF-8 yields an empty text, which every decoder of entries rejects. */
 function textOf(value: string): string {
   const bytes = Buffer.from(value, 'base64');
   return isUtf8(bytes) ? bytes.toString() : '';
 }
 
 function toItem({ key, value, revision, deleted }: z.infer<typeof itemSchema>): Item {
-  const gone = deleted === true || value === undefined;
+  const isDeleted = deleted === true || value === undefined;
   return {
     key,
     revision,
-    value: gone ? undefined : textOf(value),
+    value: isDeleted ? undefined : textOf(value),
   };
 }
 
-/** Calls the store. Each call has a connection of its own, so that one that went silent costs one call. */
+/** Calls the store. Each call uses a new connection, so that a hung connection affects one call only. */
 export class StoreClient {
   readonly #address: string;
 
@@ -93,16 +93,18 @@
     this.#eras = eras;
   }
 
-  /** The latest era of the store that is known; 0 where it tells none. */
+  /** The latest known era of the store; 0 if the store sends none. */
   get era(): number {
     return this.#eras.latest;
   }
 
   /**
-   * Everything below a prefix, of one era. Pages are not a snapshot; the first page's revision is the safe one to go on from.
-   * @param limitMs time for each page, in milliseconds
+   * Reads all items below a prefix, page by page. Throws `platformUnavailable` if the era changes
+   * between pages. Pages are read at different revisions; the result has the revision of the
+   * first one, so that a watch from there misses no change.
+   * @param limitMs timeout of each page, in milliseconds
    */
-  async range(prefix: string, limitMs = CALL_LIMIT_MS): Promise<Snapshot> {
+  async range(prefix: string, limitMs = CALL_TIMEOUT_MS): Promise<Snapshot> {
     const items: Item[] = [];
     let first: { readonly era: number | undefined; readonly revision: number } | undefined;
     let after = '';
@@ -112,44 +114,47 @@
       const { body, era } = await this.#get(`${path.range}?${query}`, limitMs);
       const page = rangeSchema.parse(body);
       first ??= { era, revision: page['as-of'] };
-      if (first.era !== era) throw new Failure('platformUnavailable', 'the store came back');
+      if (first.era !== era) throw new Failure('platformUnavailable', 'the store was restored');
       items.push(...page.items.map(toItem));
       const last = page.items.at(-1);
       if (!page.truncated) return { items, ...first };
-      // A partial list would make the missing items look deleted.
-      if (!last) throw new Failure('platformUnavailable', 'found a page without items amid a list');
+      // Items that are missing from a partial list would be taken for deleted ones.
+      if (!last) throw new Failure('platformUnavailable', 'found an empty page before the last');
       after = last.key;
     }
   }
 
-  /** One item as it is now; no items if there is none. */
+  /** Reads one item; `items` is empty if the key does not exist. */
   async get(key: string): Promise<Snapshot> {
     const target = `${path.key}?${new URLSearchParams({ key })}`;
-    const { body, era } = await this.#get(target, CALL_LIMIT_MS);
+    const { body, era } = await this.#get(target, CALL_TIMEOUT_MS);
     if (body === undefined) return { items: [], revision: 0, era };
     const { 'as-of': revision } = asOfSchema.parse(body);
     return { items: [toItem(itemSchema.parse(body))], revision, era };
   }
 
-  /** Changes below a prefix after a revision; undefined if that history is no longer there. */
+  /**
+   * Waits for changes below a prefix after a revision; undefined if the store no longer has that history.
+   * @param waitMs time after which the store answers without changes, in milliseconds
+   */
   async watch(prefix: string, after: number, waitMs: number): Promise<Snapshot | undefined> {
     const query = new URLSearchParams({
       'path-prefix': prefix,
       after: String(after),
       'wait-ms': String(waitMs),
     });
-    const { body, era } = await this.#get(`${path.watch}?${query}`, waitMs + WATCH_SLACK_MS);
+    const { body, era } = await this.#get(`${path.watch}?${query}`, waitMs + WATCH_GRACE_MS);
     if (body === undefined) return undefined;
     const { events, 'as-of': revision } = watchSchema.parse(body);
     return { items: events.map(toItem), revision, era };
   }
 
-  /** Writes one item whatever it was before. */
+  /** Writes one item unconditionally and without a lease. */
   async put(key: string, value: string): Promise<void> {
     await this.commit({ expected: [], writes: [{ key, value, lease: 0 }] });
   }
 
-  /** Writes all items if all conditions hold. Gives the position, or undefined if one did not hold. */
+  /** Writes all items if all conditions hold. Returns the position of the write, or undefined if a condition does not hold. */
   async commit({ expected, writes }: Transaction): Promise<Position | undefined> {
     const encoded = writes.map((write) => ({
       ...write,
@@ -157,34 +162,34 @@
     }));
     const transaction = { expected, writes: encoded, remove: [] };
     const { status, body, era = this.era } = await this.#post(path.txn, transaction);
-    if (status === HTTP_PRECONDITION) return undefined;
-    if (status !== HTTP_OK) throw new Failure('platformUnavailable', `a write got ${status}`);
+    if (status === HTTP_PRECONDITION_FAILED) return undefined;
+    if (status !== HTTP_OK) throw new Failure('platformUnavailable', `a write failed: ${status}`);
     const { revision } = revisionSchema.parse(JSON.parse(body));
     return { era, revision };
   }
 
-  /** A new lease. */
+  /** Creates a lease and returns its id. */
   async grant(ttlMs: number): Promise<number> {
     const { status, body } = await this.#post(path.lease, { 'ttl-ms': ttlMs });
-    if (status !== HTTP_OK) throw new Failure('platformUnavailable', `a lease got ${status}`);
+    if (status !== HTTP_OK) throw new Failure('platformUnavailable', `a grant failed: ${status}`);
     return leaseSchema.parse(JSON.parse(body)).lease;
   }
 
-  /** Renews a lease and tells whether it still runs. */
+  /** Renews a lease; false if it has expired. */
   async keep(lease: number): Promise<boolean> {
     const { status } = await this.#post(`${path.keep}${lease}`, {});
     if (status === HTTP_OK) return true;
     if (status === HTTP_NOT_FOUND) return false;
-    throw new Failure('platformUnavailable', `a renewal got ${status}`);
+    throw new Failure('platformUnavailable', `a lease renewal failed: ${status}`);
   }
 
-  /** Ends a lease and with it its keys. */
+  /** Revokes a lease, which deletes its keys. */
   async endLease(lease: number): Promise<void> {
     await call({
       method: 'DELETE',
       url: `http://${this.#address}${path.leaseEnd}${lease}`,
       headers: { connection: 'close' },
-      timeoutMs: CALL_LIMIT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
   }
 
@@ -197,18 +202,18 @@
       url: `http://${this.#address}${target}`,
       headers: { 'content-type': 'application/json', connection: 'close' },
       body: JSON.stringify(body),
-      timeoutMs: CALL_LIMIT_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
     });
     return { ...answer, era: this.#eraOf(answer) };
   }
 
-  /** An answer that turns a call away may come from something before the store, which knows no era. */
+  /** Undefined for 429 and 5xx: such a response may come from a proxy in front of the store, which sends no era. */
   #eraOf({ status, headers }: Answer): number | undefined {
-    if (status >= HTTP_TOO_MANY) return undefined;
+    if (status >= HTTP_TOO_MANY_REQUESTS) return undefined;
     return this.#eras.read(headers[header.era]?.toString());
   }
 
-  /** The body is undefined on 404 and 410. */
+  /** Throws `platformUnavailable` on an unexpected status. The body is undefined on 404 and 410. */
   async #get(
     target: string,
     timeoutMs: number,
--- a/src/platform/suspects.ts
+++ b/src/platform/suspects.ts
@@ -1,4 +1,4 @@
-/** Keeps refused requests in the store, each under a lease of its own. */
+/** Stores quarantined requests, so that they stay quarantined when all VMs restart. */
 
 import type { Suspect } from '../core/quarantine/types';
 import type { SuspectArchive } from '../node/router/types';
@@ -6,7 +6,7 @@
 import { key } from './names';
 import type { StoreClient } from './store';
 
-/** Saves refused requests. */
+/** Writes each quarantined request to the store with its own lease, so that it expires on its own. */
 export class StoreSuspects implements SuspectArchive {
   readonly #store: StoreClient;
 
--- a/src/types/beliefs.ts
+++ b/src/types/beliefs.ts
@@ -1,4 +1,4 @@
-/** Where a node of the platform tells what it believes. */
+/** Endpoint for the state snapshot of a node of the platform. */
 
-/** Path on the metrics address; the answer is JSON. */
+/** Path on the metrics address; the response is JSON. */
 export const BELIEFS_PATH = '/beliefs';
--- a/src/utils/answers.ts
+++ b/src/utils/answers.ts
@@ -1,37 +1,38 @@
-/** Tracks answers in progress by connection. */
+/** Tracks the responses in progress on each connection. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 
 import { cutOff } from './http';
 
-/** Answers in progress, to be cut off when their connection is about to end. */
+/** Responses in progress, to be aborted when their connection is about to close. */
 export class OpenAnswers {
-  readonly #open = new Map<Duplex, Set<ServerResponse>>();
+  readonly #bySocket = new Map<Duplex, Set<ServerResponse>>();
 
-  /** Adds an answer until it closes. */
+  /** Tracks a response until it closes. */
   add({ socket, httpVersion }: IncomingMessage, res: ServerResponse): void {
-    let answers = this.#open.get(socket);
+    let answers = this.#bySocket.get(socket);
     if (!answers) {
       answers = new Set();
-      this.#open.set(socket, answers);
-      socket.once('close', () => this.#open.delete(socket));
-      // Node closes the connection in order when the caller half-closes it, which HTTP/1.0 callers
-      // take for the end of the answer.
+      this.#bySocket.set(socket, answers);
+      socket.once('close', () => this.#bySocket.delete(socket));
+      // Node closes the connection gracefully when the caller half-closes it, which HTTP/1.0
+      // callers take for the end of the response.
       if (httpVersion === '1.0') socket.prependListener('end', () => this.cutOn(socket));
     }
     answers.add(res);
-    res.once('close', () => this.#open.get(socket)?.delete(res));
+    res.once('close', () => this.#bySocket.get(socket)?.delete(res));
   }
 
-  /** Cuts off the answers on a connection; false if there are none. */
+  /** Aborts the responses in progress on a connection; false if there are none. */
   cutOn(socket: Duplex): boolean {
-    const answers = [...(this.#open.get(socket) ?? [])];
+    const answers = [...(this.#bySocket.get(socket) ?? [])];
     answers.forEach(cutOff);
     return answers.length > 0;
   }
 
+  /** Aborts all responses in progress. */
   cutAll(): void {
-    [...this.#open.keys()].forEach((socket) => this.cutOn(socket));
+    [...this.#bySocket.keys()].forEach((socket) => this.cutOn(socket));
   }
 }
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -1,34 +1,35 @@
-/** A clock that goes on while the VM is suspended. */
+/** A monotonic clock that includes the time during which the VM is suspended. */
 
-/** By how much the time of day may get ahead of the steady clock between two readings without a suspension, in milliseconds: it is slewed by some parts in a thousand. */
-const SLEW_MS = 50;
+/** Advance of the wall clock over the monotonic clock between two readings, in milliseconds, up to which no suspension is assumed. The wall clock may be slewed by a few parts per thousand. */
+const MAX_SLEW_MS = 50;
 
-/** A steady clock that is put forward by what it missed. */
+/** Adds the time of suspensions to a monotonic clock that stops during them. */
 export class BootClock {
-  #missedMs = 0;
+  #suspendedMs = 0;
 
   #aheadMs: number | undefined;
 
   /**
-   * @param steadyMs steady time, which stands still while the VM is suspended
-   * @param wallMs time of day, which goes on; a step of it forward is taken for a suspension, one back for none
+   * Time including suspensions, in milliseconds.
+   * @param steadyMs monotonic time, which stops while the VM is suspended, in milliseconds
+   * @param wallMs wall-clock time, which continues, in milliseconds; a step forward is taken for a suspension, a step back is ignored
    */
   read(steadyMs: number, wallMs: number): number {
     const aheadMs = wallMs - steadyMs;
-    const leapMs = aheadMs - (this.#aheadMs ?? aheadMs);
-    if (leapMs > SLEW_MS) this.#missedMs += leapMs;
+    const stepMs = aheadMs - (this.#aheadMs ?? aheadMs);
+    if (stepMs > MAX_SLEW_MS) this.#suspendedMs += stepMs;
     this.#aheadMs = aheadMs;
-    return steadyMs + this.#missedMs;
+    return steadyMs + this.#suspendedMs;
   }
 }
 
 const clock = new BootClock();
 
 /**
- * Milliseconds on a steady clock that never goes slower than time. `performance.now`
- * stands still while the VM is suspended: by it, what a VM had proved before it was
- * suspended looked as young as ever after it. Where the time of day steps forward,
- * proofs look older than they are until the next ones, which costs little.
+ * Monotonic time that never runs slower than real time, in milliseconds. `performance.now`
+ * stops while the VM is suspended, so a freshness confirmation from before the suspension
+ * would look recent afterwards. If the wall clock steps forward, confirmations look older
+ * than they are until the next ones, which costs little.
  */
 export function bootNow(): number {
   return clock.read(performance.now(), Date.now());
--- a/src/utils/events.ts
+++ b/src/utils/events.ts
@@ -1,9 +1,9 @@
-/** Server-sent events over Node's http. */
+/** Client for server-sent events over Node's http. */
 
 import type { Agent, IncomingMessage, OutgoingHttpHeaders } from 'node:http';
 import { request } from 'node:http';
 
-/** What to ask for. */
+/** A request for an event stream. */
 export interface EventRequest {
   readonly method: string;
   readonly url: string;
@@ -13,12 +13,12 @@
   readonly signal: AbortSignal;
 }
 
-/** Data of the line that ends a whole answer. */
+/** Data of the event that marks the end of a complete stream. */
 export const END_OF_EVENTS = '[DONE]';
 
-const DATA = 'data: ';
+const DATA_PREFIX = 'data: ';
 
-/** Sends a request and gives the answer as soon as its header is there. */
+/** Sends a request and resolves with the response once its headers have arrived. */
 export function openStream({
   method,
   url,
@@ -34,16 +34,16 @@
   });
 }
 
-/** Data lines of a stream; an `event: error` ends it with that event as the error. */
+/** Yields the data of each event of a stream; throws on an `event: error`, with that event as the message. */
 export async function* readEvents(stream: IncomingMessage): AsyncGenerator<string> {
   stream.setEncoding('utf8');
-  let rest = '';
+  let pending = '';
   for await (const chunk of stream) {
-    const events = (rest + String(chunk)).split('\n\n');
-    rest = events.pop() ?? '';
+    const events = (pending + String(chunk)).split('\n\n');
+    pending = events.pop() ?? '';
     for (const event of events) {
       if (event.startsWith('event: error')) throw new Error(event);
-      if (event.startsWith(DATA)) yield event.slice(DATA.length);
+      if (event.startsWith(DATA_PREFIX)) yield event.slice(DATA_PREFIX.length);
     }
   }
 }
--- a/src/utils/http.ts
+++ b/src/utils/http.ts
@@ -1,4 +1,4 @@
-/** Small helpers around Node's http, without state. */
+/** Stateless helpers around Node's http. */
 
 import type {
   ClientRequest,
@@ -12,29 +12,29 @@
 
 import { Failure } from '../core/failure';
 
-/** Whether nothing listens where a connection was asked for: nothing was sent. */
+/** Whether a connection was refused, so that nothing was sent. */
 export function isRefusedConnect(error: Error): boolean {
   return (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 }
 
 /**
- * Makes a reset fail an answer whose end is the close of its connection; Node reports it as
- * a regular end. Call this when the answer's head arrives.
+ * Makes a connection reset fail a response that ends with the close of its connection; Node
+ * reports the reset as a regular end. Call this when the headers of the response arrive.
  */
 export function failOnReset(req: ClientRequest, message: IncomingMessage): void {
   req.on('error', (error) => message.destroy(error));
   const { socket } = message;
-  // A reset that arrives together with the last bytes is emitted as `end`, not as `error`, but a
-  // connection that was reset has no peer address any more.
+  // A reset that arrives together with the last bytes is emitted as `end`, not as `error`, but the
+  // socket has no remote address after a reset.
   const onEnd = (): void => {
-    if (socket.remoteAddress === undefined) message.destroy(new Error('reset by the other side'));
+    if (socket.remoteAddress === undefined) message.destroy(new Error('connection reset by peer'));
   };
   socket.prependListener('end', onEnd);
   // The connection may serve other requests after this one.
   message.once('close', () => socket.off('end', onEnd));
 }
 
-/** What to send. */
+/** Options of a call. */
 export interface CallOptions {
   readonly method: string;
   readonly url: string;
@@ -42,20 +42,20 @@
   readonly headers?: OutgoingHttpHeaders;
   /** Pool of connections to use. Default: Node's global one. */
   readonly agent?: Agent;
-  /** Time until the whole answer must be there, in milliseconds. */
+  /** Time within which the whole response must arrive, in milliseconds. */
   readonly timeoutMs: number;
-  /** Ends the call early. Default: never. */
+  /** Aborts the call. Default: none. */
   readonly signal?: AbortSignal;
 }
 
-/** An answer read to its end. */
+/** A complete response. */
 export interface Answer {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
 }
 
-/** Reads a body up to a limit in bytes; over it, a `bodyTooLarge` failure is thrown. */
+/** Reads a whole body; throws `bodyTooLarge` if it is larger than a limit in bytes. */
 export async function readBody(message: IncomingMessage, limit: number): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -69,17 +69,17 @@
   return Buffer.concat(chunks);
 }
 
-/** Largest answer read whole, in bytes. */
-const ANSWER_LIMIT = 16 * 1024 * 1024;
+/** Maximum size of a response to `call`, in bytes. */
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-/** Makes one call and reads the whole answer; rejects on a broken connection or when time is up. */
+/** Makes one call and reads the whole response; rejects on a connection error, a timeout or an abort. */
 export function call(options: CallOptions): Promise<Answer> {
   const { method, url, body, headers, agent, timeoutMs, signal } = options;
   const limit = AbortSignal.timeout(timeoutMs);
   const stop = signal ? AbortSignal.any([signal, limit]) : limit;
   return new Promise((resolve, reject) => {
     const req = request(url, { method, headers: headers ?? {}, agent, signal: stop }, (res) => {
-      readBody(res, ANSWER_LIMIT)
+      readBody(res, MAX_RESPONSE_BYTES)
         .then((text) =>
           resolve({ status: res.statusCode ?? 0, headers: res.headers, body: text.toString() }),
         )
@@ -90,7 +90,7 @@
   });
 }
 
-/** Answers with JSON; does nothing if the caller is gone. */
+/** Responds with JSON; does nothing if a response was started or the caller has disconnected. */
 export function sendJson(
   res: ServerResponse,
   status: number,
@@ -102,7 +102,7 @@
   res.end(`${JSON.stringify(value)}\n`);
 }
 
-/** What a failure looks like on the wire. */
+/** Body of an error response. */
 export interface ErrorBody {
   readonly error: {
     readonly code: number;
@@ -115,7 +115,10 @@
   };
 }
 
-/** Turns a failure into its body. `notRun` may be weaker than the code's own. */
+/**
+ * The response body for a failure.
+ * @param notRun whether no runner executed the request; may be false although the code's own value is true
+ */
 export function errorBody(failure: Failure, notRun = failure.code.notRun): ErrorBody {
   const { code, codeName, message, retryAfterMs } = failure;
   return {
@@ -131,8 +134,8 @@
 }
 
 /**
- * Aborts an answer of which a part was sent, so that it does not look complete. HTTP/1.0
- * callers take the close of the connection for its end, so theirs is reset.
+ * Aborts a response that was partly sent, so that it does not look complete. HTTP/1.0 callers
+ * take a regular close of the connection for the end of the response, so theirs is reset.
  */
 export function cutOff(res: ServerResponse): void {
   if (res.req.httpVersion === '1.0') res.socket?.resetAndDestroy();
@@ -140,9 +143,9 @@
 }
 
 /**
- * Answers with a failure and, where known, when to come back. Once a part of an
- * answer is out, cutting the connection is the only way left to say that the
- * rest will not come; left open, the caller would wait for ever.
+ * Responds with a failure and, if known, the time to retry after. Once a response was partly
+ * sent, it is aborted instead: that is the only way left to signal the failure, and a caller
+ * on an open connection would wait forever.
  */
 export function sendFailure(
   res: ServerResponse,
@@ -159,7 +162,7 @@
   sendJson(res, failure.code.http, errorBody(failure, notRun), headers);
 }
 
-/** Starts a server on `HOST:PORT`. */
+/** Starts a server on `HOST:PORT`; resolves once it listens. */
 export function listenOn(server: Server, address: string): Promise<void> {
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('the command line', () => {
-  test('tells each mistake in one numbered line and exits with 2', async () => {
+  test('reports each usage error in one line with a code and exits with 2', async () => {
     const runs = await Promise.all([
       run(),
       run('frobnicate'),
--- a/test/core/clock.test.ts
+++ b/test/core/clock.test.ts
@@ -1,19 +1,19 @@
 import { BootClock } from '../../src/utils/clock';
 
 /*
- * A VM is suspended for eight seconds. Its steady clock stands still meanwhile, and by
- * it what the VM had proved looks as young as before: it went on to run requests under
- * keys that had been taken away long ago.
+ * A VM is suspended for eight seconds, during which its monotonic clock stops. Measured
+ * with that clock, its last freshness confirmation still looked recent, and the VM kept
+ * running requests with keys that had been revoked long before.
  */
-test('a clock goes on while the VM is suspended', () => {
+test('the clock includes the time of a suspension', () => {
   const clock = new BootClock();
   clock.read(1000, 501_000);
   expect(clock.read(1200, 501_200)).toBe(1200);
   expect(clock.read(1210, 509_210)).toBe(9210);
 });
 
-/* The time of day is set back and forth by seconds; the clock must never go back or slow down by that. */
-test('a clock goes no slower than time, whatever the time of day does', () => {
+/* The wall clock is set back and forth by seconds; the clock must never go back or run slower than real time because of it. */
+test('the clock never runs slower than real time, whatever the wall clock does', () => {
   const clock = new BootClock();
   const read = [
     [0, 10_000],
--- a/test/platform/era.test.ts
+++ b/test/platform/era.test.ts
@@ -4,7 +4,7 @@
 import { EraReader } from '../../src/platform/era';
 import { at } from '../fakes/position';
 
-/** Reads eras and keeps the lines that are logged about them. */
+/** An era reader together with the messages that it logs. */
 class Readings {
   readonly history = new History();
 
@@ -31,17 +31,17 @@
 }
 
 describe('the era of an answer', () => {
-  test('grows, and is 0 of a store that tells none', () => {
+  test('increases, and is 0 if the store sends none', () => {
     const readings = new Readings();
     expect([undefined, '3', '3', '5'].map((text) => readings.read(text))).toEqual([0, 3, 3, 5]);
     expect(readings.lines).toEqual([]);
   });
 
   /*
-   * Something between the VMs and the store drops the header, or writes to it. What the
-   * store holds is still read, whole each time, and the log has one line for each change.
+   * Guards against a proxy between the VMs and the store that drops or changes the header.
+   * Entries are still read, all of them each time, and each different value is logged once.
    */
-  test('is not known if it is missing or no number, and what was known stays', () => {
+  test('is undefined if it is missing or not a number, and the latest known era stays', () => {
     const readings = new Readings();
     const texts = ['4', undefined, undefined, 'four', '-1', '4.5', '9999999999', '4', undefined];
     expect(texts.map((text) => readings.read(text))).toEqual([
@@ -68,8 +68,8 @@
     `);
   });
 
-  /* An answer that was on its way while the store came back tells what was lost since. */
-  test('must not be an earlier one than any VM saw', () => {
+  /* A response that was in flight while the store was restored from an older copy has state that no longer exists. */
+  test('must not be earlier than the latest era seen by any VM', () => {
     const readings = new Readings();
     readings.read('4');
     readings.history.learn([at(9, 6)]);
--- a/test/platform/facts.test.ts
+++ b/test/platform/facts.test.ts
@@ -1,7 +1,7 @@
 import { decodeConfig, decodeRunner } from '../../src/platform/facts';
 import { entryOf } from '../fakes/entry';
 
-/** What a change of a whole entry is read as: its error, or what it says of the runner. */
+/** The error for a valid entry with changed fields, or the decoded fields of the runner. */
 function read(change: Readonly<Record<string, unknown>>): unknown {
   try {
     const { id, bornAt, role, leaving } = decodeRunner('i-1', JSON.stringify(entryOf(change)));
@@ -12,7 +12,7 @@
 }
 
 describe('the entry of a runner', () => {
-  test('names one start of it', () => {
+  test('identifies one instance of the runner', () => {
     expect(read({ born: 1_700_000_000_123, stage: 'decode', state: 'draining' })).toEqual({
       id: 'i-1@1700000000123',
       bornAt: 1_700_000_000_123,
@@ -23,10 +23,10 @@
   });
 
   /*
-   * Entries of another writer lie beside those of runners. Taken for a runner, one
-   * would be sent requests of callers, or count as memory that is not there.
+   * Guards against entries of another writer under the runners' prefix. Accepted as a
+   * runner, such an entry would get requests of callers, or add memory that does not exist.
    */
-  test('names no runner if a field is missing, of another type or unknown', () => {
+  test('is rejected if a field is missing, or has a wrong type or an unknown value', () => {
     const fields = Object.keys(entryOf());
     const missing = fields.map((field) => read({ [field]: undefined }));
     expect(missing.filter((found) => typeof found !== 'string')).toEqual([]);
@@ -49,9 +49,9 @@
      [
        "runner i-1: at service: Too small: expected string to have >=1 characters",
        "runner i-1: at service: Invalid input: expected string, received number",
-       "runner i-1: at address: no IPV4:PORT",
-       "runner i-1: at address: no IPV4:PORT",
-       "runner i-1: at address: no IPV4:PORT",
+       "runner i-1: at address: expected IPV4:PORT",
+       "runner i-1: at address: expected IPV4:PORT",
+       "runner i-1: at address: expected IPV4:PORT",
        "runner i-1: at slots: Too small: expected number to be >=1",
        "runner i-1: at slots: Invalid input: expected number, received string",
        "runner i-1: at state: Invalid option: expected one of "ready"|"draining"",
@@ -64,12 +64,12 @@
     `);
   });
 
-  test.each(['', '[]', 'null', '{"service":', '"text"'])('names no runner in %j', (text) => {
+  test.each(['', '[]', 'null', '{"service":', '"text"'])('is rejected for %j', (text) => {
     expect(() => decodeRunner('i-1', text)).toThrow('runner i-1');
   });
 });
 
-/** What a customer of the configuration, changed, is read as: its error, or the customer. */
+/** The error for a configuration whose customer has changed fields, or the decoded customer. */
 function readCustomer(change: Readonly<Record<string, unknown>>): unknown {
   const entry = { name: 'ada', 'api-keys': ['key-1'], ...change };
   const text = JSON.stringify({ version: 1, routes: [], services: [], tenants: [entry] });
@@ -81,7 +81,7 @@
 }
 
 describe('the customers of a configuration', () => {
-  test('have digests in place of keys, and a quota only where they have a rate', () => {
+  test('have digests instead of keys, and a quota only if they have a rate', () => {
     const whole = {
       priority: 1,
       unit: 'tokens',
@@ -113,14 +113,14 @@
     `);
   });
 
-  test('are asked for where the configuration names them, were it none at all', () => {
+  test('are defined if the configuration has a list of them, even an empty one', () => {
     const decode = (rest: object): unknown =>
       decodeConfig(JSON.stringify({ version: 1, routes: [], services: [], ...rest })).customers;
     expect([decode({}), decode({ tenants: [] })]).toEqual([undefined, []]);
   });
 
-  /* Read by halves, it would let in more than the operator allowed, or less. */
-  test('make the configuration unreadable if one of them is unfit', () => {
+  /* A partly applied list would admit more or less than the operator allowed. */
+  test('make the configuration unreadable if one of them is invalid', () => {
     const changes = [
       { name: undefined },
       { name: '' },
@@ -148,6 +148,6 @@
      ]
     `);
     const twice = { version: 1, routes: [], services: [], tenants: [{ name: 'a' }, { name: 'a' }] };
-    expect(() => decodeConfig(JSON.stringify(twice))).toThrow('a name twice');
+    expect(() => decodeConfig(JSON.stringify(twice))).toThrow('found a duplicate name');
   });
 });
--- a/test/platform/holders.test.ts
+++ b/test/platform/holders.test.ts
@@ -5,7 +5,7 @@
 import type { StoreCopy } from '../fakes/store';
 import { FakeStore, clientOf } from '../fakes/store';
 
-/** What happens to the right to give orders. */
+/** One event in the life of the lock; `return` restores the store from a copy. */
 type Step =
   | { readonly kind: 'acquire' | 'release'; readonly vm: number }
   | { readonly kind: 'lapse' }
@@ -25,11 +25,11 @@
   },
 );
 
-/** VMs that take the right by turns from a store that comes back from copies. */
+/** VMs that compete for the lock in a store that is restored from older copies. */
 class Holders {
   readonly store = new FakeStore();
 
-  /** Fences in the order in which the right was taken. */
+  /** Fences in the order in which the lock was acquired. */
   readonly fences: number[] = [];
 
   #locks: readonly StoreLock[] = [];
@@ -59,7 +59,7 @@
     }
   }
 
-  /** VMs that would give an order now. */
+  /** Number of VMs whose lock can be renewed, and which would thus give orders now. */
   async renewed(): Promise<number> {
     const outcomes = await Promise.all([...this.#rights.values()].map((right) => right.renew()));
     return outcomes.filter(Boolean).length;
@@ -78,11 +78,11 @@
   }
 }
 
-describe('the right to give orders, over returns of the store from older copies', () => {
+describe('the lock for orders when the store is restored from older copies', () => {
   /*
-   * Leases lapse, holders change, and the store comes back from copies in which an earlier
-   * holder still stands, or a lease's number is given out again. Runners must never hear
-   * two holders by turns, nor a holder with a lower fence than the one before.
+   * Leases expire, holders change, and the store is restored from copies that still have an
+   * earlier holder, or issues the id of a lease again. Runners must never get orders from two
+   * holders alternately, nor from a holder with a lower fence than the one before.
    */
   test('has one holder at a time, each with a higher fence than any before', async () => {
     await fc.assert(
--- a/test/platform/olderstore.test.ts
+++ b/test/platform/olderstore.test.ts
@@ -11,7 +11,7 @@
 
 const log = pino({ level: 'silent' });
 
-/** A VM that reads a store, and what it knows from it. */
+/** A VM that reads the store, with the state that it builds from it. */
 class Reader {
   readonly #history = new History();
 
@@ -57,7 +57,7 @@
   }
 }
 
-describe('a store that comes back from an older copy', () => {
+describe('a store that is restored from an older copy', () => {
   let store: FakeStore;
   let reader: Reader;
   const put = (id: string, change: Readonly<Record<string, unknown>> = {}): void =>
@@ -79,14 +79,15 @@
   });
 
   /*
-   * The copy is a second old, and others write at once, so that it has passed the revision
-   * that this VM watched from before the watch is made again: no 410 tells of the change.
-   * A runner that came meanwhile was never seen, and one that said it leaves got work on.
+   * The copy is one second old and others write at once, so the store passes the revision
+   * that this VM watches from before its next watch, and the watch does not fail with 410.
+   * Guards against missed changes: a runner that registered in between was never seen, and
+   * one that announced that it is leaving still got requests.
    */
-  test('is read whole, though it has passed the revision that was watched from', async () => {
+  test('is read completely, although it has passed the revision that was watched from', async () => {
     const copy = store.copy();
     put('z');
-    // Its watch has just been answered, and the next one comes a moment later.
+    // The watch has just been answered, and the next one starts only after the minimum interval.
     await reader.sees('a', 'b', 'c', 'z');
     store.comeBack(copy);
     put('d');
@@ -97,12 +98,13 @@
   }, 15_000);
 
   /*
-   * Since the copy was made, runner a said that it leaves, b was removed, and d came. The
-   * copy has a and b as they were and lacks d. What was acknowledged as leaving gets no
-   * work; d is living, and refused at once, every request for it would be; e is not
-   * written again, and is gone after the time in which the living are.
+   * After the copy was made, runner a announced that it is leaving, b was removed, and d and e
+   * registered. The copy has a and b in their old state and lacks d and e. Runner a must get no
+   * requests, because its leaving was acknowledged. Runner d is alive and must stay in use, or
+   * requests for it would be rejected. Runner e does not write its entry again, and is
+   * dropped after the time within which running ones do.
    */
-  test('brings back no runner that had left, and takes none that lives', async () => {
+  test('restores no runner that had left, and removes none that is alive', async () => {
     const copy = store.copy();
     put('a', { state: 'draining' });
     store.remove('servers/b');
@@ -124,10 +126,10 @@
   }, 15_000);
 
   /*
-   * The header is lost on the way. Each answer is read whole from then on, so that nothing
-   * is missed, and what was known stays in force.
+   * The era header gets lost on the way. All entries are then read each time, so that no
+   * change is missed, and the known state stays in force.
    */
-  test('is read whole each time while its answers name no era', async () => {
+  test('is read completely each time while its responses have no era', async () => {
     store.era = undefined;
     put('d');
     await reader.sees('a', 'b', 'c', 'd');
@@ -141,11 +143,11 @@
   }, 15_000);
 
   /*
-   * The right to give orders was taken after the copy was made, so that the copy knows
-   * nothing of it. The next holder's fence came from a revision that was given out before:
-   * runners that check fences refuse its orders, and others obey two holders under one.
+   * The lock was acquired after the copy was made, so the copy lacks it. Guards against a
+   * fence for the next holder that comes from a revision issued before: runners that check
+   * fences would reject its orders, and others would accept two holders with the same fence.
    */
-  test('gives the next holder of orders a higher fence than any before', async () => {
+  test('gives the next lock holder a higher fence than any before', async () => {
     const copy = store.copy();
     for (let i = 0; i < 20; i += 1) put('a');
     const first = await new StoreLock(clientOf(store), 'vm1').acquire();
--- a/test/platform/orders.test.ts
+++ b/test/platform/orders.test.ts
@@ -6,13 +6,13 @@
 
 interface Stand {
   readonly report: unknown;
-  /** The start that it is listed with, in Unix milliseconds. Default: none is told. */
+  /** Start time in the runner's entry, in Unix milliseconds. Default: none. */
   readonly bornAt?: number;
-  /** How the runner treats an order. */
+  /** How the runner responds to an order. */
   readonly onOrder: (res: ServerResponse) => void;
 }
 
-/** Gives one order to a stand-in and tells how it was taken and what the runner got. */
+/** Sends one order to a fake runner; returns the outcome and what the runner received. */
 async function orderTo({
   report,
   onOrder,
@@ -38,11 +38,11 @@
 
 describe('an order to a runner', () => {
   /*
-   * An order gets no answer and is carried out seconds later, after a newer one,
-   * or at a runner that was started anew. It names the orders accepted so far and
-   * the very start of the runner, so that it then changes nothing.
+   * Guards against an order that gets no response and is executed seconds later, after a
+   * newer one or by a runner that was restarted. It contains the number of orders accepted
+   * so far and the instance of the runner, so that it then has no effect.
    */
-  test('names the state that it was given for', async () => {
+  test('contains the state of the runner that it was decided on', async () => {
     const { outcome, got } = await orderTo({
       report: { sequence: 2, busy: false },
       onOrder: (res) => sendJson(res, 202, {}),
@@ -62,7 +62,7 @@
     ]);
   });
 
-  test('is not given to a runner that carries one out', async () => {
+  test('is not sent to a runner that is executing one', async () => {
     const { outcome, got } = await orderTo({
       report: { sequence: 2, busy: true },
       onOrder: (res) => sendJson(res, 202, {}),
@@ -70,8 +70,8 @@
     expect([outcome, got]).toEqual(['rejected', []]);
   });
 
-  /* The runner started anew under its id: its stage is another one, and it accepted no order of this holder. */
-  test('is not given to another start of the runner', async () => {
+  /* The runner restarted with the same id: it may have another stage, and has accepted no order of this holder. */
+  test('is not sent to another instance of the runner', async () => {
     const { outcome, got } = await orderTo({
       bornAt: 1_600_000_000_000,
       report: { sequence: 0, busy: false, born: 1_700_000_000_000 },
@@ -88,8 +88,8 @@
     expect(outcome).toBe('rejected');
   });
 
-  /* Without an answer the order may still be carried out: it counts neither as given nor as not given. */
-  test('is unknown when its answer is lost', async () => {
+  /* Without a response the order may still be executed, so it counts neither as accepted nor as rejected. */
+  test('has an unknown outcome when the response is lost', async () => {
     const { outcome } = await orderTo({
       report: { sequence: 2 },
       onOrder: (res) => res.destroy(),
--- a/test/platform/ratelimit.test.ts
+++ b/test/platform/ratelimit.test.ts
@@ -5,24 +5,24 @@
 const noticeOf = (value: string | undefined): unknown =>
   rateNoticeOf({ headers: { 'server-limit': value } } as unknown as IncomingMessage);
 
-describe('the rate limit in an answer', () => {
+describe('the rate limit in a response', () => {
   test.each([
     ['1.4', 1.4],
     ['0', 0],
     ['0.01', 0.01],
     [' 25 ', 25],
     ['.5', 0.5],
-  ])('is read: %j', (value, ratePerS) => {
+  ])('is decoded: %j', (value, ratePerS) => {
     expect(noticeOf(value)).toEqual({ kind: 'limited', ratePerS });
   });
 
-  test('is none where the header is missing', () => {
+  test('is none if the header is missing', () => {
     expect(noticeOf(undefined)).toEqual({ kind: 'none' });
   });
 
-  /* Node joins a header that is there twice with a comma. */
+  /* Node joins a header that occurs twice with a comma. */
   test.each(['', '-1', '1e3', 'Infinity', 'NaN', '1.4, 2', '1,4', '0x10', '9'.repeat(400)])(
-    'is unreadable where the value is no decimal number: %j',
+    'is unreadable if the value is not a decimal number: %j',
     (value) => {
       expect(noticeOf(value)).toEqual({ kind: 'unreadable', text: value.slice(0, 40) });
     },
--- a/test/platform/runner.test.ts
+++ b/test/platform/runner.test.ts
@@ -8,7 +8,7 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Signature: s\r\n';
 
-/** A runner that treats each connection as told. */
+/** A fake runner that answers the first data of each connection with a callback. */
 async function runnerOf(answer: (socket: Socket) => void): Promise<Server> {
   const server = createServer((socket) => {
     socket.on('error', () => {});
@@ -51,7 +51,7 @@
   };
 }
 
-/** Sends one request and tells whether its answer came whole. */
+/** Sends one request; returns whether the response was complete, and its body. */
 async function outcomeOf(answer: (socket: Socket) => void): Promise<string> {
   const server = await runnerOf(answer);
   try {
@@ -65,17 +65,17 @@
   }
 }
 
-describe('an answer that ends with its connection', () => {
-  test('is whole when the connection is closed in order', async () => {
+describe('a response that ends with its connection', () => {
+  test('is complete when the connection is closed gracefully', async () => {
     expect(await outcomeOf((socket) => socket.end(`${HEAD}\r\nbytes`))).toBe('whole bytes');
   });
 
   /*
-   * The answer has no length, so its end is the end of the connection. The runner
-   * crashes half-way and the connection is reset. Taken for an end, the caller
-   * would get half an answer that looks complete.
+   * The response has no length, so it ends with the connection. The runner crashes
+   * half-way and the connection is reset. Taken for a regular end, the caller would get
+   * half a response that looks complete.
    */
-  test('is broken when the connection is reset', async () => {
+  test('fails when the connection is reset', async () => {
     const outcome = await outcomeOf((socket) => {
       socket.write(`${HEAD}\r\nby`);
       setTimeout(() => socket.resetAndDestroy(), 20);
@@ -83,8 +83,8 @@
     expect(outcome).toMatch(/^failed/);
   });
 
-  /* The same, but the reset arrives together with the last bytes: Node then reports an end in order instead of the reset. */
-  test('is broken when bytes and reset arrive together', async () => {
+  /* The same with a reset that arrives together with the last bytes: Node then reports a regular end instead of the reset. */
+  test('fails when bytes and the reset arrive together', async () => {
     const outcome = await outcomeOf((socket) => {
       socket.write(`${HEAD}\r\nby`, () => socket.resetAndDestroy());
     });
@@ -92,7 +92,7 @@
   });
 });
 
-describe('the head of an answer', () => {
+describe('the headers of a response', () => {
   const headOf = async (fields: string): Promise<unknown> => {
     const server = await runnerOf((socket) => socket.end(`${HEAD}${fields}\r\n`));
     const { framing, isEvents, body } = await new PlatformRunnerClient().send(dispatchTo(server));
@@ -101,7 +101,7 @@
     return { framing, isEvents };
   };
 
-  test('says what tells its end and whether it has events', async () => {
+  test('determine its framing and whether it is an event stream', async () => {
     const heads = [
       'Content-Length: 0\r\nContent-Type: application/json\r\n',
       'Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n',
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -27,7 +27,7 @@
 };
 
 describe("the platform's settings file", () => {
-  test('is resolved into settings of the router; fields that are not known are passed over', () => {
+  test('is converted to settings of the router; unknown fields are ignored', () => {
     const { router, store } = resolveSettings(JSON.stringify(file), 'boot.json');
     expect({ ...router, peerKey: router.peerKey.length, store }).toMatchInlineSnapshot(`
      {
@@ -75,14 +75,14 @@
     `);
   });
 
-  /* Work between the look at the clock and the send must not bring a key beyond its time. */
-  test('has keys stop counting before they must, where they must', () => {
+  /* A key must not be used after it was revoked because of work between the check of the clock and the send. */
+  test('makes keys expire early if revocation is strict', () => {
     const bounds = { ...file.bounds, 'strict-revoke': true, 'revoke-ms': 4000 };
     const { router } = resolveSettings(JSON.stringify({ ...file, bounds }), 'boot.json');
     expect(router.ages).toEqual({ finalMs: 2000, keyMs: 3700 });
   });
 
-  test('with a wrong field is refused with its name, what was found and a number', () => {
+  test('with an invalid field is rejected with its name and a code', () => {
     const wrong = { ...file, listen: { front: 'nowhere' } };
     expect(() => resolveSettings(JSON.stringify(wrong), 'boot.json')).toThrow(
       expect.objectContaining({
@@ -92,7 +92,7 @@
     );
   });
 
-  test('that is not JSON is refused with the place', () => {
+  test('that is not JSON is rejected', () => {
     expect(() => resolveSettings('{"ip": ', 'boot.json')).toThrow(
       expect.objectContaining({ codeName: 'fileMalformed' }),
     );
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -16,7 +16,7 @@
 const config = (version: number): unknown => ({ version, routes: [], services: [] });
 const runner = (state: string): unknown => entryOf({ state });
 
-/** Collects what a feed tells. */
+/** Records the calls of a feed. */
 class Listener implements FeedListener {
   readonly versions: number[] = [];
 
@@ -72,7 +72,7 @@
     feed = new StoreFeed(client, { vm: 'vm1', address: '10.0.0.9:1' }, history, log);
     feed.start(listener);
     feed.setReading(true);
-    await eventually('all is read', () => listener.listed.length > 0);
+    await eventually('all entries are read', () => listener.listed.length > 0);
   });
 
   afterEach(() => {
@@ -80,47 +80,49 @@
     store.stop();
   });
 
-  /* A configuration that cannot be read must not take the last one out of force, nor fill the log each time that it is seen. */
-  test('complains once of a configuration that it cannot read, and goes on', async () => {
+  /* A configuration that cannot be decoded must not replace the last valid one, nor be logged each time that it is read. */
+  test('logs a configuration that it cannot decode once, and continues', async () => {
     const wrong = { ...(config(9) as object), tenants: [{ name: 'ada', 'rate-per-s': -1 }] };
     store.put('op/config', wrong);
     store.put('servers/i-1', runner('draining'));
-    await eventually('the change after it is told', () => listener.runners.includes('i-1 leaving'));
+    await eventually('the change after it is reported', () =>
+      listener.runners.includes('i-1 leaving'),
+    );
     store.put('servers/i-2', runner('draining'));
     store.compact();
-    await eventually('all is read again', () => listener.listed.length > 1);
+    await eventually('all entries are read again', () => listener.listed.length > 1);
     store.put('op/config', config(11));
-    await eventually('the next one is told', () => listener.versions.includes(11));
+    await eventually('the next configuration is reported', () => listener.versions.includes(11));
     expect(listener.versions).toEqual([3, 11]);
     expect(lines.filter((line) => line.includes('[503]'))).toHaveLength(1);
   });
 
-  test('reads all pages, then changes as they come', async () => {
+  test('reads all pages, then changes as they occur', async () => {
     expect(listener.listed[0]).toEqual(['i-1', 'i-2', 'i-3', 'i-4']);
     store.put('op/config', config(9));
     store.put('servers/i-2', runner('draining'));
     store.remove('servers/i-3');
-    await eventually('changes are told', () => listener.runners.includes('i-3 gone'));
+    await eventually('changes are reported', () => listener.runners.includes('i-3 gone'));
     expect(listener.versions).toEqual([3, 9]);
     expect(listener.runners.slice(4)).toEqual(['i-2 leaving', 'i-3 gone']);
   });
 
   /*
-   * The store falls silent while a watch waits and comes back with a newer
-   * configuration. A watch without a deadline of its own would hang for ever and
-   * the VM would go on with the old version.
+   * The store stops answering during a watch and recovers with a newer configuration.
+   * A watch without a timeout would hang forever, and the VM would keep using the old
+   * version.
    */
-  test('leaves a watch that hangs and reads everything again', async () => {
+  test('abandons a watch that hangs and reads all entries again', async () => {
     store.mood = 'silent';
-    await eventually('the silence is noticed', () => listener.store.at(-1) === false);
+    await eventually('the failure is detected', () => listener.store.at(-1) === false);
     store.mood = 'well';
     store.put('op/config', config(12));
     await eventually('it is read again', () => listener.versions.at(-1) === 12);
     expect(listener.store).toEqual([true, false, true]);
   }, 15_000);
 
-  /* The store forgets its history while runners leave: the watch gets 410, and only a full list shows who is gone. */
-  test('reads the full list when the history is gone', async () => {
+  /* The store discards its history while runners leave: the watch gets 410, and only a full list shows which ones are gone. */
+  test('reads the full list when the history was discarded', async () => {
     store.remove('servers/i-4');
     store.compact();
     await eventually('the list is read', () => listener.listed.length > 1);
@@ -128,23 +130,24 @@
   });
 
   /*
-   * Another writer has put something else where runners list themselves, over a
-   * listed runner too. Work sent to where it points would be lost; all others stay in use.
+   * Another writer has written under the prefix of the runners, and has overwritten the entry
+   * of a listed one. Requests sent to the address in it would be lost; all other runners
+   * stay in use.
    */
-  test('takes no runner from the entries of another writer', async () => {
+  test('accepts no runner from entries of another writer', async () => {
     store.put('servers/i-2', entryOf({ slots: '32' }));
     store.put('servers/i-9', Buffer.from([0xff, 0xfe, 0x00]));
-    await eventually('both are told', () => listener.runners.includes('i-9 unreadable'));
+    await eventually('both are reported', () => listener.runners.includes('i-9 unreadable'));
     expect(listener.runners.slice(4)).toEqual(['i-2 unreadable', 'i-9 unreadable']);
     expect(listener.store).toEqual([true]);
   });
 
   /*
-   * While a list of over five hundred entries is read page by page, a runner that
-   * was read leaves and one that is still to come is listed anew. Pages are no
-   * snapshot: what changed after the first of them comes with the watch after it.
+   * While a list of more than five hundred entries is read page by page, a runner on a page
+   * already read leaves, and another one is added. Pages are read at different revisions:
+   * the watch must start from the first page's revision to report what changed since.
    */
-  test('misses nothing that changes between the pages of a long list', async () => {
+  test('misses no change between the pages of a long list', async () => {
     const ids = Array.from({ length: 510 }, (_, i) => `j-${String(i).padStart(3, '0')}`);
     for (const id of ids) store.put(`servers/${id}`, runner('ready'));
     store.compact();
@@ -155,14 +158,14 @@
       store.put('servers/j-400', runner('draining'));
       store.put('servers/j-999', runner('ready'));
     };
-    await eventually('the removal is told', () => listener.runners.includes('j-000 gone'));
+    await eventually('the removal is reported', () => listener.runners.includes('j-000 gone'));
     expect(listener.runners).toContain('j-400 leaving');
     expect(listener.runners).toContain('j-999 ready');
     expect(listener.listed.at(-1)?.length).toBe(515);
   }, 20_000);
 
-  /* Others read for this VM from now on: its calls to the store end with the one under way, and begin again when it is told to. */
-  test('makes no call while others read', async () => {
+  /* Other VMs read the store instead: no call follows the one in progress until reading is turned on again. */
+  test('makes no call while reading is turned off', async () => {
     feed.setReading(false);
     store.put('op/config', config(4));
     await new Promise((resolve) => {
@@ -176,20 +179,20 @@
     expect(store.calls.length).toBe(calls);
     feed.setReading(true);
     await eventually('it is read again', () => listener.versions.at(-1) === 5);
-    // It is in the store from its first reading, and is not written again.
+    // This VM's entry was written after the first read, and is not written again.
     expect(store.calls.filter((path) => path === '/v1/kv-txn').length).toBe(1);
   }, 15_000);
 
-  /* One entry cannot be decoded. The others are told, and the last good one of it stays in force. */
-  test('passes over an entry that cannot be decoded', async () => {
+  /* One entry cannot be decoded. The others are reported, and its last valid value stays in force. */
+  test('ignores an entry that cannot be decoded', async () => {
     store.put('op/config', '{"version": 4');
     store.put('servers/i-1', runner('draining'));
-    await eventually('the other is told', () => listener.runners.includes('i-1 leaving'));
+    await eventually('the other entry is reported', () => listener.runners.includes('i-1 leaving'));
     expect(listener.versions).toEqual([3]);
   });
 });
 
-describe('the right to give orders', () => {
+describe('the lock for orders', () => {
   let store: FakeStore;
 
   beforeEach(async () => {
@@ -201,7 +204,7 @@
 
   const lockOf = (vm: string): StoreLock => new StoreLock(clientOf(store), vm);
 
-  test('is held by one VM, and its fence grows from holder to holder', async () => {
+  test('is held by one VM, and its fence increases with each holder', async () => {
     const first = await lockOf('vm1').acquire();
     expect(await lockOf('vm2').acquire()).toBeUndefined();
     await first?.release();
@@ -210,24 +213,24 @@
     expect(second?.fence).toBeGreaterThan(first?.fence ?? Infinity);
   });
 
-  /* The holder was suspended until its lease ran out and another VM took over. It must not give one more order. */
-  test('is lost when the lease has run out', async () => {
+  /* The holder was suspended until its lease expired and another VM took over. It must not give another order. */
+  test('is lost when the lease has expired', async () => {
     const right = await lockOf('vm1').acquire();
     expect(await right?.renew()).toBe(true);
     store.expire(store.leases[0] ?? 0);
     expect(await right?.renew()).toBe(false);
   });
 
-  /* The write took effect and its answer was lost: the VM does not know and must act as if it had failed. */
-  test('is not assumed when the answer of the write is lost', async () => {
+  /* The write was applied but its response was lost: the VM cannot know, and must act as if the write had failed. */
+  test('is not assumed to be held when the response to the write is lost', async () => {
     store.mood = 'deaf';
     await expect(lockOf('vm1').acquire()).rejects.toThrow();
   });
 });
 
 describe('a list of the store', () => {
-  // Guards against a part that is taken for the whole list: what it lacks would count as gone.
-  test('fails if a page without items says that more follow', async () => {
+  // Guards against a partial list that is taken for the whole one: entries missing from it would count as deleted.
+  test('fails if an empty page is marked as truncated', async () => {
     const { server, port } = await listen((_req, res) =>
       sendJson(res, 200, { items: [], truncated: true, 'as-of': 1 }),
     );
