--- a/src/node/gateway/plain.ts
+++ b/src/node/gateway/plain.ts
@@ -13,7 +13,7 @@
 import { PlainBalancer } from '../../core/plain/balancer';
 import { Quarantine } from '../../core/quarantine/quarantine';
 import type { PlainService, RunnerSettings } from '../../core/settings/schema';
-import { cutOff, failOnReset, isRefusedConnect, readBody } from '../../utils/http';
+import { abortResponse, failOnReset, isConnectionRefused, readBody } from '../../utils/http';
 import type { Metrics } from '../metrics';
 import type { Fleet } from './fleet';
 import type { LedgerClient, Ticket } from './ledger';
@@ -314,7 +314,7 @@
         resolve({ kind: 'answered', answer });
       });
       out.on('error', (error) => {
-        if (isRefusedConnect(error)) resolve({ kind: 'refused', leaving: false });
+        if (isConnectionRefused(error)) resolve({ kind: 'refused', leaving: false });
         else resolve({ kind: 'lost', error, brokeOff: !signal.aborted });
       });
       if (body === undefined) this.#streamBody(req, out);
@@ -341,7 +341,7 @@
     }
     res.writeHead(answer.statusCode ?? 502, passedOn(answer.headers));
     // The status is out: cutting the connection is the only way left to tell a part from the whole.
-    answer.once('error', () => cutOff(res));
+    answer.once('error', () => abortResponse(res));
     try {
       await pipeline(answer, res);
     } catch (error) {
--- a/src/node/router/front.ts
+++ b/src/node/router/front.ts
@@ -13,7 +13,7 @@
 import type { Route } from '../../core/routing/types';
 
 import { bootNow } from '../../utils/clock';
-import { OpenAnswers } from '../../utils/answers';
+import { OpenResponses } from '../../utils/responses';
 import { listenOn, readBody } from '../../utils/http';
 import { LineBudget } from '../budget';
 import type { Metrics } from '../metrics';
@@ -54,7 +54,7 @@
 
   readonly #lines: LineBudget;
 
-  readonly #answers = new OpenAnswers();
+  readonly #answers = new OpenResponses();
 
   #active = 0;
 
@@ -75,7 +75,7 @@
     this.#server.headersTimeout = HEADER_MS;
     this.#server.on('connection', (socket) => socket.setNoDelay(true));
     this.#server.on('clientError', (error, socket) => {
-      if (this.#answers.cutOn(socket)) socket.destroy();
+      if (this.#answers.abortOn(socket)) socket.destroy();
       else rejectMalformed(error, socket as Socket);
     });
   }
@@ -101,7 +101,7 @@
 
   /** Cuts off all answers in progress. */
   cutOff(): void {
-    this.#answers.cutAll();
+    this.#answers.abortAll();
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
--- a/src/node/router/metrics.ts
+++ b/src/node/router/metrics.ts
@@ -6,7 +6,7 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
 import { listenOn } from '../../utils/http';
-import { BELIEFS_PATH } from '../../types/beliefs';
+import { SNAPSHOT_PATH } from '../../types/snapshot';
 import type { Metrics } from '../metrics';
 
 /** Bounds of the latency histograms in seconds: from one round trip to the longest deadline. */
@@ -93,7 +93,7 @@
   /** Serves on an address: what the VM believes on one path, the metrics' text on all others. */
   listen(address: string, beliefs: () => unknown): Promise<void> {
     const server = createServer((req, res) => {
-      if (req.url === BELIEFS_PATH) {
+      if (req.url === SNAPSHOT_PATH) {
         const body = JSON.stringify(beliefs());
         res.writeHead(HTTP_OK, { 'content-type': 'application/json' }).end(body);
         return;
--- a/src/platform/feed.ts
+++ b/src/platform/feed.ts
@@ -13,7 +13,7 @@
 import type { History } from '../core/routing/position';
 import type { Feed, FeedListener } from '../node/router/types';
 import { bootNow } from '../utils/clock';
-import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './facts';
+import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './records';
 import { key } from './names';
 import type { Item, Snapshot, StoreClient } from './store';
 
--- a/src/platform/ingress.ts
+++ b/src/platform/ingress.ts
@@ -69,7 +69,7 @@
  * Raw headers that may be forwarded: without hop-by-hop headers, those listed in `connection`,
  * and those in `dropped`.
  */
-export function forwardable(
+export function forwardableHeaders(
   raw: readonly string[],
   connection: string | undefined,
   dropped: ReadonlySet<string>,
@@ -107,7 +107,7 @@
       host: (message.headers.host ?? '').replace(/:\d+$/, ''),
       method: message.method ?? 'GET',
       target: message.url ?? '/',
-      headers: forwardable(
+      headers: forwardableHeaders(
         message.rawHeaders,
         message.headers.connection,
         keyed ? droppedKeyedHeaders : droppedHeaders,
--- a/src/platform/lock.ts
+++ b/src/platform/lock.ts
@@ -28,7 +28,7 @@
     const { items } = await this.#store.range(key.orders);
     if (items.some((item) => item.key === key.orderHolder)) return undefined;
     const last = items.find((item) => item.key === key.orderLast);
-    const lease = await this.#store.grant(LEASE_TTL_MS);
+    const lease = await this.#store.grantLease(LEASE_TTL_MS);
     const mine = `${this.#vm} ${this.#store.era}`;
     const position = await this.#store.commit({
       expected: [
@@ -46,8 +46,8 @@
       fence: ordinalOf(position),
       fresh: this.#isFresh(last?.value, mine),
       // After a change of era the id of this lease may belong to another holder.
-      renew: async () => (await this.#store.keep(lease)) && this.#store.era === era,
-      release: () => this.#store.endLease(lease),
+      renew: async () => (await this.#store.renewLease(lease)) && this.#store.era === era,
+      release: () => this.#store.revokeLease(lease),
     };
   }
 
--- a/src/platform/run.ts
+++ b/src/platform/router.ts
@@ -20,7 +20,7 @@
  * Reads the settings file named by the environment variable `SETTINGS_VARIABLE`.
  * Throws `usage` if the variable is not set, or the failure of `loadSettings`.
  */
-export function settingsOfEnvironment(
+export function loadEnvironmentSettings(
   env: Readonly<Record<string, string | undefined>>,
 ): PlatformSettings {
   const file = env[SETTINGS_VARIABLE];
--- a/src/platform/runner.ts
+++ b/src/platform/runner.ts
@@ -19,7 +19,7 @@
   RunnerReport,
 } from '../node/router/types';
 import { call, failOnReset, readBody } from '../utils/http';
-import { forwardable } from './ingress';
+import { forwardableHeaders } from './ingress';
 import { header, path } from './names';
 import { rateNoticeOf } from './ratelimit';
 
@@ -178,7 +178,7 @@
   const headers = [...request.headers];
   const resumesStream = extra.includes(header.lastEvent);
   const forwarded = resumesStream
-    ? forwardable(headers, undefined, new Set([header.lastEvent]))
+    ? forwardableHeaders(headers, undefined, new Set([header.lastEvent]))
     : headers;
   const { length } = request.body;
   const hasLength = length > 0 || (request.method !== 'GET' && request.method !== 'HEAD');
@@ -259,7 +259,7 @@
     status,
     framing: framingOf(headers),
     isEvents: headers['content-type']?.startsWith(EVENT_STREAM) ?? false,
-    headers: forwardable(message.rawHeaders, headers.connection, noHeaders),
+    headers: forwardableHeaders(message.rawHeaders, headers.connection, noHeaders),
     genuine,
     notRun: headers[header.notRun] !== undefined || status === HTTP_MISDIRECTED_REQUEST,
     misdirected: status === HTTP_MISDIRECTED_REQUEST,
--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -6,7 +6,7 @@
 
 import { Failure } from '../core/failure';
 import type { Position } from '../core/routing/position';
-import type { Answer } from '../utils/http';
+import type { HttpResponse } from '../utils/http';
 import { call } from '../utils/http';
 import type { EraReader } from './era';
 import { header, path } from './names';
@@ -169,14 +169,14 @@
   }
 
   /** Creates a lease and returns its id. */
-  async grant(ttlMs: number): Promise<number> {
+  async grantLease(ttlMs: number): Promise<number> {
     const { status, body } = await this.#post(path.lease, { 'ttl-ms': ttlMs });
     if (status !== HTTP_OK) throw new Failure('platformUnavailable', `a grant failed: ${status}`);
     return leaseSchema.parse(JSON.parse(body)).lease;
   }
 
   /** Renews a lease; false if it has expired. */
-  async keep(lease: number): Promise<boolean> {
+  async renewLease(lease: number): Promise<boolean> {
     const { status } = await this.#post(`${path.keep}${lease}`, {});
     if (status === HTTP_OK) return true;
     if (status === HTTP_NOT_FOUND) return false;
@@ -184,7 +184,7 @@
   }
 
   /** Revokes a lease, which deletes its keys. */
-  async endLease(lease: number): Promise<void> {
+  async revokeLease(lease: number): Promise<void> {
     await call({
       method: 'DELETE',
       url: `http://${this.#address}${path.leaseEnd}${lease}`,
@@ -196,7 +196,7 @@
   async #post(
     target: string,
     body: unknown,
-  ): Promise<Answer & { readonly era: number | undefined }> {
+  ): Promise<HttpResponse & { readonly era: number | undefined }> {
     const answer = await call({
       method: 'POST',
       url: `http://${this.#address}${target}`,
@@ -208,7 +208,7 @@
   }
 
   /** Undefined for 429 and 5xx: such a response may come from a proxy in front of the store, which sends no era. */
-  #eraOf({ status, headers }: Answer): number | undefined {
+  #eraOf({ status, headers }: HttpResponse): number | undefined {
     if (status >= HTTP_TOO_MANY_REQUESTS) return undefined;
     return this.#eras.read(headers[header.era]?.toString());
   }
--- a/src/utils/http.ts
+++ b/src/utils/http.ts
@@ -13,7 +13,7 @@
 import { Failure } from '../core/failure';
 
 /** Whether a connection was refused, so that nothing was sent. */
-export function isRefusedConnect(error: Error): boolean {
+export function isConnectionRefused(error: Error): boolean {
   return (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 }
 
@@ -49,7 +49,7 @@
 }
 
 /** A complete response. */
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
@@ -73,7 +73,7 @@
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /** Makes one call and reads the whole response; rejects on a connection error, a timeout or an abort. */
-export function call(options: CallOptions): Promise<Answer> {
+export function call(options: CallOptions): Promise<HttpResponse> {
   const { method, url, body, headers, agent, timeoutMs, signal } = options;
   const limit = AbortSignal.timeout(timeoutMs);
   const stop = signal ? AbortSignal.any([signal, limit]) : limit;
@@ -137,7 +137,7 @@
  * Aborts a response that was partly sent, so that it does not look complete. HTTP/1.0 callers
  * take a regular close of the connection for the end of the response, so theirs is reset.
  */
-export function cutOff(res: ServerResponse): void {
+export function abortResponse(res: ServerResponse): void {
   if (res.req.httpVersion === '1.0') res.socket?.resetAndDestroy();
   res.destroy();
 }
@@ -153,7 +153,7 @@
   notRun = failure.code.notRun,
 ): void {
   if (res.headersSent) {
-    if (!res.writableEnded) cutOff(res);
+    if (!res.writableEnded) abortResponse(res);
     return;
   }
   const { retryAfterMs } = failure;
--- a/src/utils/answers.ts
+++ b/src/utils/responses.ts
@@ -3,36 +3,36 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 
-import { cutOff } from './http';
+import { abortResponse } from './http';
 
 /** Responses in progress, to be aborted when their connection is about to close. */
-export class OpenAnswers {
+export class OpenResponses {
   readonly #bySocket = new Map<Duplex, Set<ServerResponse>>();
 
   /** Tracks a response until it closes. */
   add({ socket, httpVersion }: IncomingMessage, res: ServerResponse): void {
-    let answers = this.#bySocket.get(socket);
-    if (!answers) {
-      answers = new Set();
-      this.#bySocket.set(socket, answers);
+    let responses = this.#bySocket.get(socket);
+    if (!responses) {
+      responses = new Set();
+      this.#bySocket.set(socket, responses);
       socket.once('close', () => this.#bySocket.delete(socket));
       // Node closes the connection gracefully when the caller half-closes it, which HTTP/1.0
       // callers take for the end of the response.
-      if (httpVersion === '1.0') socket.prependListener('end', () => this.cutOn(socket));
+      if (httpVersion === '1.0') socket.prependListener('end', () => this.abortOn(socket));
     }
-    answers.add(res);
+    responses.add(res);
     res.once('close', () => this.#bySocket.get(socket)?.delete(res));
   }
 
   /** Aborts the responses in progress on a connection; false if there are none. */
-  cutOn(socket: Duplex): boolean {
-    const answers = [...(this.#bySocket.get(socket) ?? [])];
-    answers.forEach(cutOff);
-    return answers.length > 0;
+  abortOn(socket: Duplex): boolean {
+    const responses = [...(this.#bySocket.get(socket) ?? [])];
+    responses.forEach(abortResponse);
+    return responses.length > 0;
   }
 
   /** Aborts all responses in progress. */
-  cutAll(): void {
-    [...this.#bySocket.keys()].forEach((socket) => this.cutOn(socket));
+  abortAll(): void {
+    [...this.#bySocket.keys()].forEach((socket) => this.abortOn(socket));
   }
 }
--- a/test/platform/facts.test.ts
+++ b/test/platform/records.test.ts
@@ -1,4 +1,4 @@
-import { decodeConfig, decodeRunner } from '../../src/platform/facts';
+import { decodeConfig, decodeRunner } from '../../src/platform/records';
 import { entryOf } from '../fakes/entry';
 
 /** The error for a valid entry with changed fields, or the decoded fields of the runner. */
