--- a/src/cli/signals.ts
+++ b/src/cli/signals.ts
@@ -1,6 +1,6 @@
 /** Handling of the signals that stop a daemon. */
 
-/** Shuts the process down gracefully on SIGTERM or SIGINT; a second signal exits at once with code 1. */
+/** Shuts the process down gracefully on SIGTERM or SIGINT; a second signal exits immediately with code 1. */
 export function stopOnSignal(stop: () => Promise<void>): void {
   let isStopping = false;
   const onSignal = (): void => {
--- a/src/platform/feed.ts
+++ b/src/platform/feed.ts
@@ -17,7 +17,7 @@
 import { key } from './names';
 import type { Item, Snapshot, StoreClient } from './store';
 
-/** Longest wait of one watch call, in milliseconds. Kept short so that a watch on a hung store is detected soon after it. */
+/** Longest wait of one watch call, in milliseconds. Kept short so that a hung store is detected soon. */
 const WATCH_WAIT_MS = 2000;
 /** Minimum interval between two watch calls, in milliseconds. Heartbeats of runners would otherwise complete a watch every 100 ms, and each call costs money. */
 const MIN_WATCH_INTERVAL_MS = 700;
@@ -25,7 +25,7 @@
 const MIN_RETRY_DELAY_MS = 150;
 /** Longest delay before a retry, in milliseconds. */
 const MAX_RETRY_DELAY_MS = 800;
-/** Timeout of the first call after a failed one, in milliseconds. A slow store still answers within it, and an unreachable store is detected half a second sooner, so that another VM takes over reading in time. */
+/** Timeout of the first call after a failed one, in milliseconds. A slow store still answers within it, and an unreachable store is detected half a second sooner, so that other VMs start to read it in time. */
 const RECHECK_TIMEOUT_MS = 600;
 
 /** Prefix of all keys: one watch covers the configuration, runners and VMs. */
--- a/test/platform/restore.test.ts
+++ b/test/platform/restore.test.ts
@@ -79,7 +79,7 @@
   });
 
   /*
-   * The copy is one second old and others write at once, so the store passes the revision
+   * The copy is one second old and others write immediately, so the store passes the revision
    * that this VM watches from before its next watch, and the watch does not fail with 410.
    * Guards against missed changes: a runner that registered in between was never seen, and
    * one that announced that it is leaving still got requests.
