--- a/src/node/gateway/plain.ts
+++ b/src/node/gateway/plain.ts
@@ -175,9 +175,9 @@
   #noteEnd(call: PlainCall, body: Buffer, sent: Dispatch, runner: string): void {
     const now = Date.now();
     const fingerprint = contentOf(call, body);
-    if (sent.kind === 'answered') this.#quarantine.completed(now, fingerprint);
+    if (sent.kind === 'answered') this.#quarantine.recordCompletion(now, fingerprint);
     else if (sent.kind === 'lost' && sent.brokeOff) {
-      this.#quarantine.ended(now, fingerprint, `${runner}@${now}`);
+      this.#quarantine.recordCrash(now, fingerprint, `${runner}@${now}`);
     }
   }
 
--- a/src/node/router/metrics.ts
+++ b/src/node/router/metrics.ts
@@ -56,7 +56,7 @@
   }
 
   /** Notes a request that has its final answer. */
-  ended(service: string, status: number, code: string | undefined, ms: number): void {
+  recordRequest(service: string, status: number, code: string | undefined, ms: number): void {
     this.#ended.inc({ service, status: String(status), code: code ?? '' });
     this.#latency.observe({ service }, ms / 1000);
   }
--- a/src/platform/era.ts
+++ b/src/platform/era.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 
 import { Failure } from '../core/failure';
-import type { History } from '../core/routing/position';
+import type { StoreHistory } from '../core/routing/position';
 
 const ERA_PATTERN = /^\d{1,9}$/;
 /** Maximum number of characters of an invalid era in a message. */
@@ -11,7 +11,7 @@
 
 /** Compares the eras of responses with the latest known one. */
 export class EraReader {
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   readonly #log: Logger;
 
@@ -21,7 +21,7 @@
   /** Last logged message about an invalid era, so that a repeated one is not logged again; empty after a valid era. */
   #lastLogged = '';
 
-  constructor(history: History, log: Logger) {
+  constructor(history: StoreHistory, log: Logger) {
     this.#history = history;
     this.#log = log;
   }
--- a/src/platform/feed.ts
+++ b/src/platform/feed.ts
@@ -9,8 +9,8 @@
 
 import { toFailure } from '../core/failure';
 import type { Suspect } from '../core/quarantine/types';
-import type { RunnerFact } from '../core/routing/directory';
-import type { History } from '../core/routing/position';
+import type { RunnerRecord } from '../core/routing/directory';
+import type { StoreHistory } from '../core/routing/position';
 import type { Feed, FeedListener } from '../node/router/types';
 import { bootNow } from '../utils/clock';
 import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './records';
@@ -39,7 +39,7 @@
 
   readonly #self: { readonly vm: string; readonly address: string };
 
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   #listener: FeedListener | undefined;
 
@@ -66,7 +66,7 @@
   constructor(
     store: StoreClient,
     self: { readonly vm: string; readonly address: string },
-    history: History,
+    history: StoreHistory,
     log: Logger,
   ) {
     this.#store = store;
@@ -90,7 +90,7 @@
       });
   }
 
-  confirm(): void {
+  confirmConfig(): void {
     if (this.#isConfirming) return;
     this.#isConfirming = true;
     this.#confirm()
@@ -111,7 +111,7 @@
     if (items.length === 0 || era === undefined) return;
     if (era !== this.#history.era) this.#listener?.onEra({ era, revision });
     this.#dispatch(items, false);
-    this.#listener?.onProof(askedAt);
+    this.#listener?.onConfirmed(askedAt);
   }
 
   async #run(): Promise<void> {
@@ -143,7 +143,7 @@
         this.#listener?.onStore(true, 'answers');
         revision = Math.max(revision, changes.revision);
         this.#dispatch(changes.items, false);
-        this.#listener?.onProof(askedAt);
+        this.#listener?.onConfirmed(askedAt);
       }
       const remainingMs = MIN_WATCH_INTERVAL_MS - (performance.now() - watchStartedAt);
       if (remainingMs > 0) await pause(remainingMs);
@@ -167,7 +167,7 @@
     this.#dispatch(items, true);
     const ids = items.filter((item) => item.key.startsWith(key.runners)).map(idOf);
     this.#listener?.onListed(new Set(ids), { era, revision });
-    this.#listener?.onProof(askedAt);
+    this.#listener?.onConfirmed(askedAt);
     return snapshot;
   }
 
@@ -176,7 +176,7 @@
    * @param isAll whether `items` are all entries of the store
    */
   #dispatch(items: readonly Item[], isAll: boolean): void {
-    const runners: RunnerFact[] = [];
+    const runners: RunnerRecord[] = [];
     const suspects: Suspect[] = [];
     const vms: { vm: string; address: string }[] = [];
     for (const item of items) {
@@ -210,7 +210,7 @@
   }
 
   /** An entry that cannot be decoded also yields a record, because it replaced the runner that was listed under this key. */
-  #recordOf(item: Item): RunnerFact {
+  #recordOf(item: Item): RunnerRecord {
     const id = idOf(item);
     const { revision, value } = item;
     const position = this.#history.positionOf(revision);
--- a/src/platform/lock.ts
+++ b/src/platform/lock.ts
@@ -1,7 +1,7 @@
 /** Lock for the right to give orders to runners: a key with a lease in the store. */
 
 import { ordinalOf } from '../core/routing/position';
-import type { OrderLock, OrderRight } from '../node/router/types';
+import type { OrderLock, OrderLease } from '../node/router/types';
 import { key } from './names';
 import type { StoreClient } from './store';
 
@@ -24,7 +24,7 @@
     this.#vm = vm;
   }
 
-  async acquire(): Promise<OrderRight | undefined> {
+  async acquire(): Promise<OrderLease | undefined> {
     const { items } = await this.#store.range(key.orders);
     if (items.some((item) => item.key === key.orderHolder)) return undefined;
     const last = items.find((item) => item.key === key.orderLast);
--- a/src/platform/router.ts
+++ b/src/platform/router.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 
 import { Failure } from '../core/failure';
-import { History } from '../core/routing/position';
+import { StoreHistory } from '../core/routing/position';
 import { logOf } from '../node/log';
 import { Router } from '../node/router/daemon';
 import { EraReader } from './era';
@@ -36,7 +36,7 @@
 /** Creates a router that uses the platform's store, protocol and lock. It is not started yet. */
 export function createRouter({ router, store }: PlatformSettings, log: Logger): Router {
   const { vm, peer } = router;
-  const history = new History();
+  const history = new StoreHistory();
   const client = new StoreClient(store, new EraReader(history, logOf(log, 'store')));
   const feed = new StoreFeed(client, { vm, address: peer }, history, logOf(log, 'store'));
   return new Router(
--- a/src/platform/runner.ts
+++ b/src/platform/runner.ts
@@ -8,7 +8,7 @@
 import { Failure, toFailure } from '../core/failure';
 import type { Runner } from '../core/routing/types';
 import type { Framing } from '../core/stream/answer';
-import { startId } from '../core/routing/types';
+import { instanceId } from '../core/routing/types';
 import type {
   CacheHandle,
   DecodeDispatch,
@@ -115,7 +115,7 @@
     const { born, runs, 'kv-used': usedTokens } = reportSchema.parse(JSON.parse(body));
     // A runner that reports no start time gets a new id at each start.
     return {
-      runner: born === 0 ? id : startId(listing, born),
+      runner: born === 0 ? id : instanceId(listing, born),
       bornAt: born,
       usedTokens,
       runs: runs.map(([request, tokens]) => ({ request, tokens })),
