--- a/src/node/router/frontend.ts
+++ b/src/node/router/frontend.ts
@@ -13,7 +13,7 @@
 import type { Route } from '../../core/routing/types';
 
 import { bootNow } from '../../utils/clock';
-import { OpenAnswers } from '../../utils/answers';
+import { OpenResponses } from '../../utils/responses';
 import { listenOn, readBody } from '../../utils/http';
 import { LineBudget } from '../budget';
 import type { Metrics } from '../metrics';
@@ -54,7 +54,7 @@
 
   readonly #logBudget: LineBudget;
 
-  readonly #openResponses = new OpenAnswers();
+  readonly #openResponses = new OpenResponses();
 
   #activeRequests = 0;
 
@@ -75,7 +75,7 @@
     this.#server.headersTimeout = DEFAULT_HEADER_MS;
     this.#server.on('connection', (socket) => socket.setNoDelay(true));
     this.#server.on('clientError', (error, socket) => {
-      if (this.#openResponses.cutOn(socket)) socket.destroy();
+      if (this.#openResponses.abortOn(socket)) socket.destroy();
       else rejectMalformed(error, socket as Socket);
     });
   }
@@ -103,7 +103,7 @@
 
   /** Resets the connections of all responses in progress, so that they cannot look complete. */
   cutOff(): void {
-    this.#openResponses.cutAll();
+    this.#openResponses.abortAll();
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
