--- a/src/node/gateway/auth.ts
+++ b/src/node/gateway/auth.ts
@@ -1,25 +1,25 @@
-/** Who a request comes from. */
+/** Authentication of requests by bearer token. */
 
 import type { IncomingMessage } from 'node:http';
 
 import { Failure } from '../../core/failure';
 import type { Settings } from '../../core/settings/documents';
 
-const BEARER = 'Bearer ';
+const BEARER_PREFIX = 'Bearer ';
 
-/** The bearer token of a request; `unauthorized` if there is none. */
+/** Returns the bearer token of a request; throws `unauthorized` if there is none. */
 export function tokenOf(req: IncomingMessage): string {
   const { authorization = '' } = req.headers;
-  if (!authorization.startsWith(BEARER)) {
+  if (!authorization.startsWith(BEARER_PREFIX)) {
     throw new Failure(
       'unauthorized',
       'found no bearer token, expected an Authorization header with one',
     );
   }
-  return authorization.slice(BEARER.length);
+  return authorization.slice(BEARER_PREFIX.length);
 }
 
-/** The team of a request; `unauthorized` if its token belongs to none. */
+/** Returns the team of a request; throws `unauthorized` if its token belongs to no team. */
 export function teamOf(req: IncomingMessage, settings: Settings): string {
   const team = settings.teamOf(tokenOf(req));
   if (team === undefined) throw new Failure('unauthorized', 'found an unknown bearer token');
--- a/src/node/gateway/burn.ts
+++ b/src/node/gateway/burn.ts
@@ -1,4 +1,4 @@
-/** Service levels as this gateway saw them, and the report put together from all gateways. */
+/** Service-level statistics of this gateway, and the report that merges those of all gateways. */
 
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
@@ -10,7 +10,8 @@
 import type { BurnReport, BurnRow, GatewayBurn } from '../../types/burn';
 import type { ModelRequest, RunOutcome } from './request';
 
-interface Standing {
+/** Counts and latencies of one team's service. */
+interface ServiceRecord {
   readonly windows: BurnWindows;
   readonly firstToken: Histogram;
   readonly token: Histogram;
@@ -20,7 +21,7 @@
   cancelled: number;
 }
 
-const PERCENTILE = 95;
+const LATENCY_PERCENTILE = 95;
 const windowNames = Object.keys(windowMinutes) as WindowName[];
 
 function newHistogram(): Histogram {
@@ -31,9 +32,9 @@
   });
 }
 
-/** Records outcomes by team and service. */
+/** Records the outcomes of requests by team and service. */
 export class BurnRecorder {
-  readonly #records = new Map<string, Standing>();
+  readonly #records = new Map<string, ServiceRecord>();
 
   readonly #since: number;
 
@@ -41,7 +42,10 @@
     this.#since = now;
   }
 
-  /** A model request is good if it was whole and within both targets; a cancelled one counts for nothing. */
+  /**
+   * Records a model request. It is good if its answer was complete and met both
+   * latency targets; a cancelled request counts as neither good nor bad.
+   */
   model(now: number, { team, serviceName, service }: ModelRequest, outcome: RunOutcome): void {
     const record = this.#recordOf(team, serviceName);
     const { code, cancelled, firstTokenMs, tokenMs } = outcome;
@@ -56,11 +60,12 @@
     countOutcome(now, record, code, code === undefined && inTime);
   }
 
+  /** Records a plain call; it is good if `code` is undefined. */
   plain(now: number, team: string, service: string, code: CodeName | undefined): void {
     countOutcome(now, this.#recordOf(team, service), code, code === undefined);
   }
 
-  /** What this gateway saw. */
+  /** Returns the statistics of this gateway since its start. */
   collect(now: number): GatewayBurn {
     const rows = [...this.#records].map(([name, record]) => {
       const [team = '', service = ''] = name.split('/');
@@ -68,7 +73,7 @@
       const tallies = Object.fromEntries(
         windowNames.map((key) => [key, record.windows.sum(now, key)]),
       );
-      const firstTokenMs = firstToken.getValueAtPercentile(PERCENTILE);
+      const firstTokenMs = firstToken.getValueAtPercentile(LATENCY_PERCENTILE);
       return {
         team,
         service,
@@ -78,17 +83,17 @@
         refused,
         tallies,
         firstTokenMs,
-        tokenMs: token.getValueAtPercentile(PERCENTILE),
+        tokenMs: token.getValueAtPercentile(LATENCY_PERCENTILE),
       };
     });
     return { since: this.#since, rows };
   }
 
-  #recordOf(team: string, service: string): Standing {
+  #recordOf(team: string, service: string): ServiceRecord {
     const name = `${team}/${service}`;
     const known = this.#records.get(name);
     if (known) return known;
-    const record: Standing = {
+    const record: ServiceRecord = {
       windows: new BurnWindows(),
       firstToken: newHistogram(),
       token: newHistogram(),
@@ -102,7 +107,12 @@
   }
 }
 
-/** Puts the reports of gateways together; `team` leaves out all other teams' rows. */
+/**
+ * Merges the reports of gateways.
+ *
+ * @param parts report by gateway address; undefined if the gateway did not answer
+ * @param team limits the report to this team; undefined includes all teams
+ */
 export function mergeBurn(
   parts: ReadonlyMap<string, GatewayBurn | undefined>,
   settings: Settings,
@@ -158,7 +168,7 @@
     budgetLeft: 1 - used,
     burn,
     refused,
-    // Percentiles cannot be added; the worst gateway's is the honest bound.
+    // Percentiles cannot be added up; the worst gateway's value is an upper bound.
     firstTokenMs: Math.max(...rows.map((row) => row.firstTokenMs)),
     tokenMs: Math.max(...rows.map((row) => row.tokenMs)),
   };
@@ -166,7 +176,7 @@
 
 function countOutcome(
   now: number,
-  record: Standing,
+  record: ServiceRecord,
   code: CodeName | undefined,
   good: boolean,
 ): void {
--- a/src/node/gateway/callers.ts
+++ b/src/node/gateway/callers.ts
@@ -1,4 +1,4 @@
-/** The callers' port: routes requests to their handlers. */
+/** Routes requests on the callers' port to their handlers. */
 
 import { timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -16,23 +16,24 @@
 import { RELAY_PATH } from './relay';
 import { EventSink } from './sink';
 
-/** What the callers' port works with. */
+/** Dependencies and settings of `CallerHandler`. */
 export interface CallerHandlerOptions {
   readonly fleet: Fleet;
   readonly models: ModelHandler;
   readonly plain: PlainHandler;
   readonly burn: BurnRecorder;
   readonly peerKey: string;
+  /** How long callers may use the addresses they were given, in milliseconds. */
   readonly addressTtlMs: number;
   readonly log: Logger;
-  /** Whether the gateway takes new requests; `leaving` once given addresses have lapsed. */
+  /** `draining` still accepts requests; `leaving` refuses them, as all addresses given to callers have expired. */
   readonly phase: () => 'open' | 'draining' | 'leaving';
 }
 
 const SERVICES_PATH = '/services/';
-const HOLDS_LIMIT_BYTES = 1024;
+const HOLDS_BODY_LIMIT_BYTES = 1024;
 
-/** Answers callers, and other processes of the fleet under `/internal/`. */
+/** Handles requests of callers, and of other processes of the fleet under `/internal/`. */
 export class CallerHandler {
   readonly #options: CallerHandlerOptions;
 
@@ -40,10 +41,11 @@
     this.#options = options;
   }
 
+  /** Handles one request; failures are sent as an error response. */
   async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     try {
       const url = new URL(req.url ?? '/', 'http://gateway');
-      if (url.pathname.startsWith('/internal/')) await this.#internal(req, res, url);
+      if (url.pathname.startsWith('/internal/')) await this.#handleInternal(req, res, url);
       else await this.#route(req, res, url);
     } catch (error) {
       const failure = toFailure(error);
@@ -52,7 +54,7 @@
       }
       sendFailure(res, failure);
     } finally {
-      // A body that nobody reads would block the connection for the next request.
+      // An unread body would block the connection for the next request.
       if (!req.complete) req.resume();
     }
   }
@@ -61,14 +63,16 @@
     const { pathname } = url;
     const { phase, fleet } = this.#options;
     if (pathname === '/healthz') sendJson(res, 200, { ok: true });
-    else if (pathname === '/readyz') this.#ready(res);
-    else if (pathname === '/v1/addresses') this.#addresses(res);
+    else if (pathname === '/readyz') this.#sendReadiness(res);
+    else if (pathname === '/v1/addresses') this.#sendAddresses(res);
     else if (phase() === 'leaving') this.#refuseLeaving(res);
     else if (!fleet.ready) {
-      throw new Failure('noOwner', 'the settings are not there yet', { retryAfterMs: 1000 });
+      throw new Failure('noOwner', 'the settings have not been received yet', {
+        retryAfterMs: 1000,
+      });
     } else if (pathname === '/v1/completions' && req.method === 'POST') {
       await this.#options.models.handle(req, res, teamOf(req, fleet.settings));
-    } else if (pathname.startsWith(SERVICES_PATH)) await this.#plain(req, res, url);
+    } else if (pathname.startsWith(SERVICES_PATH)) await this.#handlePlain(req, res, url);
     else {
       throw new Failure(
         'badRequest',
@@ -77,12 +81,12 @@
     }
   }
 
-  #ready(res: ServerResponse): void {
+  #sendReadiness(res: ServerResponse): void {
     const ready = this.#options.fleet.ready && this.#options.phase() === 'open';
     sendJson(res, ready ? 200 : 503, { ready });
   }
 
-  #addresses(res: ServerResponse): void {
+  #sendAddresses(res: ServerResponse): void {
     sendJson(res, 200, {
       addresses: this.#options.fleet.addresses(),
       ttlMs: this.#options.addressTtlMs,
@@ -90,44 +94,44 @@
   }
 
   #refuseLeaving(res: ServerResponse): void {
-    const failure = new Failure('draining', 'this VM is leaving', { retryAfterMs: 0 });
+    const failure = new Failure('draining', 'this VM is shutting down', { retryAfterMs: 0 });
     const addresses = this.#options.fleet.addresses().join(', ');
     res.setHeader('goldcrestdock-addresses', addresses);
     res.setHeader('connection', 'close');
     sendFailure(res, failure);
   }
 
-  async #plain(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
+  async #handlePlain(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
     const team = teamOf(req, this.#options.fleet.settings);
     const [service = '', ...rest] = url.pathname.slice(SERVICES_PATH.length).split('/');
     await this.#options.plain.handle(req, res, team, service, `/${rest.join('/')}${url.search}`);
   }
 
-  async #internal(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
+  async #handleInternal(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
     const { peerKey, burn } = this.#options;
     const known = timingSafeEqual(
       Buffer.from(hashToken(tokenOf(req))),
       Buffer.from(hashToken(peerKey)),
     );
     if (!known) throw new Failure('unauthorized', 'found an unknown bearer token');
-    if (url.pathname === '/internal/holds') await this.#holds(req, res);
+    if (url.pathname === '/internal/holds') await this.#sendHolds(req, res);
     else if (url.pathname === '/internal/burn') sendJson(res, 200, burn.collect(Date.now()));
-    else if (url.pathname.startsWith(RELAY_PATH)) this.#stream(res, url);
+    else if (url.pathname.startsWith(RELAY_PATH)) this.#streamRun(res, url);
     else throw new Failure('badRequest', `found ${url.pathname}`);
   }
 
-  async #holds(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const { id } = JSON.parse((await readBody(req, HOLDS_LIMIT_BYTES)).toString()) as {
+  async #sendHolds(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    const { id } = JSON.parse((await readBody(req, HOLDS_BODY_LIMIT_BYTES)).toString()) as {
       id?: string;
     };
-    const run = this.#options.models.run(String(id));
+    const run = this.#options.models.findRun(String(id));
     sendJson(res, 200, { held: run !== undefined && !run.ended });
   }
 
-  /** A newer attempt on another gateway reads the run: the readers here are told so. */
-  #stream(res: ServerResponse, url: URL): void {
+  /** Streams a run to another gateway that handles a newer attempt; the readers here end with `superseded`. */
+  #streamRun(res: ServerResponse, url: URL): void {
     const id = decodeURIComponent(url.pathname.slice(RELAY_PATH.length));
-    const run = this.#options.models.run(id);
+    const run = this.#options.models.findRun(id);
     if (!run || run.ended) throw new Failure('badRequest', 'this gateway does not have that run');
     run.supersede();
     const sink = new EventSink(res, { id, model: run.request.serviceName });
--- a/src/node/gateway/canceller.ts
+++ b/src/node/gateway/canceller.ts
@@ -1,17 +1,17 @@
-/** Cancels runs on runners, again and again until the runner confirms. */
+/** Cancels runs on runners, with retries until the runner confirms. */
 
 import type { Logger } from 'pino';
 
 import type { Metrics } from '../metrics';
 import type { RunnerClient } from '../runner/client';
 
-/** First pause between tries, in milliseconds; doubles up to the limit. */
-const RETRY_MS = 100;
-const RETRY_LIMIT_MS = 5000;
-/** Tries are given up after this time, in milliseconds; the pool's owner looks for left-over runs anyway. */
-const GIVE_UP_MS = 120_000;
+/** First pause between attempts, in milliseconds; doubles up to the limit. */
+const INITIAL_RETRY_MS = 100;
+const MAX_RETRY_MS = 5000;
+/** A cancellation is abandoned after this time, in milliseconds; the pool's owner looks for left-over runs anyway. */
+const CANCEL_TIMEOUT_MS = 120_000;
 
-/** Cancels under way. */
+/** Sends cancellations and retries those that are not confirmed. */
 export class Canceller {
   readonly #runners: RunnerClient;
 
@@ -27,36 +27,37 @@
     this.#metrics = metrics;
   }
 
-  /** Sees to it that the runner holds nothing for the run. */
+  /** Cancels the run at a runner, so that the runner holds no resources for it. Returns at once. */
   cancel(url: string, runId: string): void {
-    this.#try(url, runId, Date.now(), RETRY_MS);
+    this.#attempt(url, runId, Date.now(), INITIAL_RETRY_MS);
   }
 
+  /** Drops all pending retries. */
   stop(): void {
     for (const timer of this.#timers) clearTimeout(timer);
     this.#timers.clear();
   }
 
-  #try(url: string, runId: string, since: number, waitMs: number): void {
+  #attempt(url: string, runId: string, startedAt: number, retryMs: number): void {
     this.#runners
       .cancel(url, runId)
       .catch(() => false)
-      .then((done) => {
-        if (done) this.#metrics.count('cancel.confirmed');
-        else this.#tryLater(url, runId, since, waitMs);
+      .then((isConfirmed) => {
+        if (isConfirmed) this.#metrics.count('cancel.confirmed');
+        else this.#scheduleRetry(url, runId, startedAt, retryMs);
       })
-      .catch((error: Error) => this.#log.error(`A cancel failed. ${error.message}.`));
+      .catch((error: Error) => this.#log.error(`A cancellation failed. ${error.message}.`));
   }
 
-  #tryLater(url: string, runId: string, since: number, waitMs: number): void {
-    if (Date.now() - since > GIVE_UP_MS) {
+  #scheduleRetry(url: string, runId: string, startedAt: number, retryMs: number): void {
+    if (Date.now() - startedAt > CANCEL_TIMEOUT_MS) {
       this.#metrics.count('cancel.given_up');
       return;
     }
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
-      this.#try(url, runId, since, Math.min(RETRY_LIMIT_MS, waitMs * 2));
-    }, waitMs);
+      this.#attempt(url, runId, startedAt, Math.min(MAX_RETRY_MS, retryMs * 2));
+    }, retryMs);
     this.#timers.add(timer);
   }
 }
--- a/src/node/gateway/daemon.ts
+++ b/src/node/gateway/daemon.ts
@@ -1,4 +1,4 @@
-/** The gateway daemon: puts its parts together, starts and stops them. */
+/** The gateway daemon: creates, starts and stops its components. */
 
 import { randomUUID } from 'node:crypto';
 import type { Server } from 'node:http';
@@ -28,14 +28,14 @@
 import { Relay } from './relay';
 import { SettingsEditor } from './settings';
 
-/** Where a gateway listens. */
+/** Ports that a gateway listens on. */
 export interface GatewayPorts {
   readonly callers: number;
   readonly operators: number;
 }
 
-/** Pause between looks whether all requests have ended, in milliseconds. */
-const DRAIN_LOOK_MS = 50;
+/** Interval between checks whether all requests have ended, in milliseconds. */
+const DRAIN_POLL_MS = 50;
 
 function listen(server: Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
@@ -47,8 +47,8 @@
   });
 }
 
-/** Answers what Node could not read as HTTP, so that the caller sees a numbered error and not a closed connection. */
-function answerGarbage(
+/** Responds to input that Node cannot parse as HTTP with a numbered error instead of a closed connection. */
+function respondToMalformedInput(
   error: NodeJS.ErrnoException,
   socket: NodeJS.WritableStream & { destroy(): void; writable: boolean },
 ): void {
@@ -56,7 +56,7 @@
     socket.destroy();
     return;
   }
-  const body = `${JSON.stringify(errorBody(new Failure('badRequest', `found ${error.code ?? 'garbage'}, expected HTTP`)))}\n`;
+  const body = `${JSON.stringify(errorBody(new Failure('badRequest', `found ${error.code ?? 'malformed data'}, expected HTTP`)))}\n`;
   const head = `HTTP/1.1 ${codes.badRequest.http} Bad Request\r\ncontent-type: application/json\r\n`;
   socket.end(
     `${head}content-length: ${Buffer.byteLength(body)}\r\nconnection: close\r\n\r\n${body}`,
@@ -108,7 +108,7 @@
       address,
       log: logOf(log, 'peer'),
       onMessage: (link, message) => this.#models.receive(link, message),
-      onChange: () => this.#fleetChanged(),
+      onChange: () => this.#handleFleetChange(),
     });
     this.#canceller = new Canceller(this.#runners, this.#log, this.#metrics);
     this.#ledger = new LedgerClient(this.#fleet, logOf(log, 'ledger'));
@@ -133,11 +133,11 @@
       metrics: this.#metrics,
       onOutcome: (team, service, code) => burn.plain(Date.now(), team, service, code),
     });
-    this.#callers = this.#serveCallers(burn);
-    this.#operators = this.#serveOperators();
+    this.#callers = this.#createCallerServer(burn);
+    this.#operators = this.#createOperatorServer();
   }
 
-  /** Starts everything and gives the ports. */
+  /** Opens both ports, connects to the scheduler of this VM and returns the ports. */
   async start(): Promise<GatewayPorts> {
     const { listen: callers, operator } = this.#config;
     this.#port = await listen(this.#callers, callers.host, callers.port);
@@ -148,8 +148,9 @@
   }
 
   /**
-   * Leaves without cutting a request: callers keep addresses for a while, so new
-   * requests are taken until those have lapsed, and streams run to their end.
+   * Shuts down without interrupting a request. Callers cache addresses for
+   * `addressTtlMs`, so new requests are accepted until these have expired, and
+   * streams run to their end.
    */
   async stop(): Promise<void> {
     if (this.#phase !== 'open') return;
@@ -158,24 +159,24 @@
     this.#fleet.home.send({ kind: 'draining' });
     await pause(this.#config.addressTtlMs);
     this.#phase = 'leaving';
-    while (this.#models.size + this.#plain.size > 0) await pause(DRAIN_LOOK_MS);
-    while (this.#ledger.pending > 0) await pause(DRAIN_LOOK_MS);
+    while (this.#models.size + this.#plain.size > 0) await pause(DRAIN_POLL_MS);
+    while (this.#ledger.pending > 0) await pause(DRAIN_POLL_MS);
     await this.close();
     this.#log.info('Stopped.');
   }
 
   /**
-   * A scheduler that starts anew, or whose link was lost, takes a gateway that
-   * connects for one that takes callers; it has to be told again.
+   * A scheduler assumes that a gateway that connects accepts callers. After a
+   * restart of the scheduler or a lost link, "draining" is therefore sent again.
    */
-  #fleetChanged(): void {
+  #handleFleetChange(): void {
     if (this.#phase !== 'open' && this.#fleet.home.up) {
       this.#fleet.home.send({ kind: 'draining' });
     }
     this.#models.ownersChanged();
   }
 
-  /** Ends at once. */
+  /** Stops immediately; open requests are interrupted. */
   async close(): Promise<void> {
     this.#fleet.close();
     this.#canceller.stop();
@@ -190,7 +191,7 @@
     }
   }
 
-  #serveCallers(burn: BurnRecorder): Server {
+  #createCallerServer(burn: BurnRecorder): Server {
     const { limits, peerKey, addressTtlMs } = this.#config;
     const handler = new CallerHandler({
       fleet: this.#fleet,
@@ -217,12 +218,12 @@
     server.maxConnections = limits.connections;
     server.on('clientError', (error, socket) => {
       if (answers.cutOn(socket)) socket.destroy();
-      else answerGarbage(error, socket);
+      else respondToMalformedInput(error, socket);
     });
     return server;
   }
 
-  #serveOperators(): Server {
+  #createOperatorServer(): Server {
     const handler = new OperatorHandler({
       fleet: this.#fleet,
       editor: new SettingsEditor(this.#platform, () => this.#fleet.settings),
@@ -244,7 +245,7 @@
       const url = new URL(req.url ?? '/', 'http://operator');
       handler.handle(req, res, url).catch((error: Error) => this.#log.error(error.message));
     });
-    server.on('clientError', answerGarbage);
+    server.on('clientError', respondToMalformedInput);
     return server;
   }
 }
--- a/src/node/gateway/fleet.ts
+++ b/src/node/gateway/fleet.ts
@@ -1,4 +1,4 @@
-/** What a gateway knows of the fleet: members, settings in force, and links to the schedulers it uses. */
+/** The gateway's view of the fleet: members, current settings, and links to the schedulers it uses. */
 
 import type { Logger } from 'pino';
 
@@ -12,43 +12,46 @@
 import type { MemberNotice, ToGateway } from '../peer/messages';
 import { PROTOCOL_VERSION } from '../peer/messages';
 
-/** What the fleet view works with. */
+/** Dependencies and settings of `Fleet`. */
 export interface FleetOptions {
+  /** Id of this gateway process. */
   readonly id: string;
   readonly vm: string;
+  /** Shared key that authenticates peers. */
   readonly key: string;
   /** Peer address of the scheduler on this VM. */
   readonly home: string;
   /** Callers' address of this gateway. */
   readonly address: () => string;
   readonly log: Logger;
-  /** A message from a scheduler about a request. */
+  /** Called with each message from a scheduler about a request. */
   readonly onMessage: (link: PeerLink, message: ToGateway) => void;
-  /** Owners may have changed, or a link came up or went down. */
+  /** Called when owners may have changed, or when a link came up or went down. */
   readonly onChange: () => void;
 }
 
-/** Links that no owner needs any more are closed after this time, in milliseconds. */
-const UNUSED_MS = 30_000;
-/** Addresses in one answer. */
-const ADDRESS_LIMIT = 8;
+/** Links that were not used for this time are closed, in milliseconds. */
+const UNUSED_LINK_TIMEOUT_MS = 30_000;
+/** Maximum number of addresses in one response. */
+const MAX_ADDRESSES = 8;
 
-interface Used {
+/** A link and when it was last used, in milliseconds since the epoch. */
+interface UsedLink {
   readonly link: PeerLink;
   usedAt: number;
 }
 
-/** The fleet as this gateway sees it. */
+/** Members, settings, owners and links of the fleet, as last reported to this gateway. */
 export class Fleet {
   readonly #options: FleetOptions;
 
-  readonly #book = new SettingsDocuments();
+  readonly #documents = new SettingsDocuments();
 
   readonly #members = new Map<string, Member>();
 
   readonly #owners = new Owners();
 
-  readonly #links = new Map<string, Used>();
+  readonly #links = new Map<string, UsedLink>();
 
   readonly #sweeper: NodeJS.Timeout;
 
@@ -56,49 +59,55 @@
 
   constructor(options: FleetOptions) {
     this.#options = options;
-    this.#sweeper = setInterval(() => this.#sweep(Date.now()), UNUSED_MS / 3);
+    this.#sweeper = setInterval(() => this.#sweep(Date.now()), UNUSED_LINK_TIMEOUT_MS / 3);
   }
 
-  /** Connects to the scheduler of this VM; to be called once callers can be served. */
+  /** Connects to the scheduler of this VM; call this once callers can be served. */
   start(): void {
     this.#linkTo(this.#options.home);
   }
 
+  /** The current settings. */
   get settings(): Settings {
-    return this.#book;
+    return this.#documents;
   }
 
+  /** All known members, in any state. */
   get members(): readonly Member[] {
     return [...this.#members.values()];
   }
 
-  /** Whether the scheduler of this VM has told the settings and the members. */
+  /** Whether the settings and the members have been received from a scheduler. */
   get ready(): boolean {
-    return this.#book.consortium !== undefined && this.#members.size > 0;
+    return this.#documents.consortium !== undefined && this.#members.size > 0;
   }
 
+  /** Link to the scheduler of this VM. */
   get home(): PeerLink {
     return this.#linkTo(this.#options.home);
   }
 
-  /** Link to the first owner of a pool that can be reached; opens links as needed. */
+  /**
+   * Returns the link to the first reachable owner of a pool; opens links as needed.
+   * Undefined if the pool is unknown or no owner is reachable.
+   */
   ownerOf(pool: string): PeerLink | undefined {
-    const spec = this.#book.pool(pool);
+    const spec = this.#documents.pool(pool);
     return spec ? this.#firstUp(this.#owners.ofPool(pool, spec), 2) : undefined;
   }
 
-  /** Calls the owner of a ledger shard, or the next if it cannot be reached. */
+  /** Calls the owner of a ledger shard, or the next one if it is unreachable; rejects with `noOwner` if none is reachable. */
   callShard(shard: number, method: string, params: unknown): Promise<unknown> {
     if (shard >= LEDGER_SHARDS) throw new Failure('internal', `found shard ${shard}`);
     return this.#callFirst(this.#owners.ofShard(shard), method, params);
   }
 
-  /** Calls the owner of a request key, or the next if it cannot be reached. */
+  /** Calls the owner of a request key, or the next one if it is unreachable; rejects with `noOwner` if none is reachable. */
   callKey(key: string, method: string, params: unknown): Promise<unknown> {
     return this.#callFirst(this.#owners.ofRequestKey(key), method, params);
   }
 
-  /** Calls the scheduler of a VM. */
+  /** Calls the scheduler of a VM; rejects with `noOwner` if it is unreachable for `limitMs`. */
   callMember(
     { address }: Member,
     method: string,
@@ -108,11 +117,12 @@
     return this.#whenUp(address, limitMs).then((link) => link.call(method, params, limitMs));
   }
 
-  /** Addresses for callers. */
+  /** Chooses gateway addresses to give to callers. */
   addresses(): readonly string[] {
-    return chooseAddresses(this.members, Math.random, ADDRESS_LIMIT);
+    return chooseAddresses(this.members, Math.random, MAX_ADDRESSES);
   }
 
+  /** Closes all links. */
   close(): void {
     this.#closed = true;
     clearInterval(this.#sweeper);
@@ -123,13 +133,13 @@
   #callFirst(owners: readonly Member[], method: string, params: unknown): Promise<unknown> {
     const link = this.#firstUp(owners, 2) ?? (this.home.up ? this.home : undefined);
     if (!link) {
-      return Promise.reject(new Failure('noOwner', `${method}: no scheduler can be reached`));
+      return Promise.reject(new Failure('noOwner', `${method}: no scheduler is reachable`));
     }
     return link.call(method, params);
   }
 
-  #firstUp(owners: readonly Member[], tried: number): PeerLink | undefined {
-    const links = owners.slice(0, tried).map(({ address }) => this.#linkTo(address));
+  #firstUp(owners: readonly Member[], limit: number): PeerLink | undefined {
+    const links = owners.slice(0, limit).map(({ address }) => this.#linkTo(address));
     return links.find(({ up }) => up);
   }
 
@@ -137,10 +147,10 @@
     const link = this.#linkTo(address);
     if (link.up) return Promise.resolve(link);
     return new Promise((resolve, reject) => {
-      const until = Date.now() + limitMs;
-      const look = setInterval(() => {
-        if (!link.up && Date.now() < until) return;
-        clearInterval(look);
+      const deadlineAt = Date.now() + limitMs;
+      const poll = setInterval(() => {
+        if (!link.up && Date.now() < deadlineAt) return;
+        clearInterval(poll);
         if (link.up) resolve(link);
         else reject(new Failure('noOwner', `${address} did not answer within ${limitMs} ms`));
       }, 10);
@@ -164,28 +174,31 @@
       onDown: onChange,
     });
     this.#links.set(address, { link, usedAt: Date.now() });
-    // What is still under way at the stop asks for links; they would connect again for ever.
+    // Requests that are still open after close() ask for links; these would reconnect forever.
     if (this.#closed) link.close();
     return link;
   }
 
-  #receive(link: PeerLink, message: ToGateway, pass: FleetOptions['onMessage']): void {
+  #receive(link: PeerLink, message: ToGateway, forward: FleetOptions['onMessage']): void {
     if (message.kind === 'settings') {
-      for (const document of message.documents) this.#book.apply(document);
+      for (const document of message.documents) this.#documents.apply(document);
       this.#owners.settingsChanged();
       this.#options.onChange();
     } else if (message.kind === 'members') {
-      this.#learn(link, message.members);
+      this.#updateMembers(link, message.members);
     } else {
-      pass(link, message);
+      forward(link, message);
     }
   }
 
-  /** The scheduler of this VM tells of all changes; what others tell on connecting only fills gaps. */
-  #learn(link: PeerLink, notices: readonly MemberNotice[]): void {
-    const fromHome = link.address === this.#options.home;
+  /**
+   * The scheduler of this VM reports all changes. Other schedulers report members
+   * only on connecting, so their reports only add members that are missing.
+   */
+  #updateMembers(link: PeerLink, notices: readonly MemberNotice[]): void {
+    const isLocal = link.address === this.#options.home;
     for (const notice of notices) {
-      if (fromHome || !this.#members.has(notice.vm)) {
+      if (isLocal || !this.#members.has(notice.vm)) {
         this.#members.set(notice.vm, { ...notice, incarnation: 0, cores: 1, storeLost: false });
       }
     }
@@ -193,9 +206,10 @@
     this.#options.onChange();
   }
 
+  /** Closes unused links and removes members that are dead or have left. */
   #sweep(now: number): void {
     for (const [address, { link, usedAt }] of this.#links) {
-      if (address !== this.#options.home && now - usedAt > UNUSED_MS) {
+      if (address !== this.#options.home && now - usedAt > UNUSED_LINK_TIMEOUT_MS) {
         this.#links.delete(address);
         link.close();
       }
--- a/src/node/gateway/ledger.ts
+++ b/src/node/gateway/ledger.ts
@@ -1,4 +1,4 @@
-/** The gateway's side of the run ledger. */
+/** Client of the run ledger, which ensures that a call with a key runs at most once. */
 
 import { randomUUID } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
@@ -16,23 +16,24 @@
 } from '../../core/ledger/shard';
 import type { Fleet } from './fleet';
 
-/** The right to dispatch one call. */
+/** A successful claim: the right to dispatch one call. */
 export interface Ticket {
   readonly team: string;
   readonly key: string;
+  /** Identifies this claim among others of the same key. */
   readonly nonce: string;
   /**
-   * False once the claim is old. A gateway that was paused for longer than the
-   * ledger's retention would otherwise wake and run a call whose key was
-   * forgotten and claimed anew. The clock is monotonic, so setting the VM's
-   * time does not renew the right.
+   * False once the claim has expired. Otherwise a gateway that was paused for
+   * longer than the ledger's retention could resume and run a call whose key was
+   * deleted and claimed again. The clock is monotonic, so changing the VM's time
+   * does not extend the claim.
    */
   mayDispatch(): boolean;
 }
 
-/** What a claim gives. */
+/** Result of a claim: the right to dispatch, or the outcome of an earlier run to replay. */
 export type ClaimGrant =
-  | { readonly kind: 'ticket'; readonly ticket: Ticket }
+  | { readonly kind: 'claimed'; readonly ticket: Ticket }
   | { readonly kind: 'replay'; readonly outcome: Outcome };
 
 const outcomeSchema = z.object({ status: z.int(), contentType: z.string(), body: z.string() });
@@ -44,15 +45,16 @@
   z.object({ kind: z.literal('full') }),
 ]);
 
-/** Pause between tries to write an outcome or take a claim back, in milliseconds. */
+/** Pause between attempts to write an outcome or withdraw a claim, in milliseconds. */
 const RETRY_MS = 1000;
-/** Tries of such a write. */
-const TRIES = 120;
+/** Maximum number of attempts of such a write. */
+const MAX_ATTEMPTS = 120;
+/** Delay after which callers should retry, in milliseconds. */
 const RETRY_AFTER_MS = 2000;
-/** Status under which an answer that was too large to keep is recorded. */
-const NOT_KEPT = 0;
+/** Status recorded for an answer that is too large to store. */
+const NOT_KEPT_STATUS = 0;
 
-/** Claims, outcomes and withdrawals. */
+/** Claims calls, records their outcomes and withdraws claims. */
 export class LedgerClient {
   readonly #fleet: Fleet;
 
@@ -67,19 +69,23 @@
     this.#log = log;
   }
 
-  /** Writes left to be confirmed. */
+  /** Number of writes that wait for their next attempt. */
   get pending(): number {
     return this.#timers.size;
   }
 
-  /** Claims a call or finds its outcome; throws what the caller is to be told otherwise. */
+  /**
+   * Claims a call or returns the outcome of its earlier run. Otherwise throws the
+   * failure for the caller: `ledgerFull`, `keyReused`, `alreadyRunning`,
+   * `answerNotKept` or `ledgerUnavailable`.
+   */
   async claim(team: string, key: string, fingerprint: string): Promise<ClaimGrant> {
     const nonce = randomUUID();
-    const ticket = newTicket(team, key, nonce);
-    const result = await this.#claim(ticket, fingerprint);
-    if (result.kind === 'claimed') return { kind: 'ticket', ticket };
+    const claim = createClaim(team, key, nonce);
+    const result = await this.#claim(claim, fingerprint);
+    if (result.kind === 'claimed') return { kind: 'claimed', ticket: claim };
     if (result.kind === 'full') {
-      throw new Failure('ledgerFull', 'the ledger has no room', { retryAfterMs: RETRY_AFTER_MS });
+      throw new Failure('ledgerFull', 'the ledger is full', { retryAfterMs: RETRY_AFTER_MS });
     }
     if (result.kind === 'mismatch') {
       throw new Failure('keyReused', 'this key was used with another request');
@@ -89,37 +95,43 @@
         retryAfterMs: RETRY_AFTER_MS,
       });
     }
-    if (result.outcome.status === NOT_KEPT) {
-      throw new Failure('answerNotKept', 'the call ran and was answered');
+    if (result.outcome.status === NOT_KEPT_STATUS) {
+      throw new Failure('answerNotKept', 'the call ran, but its answer was too large to store');
     }
     return { kind: 'replay', outcome: result.outcome };
   }
 
-  /** Records an outcome; goes on trying while the store is down. */
-  settle(ticket: Ticket, outcome: Outcome): void {
+  /** Records an outcome in the background; retries while the store is down. */
+  settle(claim: Ticket, outcome: Outcome): void {
     const fits = Buffer.byteLength(outcome.body) <= OUTCOME_LIMIT_BYTES;
-    const kept = fits ? outcome : { status: NOT_KEPT, contentType: '', body: '' };
-    this.#insist(ticket, 'ledger.settle', { ...nameOf(ticket), outcome: kept }, TRIES);
+    const kept = fits ? outcome : { status: NOT_KEPT_STATUS, contentType: '', body: '' };
+    this.#writeWithRetries(
+      claim,
+      'ledger.settle',
+      { ...claimRefOf(claim), outcome: kept },
+      MAX_ATTEMPTS,
+    );
   }
 
-  /** Takes a claim back of which nothing ran. */
-  withdraw(ticket: Ticket): void {
-    this.#insist(ticket, 'ledger.withdraw', nameOf(ticket), TRIES);
+  /** Withdraws a claim whose call did not run, in the background. */
+  withdraw(claim: Ticket): void {
+    this.#writeWithRetries(claim, 'ledger.withdraw', claimRefOf(claim), MAX_ATTEMPTS);
   }
 
+  /** Drops all pending retries. */
   stop(): void {
     this.#stopped = true;
     for (const timer of this.#timers) clearTimeout(timer);
     this.#timers.clear();
   }
 
-  async #claim(ticket: Ticket, fingerprint: string): Promise<z.infer<typeof resultSchema>> {
+  async #claim(claim: Ticket, fingerprint: string): Promise<z.infer<typeof resultSchema>> {
     try {
-      const params = { ...nameOf(ticket), fingerprint };
-      return resultSchema.parse(await this.#call(ticket, 'ledger.claim', params));
+      const params = { ...claimRefOf(claim), fingerprint };
+      return resultSchema.parse(await this.#call(claim, 'ledger.claim', params));
     } catch (error) {
-      // The claim may have been written though its answer was lost; left there, it would block its key.
-      this.withdraw(ticket);
+      // The claim may have been written although its response was lost; it would then block its key.
+      this.withdraw(claim);
       const detail = toFailure(error).message;
       throw new Failure('ledgerUnavailable', detail, { retryAfterMs: RETRY_AFTER_MS });
     }
@@ -129,28 +141,28 @@
     return this.#fleet.callShard(shardOf(ledgerKey(team, key)), method, params);
   }
 
-  #insist(ticket: Ticket, method: string, params: unknown, tries: number): void {
-    this.#call(ticket, method, params).catch((error) => {
-      // A call that fails because of the stop itself must not start the next try.
+  #writeWithRetries(claim: Ticket, method: string, params: unknown, attemptsLeft: number): void {
+    this.#call(claim, method, params).catch((error) => {
+      // A call that fails because of stop() itself must not schedule the next attempt.
       if (this.#stopped) return;
-      if (tries <= 1) {
-        this.#log.error(`Gave up ${method}. ${toFailure(error).line}.`);
+      if (attemptsLeft <= 1) {
+        this.#log.error(`Abandoned ${method} after the last attempt. ${toFailure(error).line}.`);
         return;
       }
       const timer = setTimeout(() => {
         this.#timers.delete(timer);
-        this.#insist(ticket, method, params, tries - 1);
+        this.#writeWithRetries(claim, method, params, attemptsLeft - 1);
       }, RETRY_MS);
       this.#timers.add(timer);
     });
   }
 }
 
-function nameOf({ team, key, nonce }: Ticket): { team: string; key: string; nonce: string } {
+function claimRefOf({ team, key, nonce }: Ticket): { team: string; key: string; nonce: string } {
   return { team, key, nonce };
 }
 
-function newTicket(team: string, key: string, nonce: string): Ticket {
-  const until = performance.now() + DISPATCH_LIMIT_MS;
-  return { team, key, nonce, mayDispatch: () => performance.now() < until };
+function createClaim(team: string, key: string, nonce: string): Ticket {
+  const validUntil = performance.now() + DISPATCH_LIMIT_MS;
+  return { team, key, nonce, mayDispatch: () => performance.now() < validUntil };
 }
--- a/src/node/gateway/model.ts
+++ b/src/node/gateway/model.ts
@@ -1,4 +1,4 @@
-/** Model requests: checks them, brings repeats of one key together, and keeps the runs. */
+/** Handles model requests: validates them, joins attempts with the same key, and keeps the active runs. */
 
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -21,14 +21,15 @@
 import type { Sink } from './sink';
 import { EventSink, JsonSink, OnceSink } from './sink';
 
-/** What model requests work with. */
+/** Dependencies and settings of `ModelHandler`. */
 export interface ModelHandlerOptions extends Omit<RunContext, 'onEnd' | 'onLocated'> {
   readonly relay: Relay;
   /** Callers' address of this gateway. */
   readonly address: () => string;
+  /** Largest accepted body, in bytes. */
   readonly bodyBytes: number;
   readonly log: Logger;
-  /** Told of every end, for the service-level report. */
+  /** Called once for each ended request, for the service-level report. */
   readonly onOutcome: (request: ModelRequest, outcome: RunOutcome) => void;
 }
 
@@ -41,14 +42,14 @@
 
 type Completion = z.infer<typeof completionSchema>;
 
-/** Tells the caller the id under which logs and runners know its request. */
+/** Response header with the id of the request in logs and on runners. */
 const REQUEST_HEADER = 'goldcrestdock-request';
-/** Runs that the status shows. */
-const OLDEST_SHOWN = 5;
-/** Longest idempotency key. */
-const KEY_LIMIT = 200;
-/** Longest answer that is kept for replay, in characters. */
-const REPLAY_LIMIT = 128 * 1024;
+/** Maximum number of runs in the status. */
+const OLDEST_RUNS_LIMIT = 5;
+/** Longest idempotency key, in characters. */
+const KEY_LIMIT_CHARS = 200;
+/** Longest answer that is stored for replay, in characters. */
+const REPLAY_LIMIT_CHARS = 128 * 1024;
 
 const attemptSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('fresh') }),
@@ -65,14 +66,14 @@
   z.object({ kind: z.literal('mismatch') }),
 ]);
 
-/** Reads the idempotency key of a request. */
+/** Returns the idempotency key of a request, or undefined if it has none; throws `badRequest` if it is malformed. */
 export function keyOf(req: IncomingMessage): string | undefined {
   const { 'idempotency-key': key } = req.headers;
   if (key === undefined) return undefined;
-  if (typeof key !== 'string' || key === '' || key.length > KEY_LIMIT) {
+  if (typeof key !== 'string' || key === '' || key.length > KEY_LIMIT_CHARS) {
     throw new Failure(
       'badRequest',
-      `found an unusable Idempotency-Key, expected 1 to ${KEY_LIMIT} characters`,
+      `found an unusable Idempotency-Key, expected 1 to ${KEY_LIMIT_CHARS} characters`,
     );
   }
   return key;
@@ -94,58 +95,60 @@
   );
 }
 
-/** Takes model requests of callers. */
+/** Handles model requests of callers. */
 export class ModelHandler {
   readonly #options: ModelHandlerOptions;
 
   readonly #runs = new Map<string, ModelRun>();
 
-  /** Registry key of each keyed run. */
+  /** Registry keys of keyed runs, by request id. */
   readonly #keys = new Map<string, string>();
 
   constructor(options: ModelHandlerOptions) {
     this.#options = options;
   }
 
+  /** Number of active runs. */
   get size(): number {
     return this.#runs.size;
   }
 
-  /** The runs that are under way for longest. */
+  /** Describes the oldest active runs. */
   oldest(now: number): readonly RunDescription[] {
-    return [...this.#runs.values()].slice(0, OLDEST_SHOWN).map((run) => run.describe(now));
+    return [...this.#runs.values()].slice(0, OLDEST_RUNS_LIMIT).map((run) => run.describe(now));
   }
 
-  run(id: string): ModelRun | undefined {
+  /** Returns the active run with this request id, or undefined. */
+  findRun(id: string): ModelRun | undefined {
     return this.#runs.get(id);
   }
 
-  /** A message of a scheduler about a request. */
+  /** Passes a scheduler's message to the run that it is about. */
   receive(link: PeerLink, message: ToGateway): void {
     if ('id' in message) this.#runs.get(message.id)?.receive(link, message);
   }
 
-  /** Owners may have changed: every run looks for its own again. */
+  /** Makes every run check its owner again, after owners may have changed. */
   ownersChanged(): void {
     for (const run of this.#runs.values()) run.ownersChanged();
   }
 
-  /** Answers `POST /v1/completions`. */
+  /** Handles `POST /v1/completions`. */
   async handle(req: IncomingMessage, res: ServerResponse, team: string): Promise<void> {
     const now = Date.now();
     const key = keyOf(req);
     const body = await readBody(req, this.#options.bodyBytes);
     const completion = parseCompletion(body.toString());
-    const request = this.#check(team, completion, key !== undefined);
+    const request = this.#parseRequest(team, completion, key !== undefined);
     res.setHeader(REQUEST_HEADER, request.id);
     const sink = sinkFor(res, request, completion.stream);
-    if (key === undefined) this.#startFresh(request, sink, res, now);
+    if (key === undefined) this.#startRun(request, sink, res, now);
     else await this.#startKeyed(request, `${team}/${key}`, sink, res, now);
   }
 
-  #check(
+  #parseRequest(
     team: string,
-    { model, prompt, max_tokens: wanted }: Completion,
+    { model, prompt, max_tokens: requested }: Completion,
     keyed: boolean,
   ): ModelRequest {
     const service = this.#options.fleet.settings.service(team, model);
@@ -160,7 +163,7 @@
       service,
       prompt,
       promptTokens: countTokens(prompt),
-      maxTokens: Math.min(service.maxTokens, wanted ?? service.maxTokens),
+      maxTokens: Math.min(service.maxTokens, requested ?? service.maxTokens),
       fingerprint: contentIdOf(`${team} ${model}`, prompt),
       blocks: hashBlocks(salt, prompt),
       salt,
@@ -168,20 +171,20 @@
     };
   }
 
-  #startFresh(request: ModelRequest, sink: Sink, res: ServerResponse, now: number): ModelRun {
-    const run = this.#create(request, now);
-    watch(run, sink, res);
-    run.place();
+  #startRun(request: ModelRequest, sink: Sink, res: ServerResponse, now: number): ModelRun {
+    const run = this.#createRun(request, now);
+    attachSink(run, sink, res);
+    run.requestPlacement();
     return run;
   }
 
-  #create(request: ModelRequest, now: number): ModelRun {
+  #createRun(request: ModelRequest, now: number): ModelRun {
     const run = new ModelRun(
       request,
       {
         ...this.#options,
-        onEnd: (ended, outcome) => this.#ended(ended, outcome),
-        onLocated: (located, place) => this.#located(located, place),
+        onEnd: (ended, outcome) => this.#handleEnd(ended, outcome),
+        onLocated: (located, location) => this.#recordLocation(located, location),
       },
       now,
     );
@@ -209,14 +212,14 @@
       sink.replay(attempt.answer.text, attempt.answer.tokens);
     } else if (attempt.kind === 'fresh') {
       this.#keys.set(request.id, key);
-      this.#startFresh(request, sink, res, now);
+      this.#startRun(request, sink, res, now);
     } else {
-      await this.#join(request, key, attempt, sink, res, now);
+      await this.#joinRun(request, key, attempt, sink, res, now);
     }
   }
 
-  /** Reads the answer of a run that is under way, here or on another gateway. */
-  async #join(
+  /** Attaches the request to an active run, on this or another gateway. */
+  async #joinRun(
     request: ModelRequest,
     key: string,
     attempt: Extract<AttemptResult, { kind: 'running' }>,
@@ -227,7 +230,7 @@
     const local = this.#runs.get(attempt.id);
     if (local && !local.ended) {
       local.supersede();
-      watch(local, sink, res);
+      attachSink(local, sink, res);
       return;
     }
     const read = await this.#options.relay.read(attempt.gateway, attempt.id, sink, res);
@@ -235,7 +238,10 @@
     await this.#takeOver(request, key, attempt, sink, res, now);
   }
 
-  /** The gateway that had the run is gone, or broke off: goes on from its runner, or begins again. */
+  /**
+   * Takes over a run whose gateway failed or stopped sending: resumes the stream from
+   * its runner if that has all tokens from the start, or starts a new run.
+   */
   async #takeOver(
     request: ModelRequest,
     key: string,
@@ -245,8 +251,8 @@
     now: number,
   ): Promise<void> {
     const params = { key, from: id, gateway: this.#options.address(), id: request.id };
-    const taken = await this.#options.fleet.callKey(key, 'keys.transfer', params);
-    if (taken !== true) {
+    const isTransferred = await this.#options.fleet.callKey(key, 'keys.transfer', params);
+    if (isTransferred !== true) {
       sink.fail(
         new Failure('alreadyRunning', 'another attempt took this key', { retryAfterMs: 1000 }),
         false,
@@ -256,46 +262,51 @@
     this.#keys.set(request.id, key);
     this.#options.metrics.count('model.taken_over');
     if (!place || place.base > 0) {
-      this.#startFresh(request, sink, res, now);
+      this.#startRun(request, sink, res, now);
       return;
     }
-    const run = this.#create(request, now);
-    watch(run, sink, res);
+    const run = this.#createRun(request, now);
+    attachSink(run, sink, res);
     run.takeOver(place.runner, place.runId);
   }
 
-  #located(run: ModelRun, place: StreamLocation): void {
+  #recordLocation(run: ModelRun, location: StreamLocation): void {
     const { id } = run.request;
     const key = this.#keys.get(id);
-    if (key !== undefined) this.#tellRegistry(key, 'keys.locate', { key, id, ...place });
+    if (key !== undefined) this.#updateRegistry(key, 'keys.locate', { key, id, ...location });
   }
 
-  #ended(run: ModelRun, outcome: RunOutcome): void {
+  #handleEnd(run: ModelRun, outcome: RunOutcome): void {
     const { id } = run.request;
     this.#runs.delete(id);
     const key = this.#keys.get(id);
     this.#keys.delete(id);
-    if (key !== undefined) this.#conclude(run, key, outcome);
+    if (key !== undefined) this.#recordAnswer(run, key, outcome);
     this.#options.onOutcome(run.request, outcome);
   }
 
-  #conclude(run: ModelRun, key: string, { code, cancelled, tokens }: RunOutcome): void {
+  #recordAnswer(run: ModelRun, key: string, { code, cancelled, tokens }: RunOutcome): void {
     const { id } = run.request;
     const text = run.tokens.join('');
-    const whole = code === undefined && !cancelled;
-    if (whole && text.length <= REPLAY_LIMIT) {
-      this.#tellRegistry(key, 'keys.conclude', { key, id, text, tokens });
-    } else this.#tellRegistry(key, 'keys.abandon', { key, id });
+    const isComplete = code === undefined && !cancelled;
+    if (isComplete && text.length <= REPLAY_LIMIT_CHARS) {
+      this.#updateRegistry(key, 'keys.conclude', { key, id, text, tokens });
+    } else this.#updateRegistry(key, 'keys.abandon', { key, id });
   }
 
-  #tellRegistry(key: string, method: string, params: unknown): void {
+  #updateRegistry(key: string, method: string, params: unknown): void {
     this.#options.fleet.callKey(key, method, params).catch((error) => {
-      this.#options.log.debug(`The key registry did not take ${method}. ${toFailure(error).line}.`);
+      this.#options.log.debug(
+        `The key registry did not accept ${method}. ${toFailure(error).line}.`,
+      );
     });
   }
 }
 
-/** A sharing group counts only for teams that may use the same pool; a team's own name cannot stand for a group. */
+/**
+ * Cache salt of a team or its sharing group. A group only has an effect among teams
+ * that may use the same pool. The prefixes keep a team's name from matching a group.
+ */
 function saltOf(team: string, { sharingGroup }: ModelService): string {
   return sharingGroup === undefined ? `team/${team}` : `group/${sharingGroup}`;
 }
@@ -307,8 +318,8 @@
   );
 }
 
-/** A caller that closes its connection gives up its answer. */
-function watch(run: ModelRun, sink: Sink, res: ServerResponse): void {
+/** Attaches a sink to a run and detaches it when the caller disconnects. */
+function attachSink(run: ModelRun, sink: Sink, res: ServerResponse): void {
   run.attach(sink);
   res.on('close', () => run.detach(sink));
   if (res.destroyed) run.detach(sink);
--- a/src/node/gateway/operator.ts
+++ b/src/node/gateway/operator.ts
@@ -1,4 +1,4 @@
-/** The operators' port: settings, status and the service-level report. */
+/** Handles requests on the operators' port: settings, status and the service-level report. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -15,26 +15,27 @@
 import type { Fleet } from './fleet';
 import type { SettingsEditor } from './settings';
 
-/** What the operators' port works with. */
+/** Dependencies of `OperatorHandler`. */
 export interface OperatorHandlerOptions {
   readonly fleet: Fleet;
   readonly editor: SettingsEditor;
   readonly peerKey: string;
   readonly log: Logger;
+  /** Returns the status of this gateway as JSON data. */
   readonly status: () => unknown;
 }
 
 const SETTINGS_PATH = '/v1/settings/';
-/** Largest settings text, in bytes: the store's limit less the envelope. */
-const TEXT_LIMIT = 900_000;
-/** Time limit of asking one process, in milliseconds. */
-const ASK_LIMIT_MS = 2000;
-/** Longest wait for settings to be in force everywhere, in milliseconds. */
-const IN_FORCE_LIMIT_MS = 10_000;
-/** Pause between looks, in milliseconds. */
-const IN_FORCE_LOOK_MS = 100;
-
-/** Answers operators. */
+/** Largest settings text, in bytes: the store's limit minus the envelope. */
+const TEXT_LIMIT_BYTES = 900_000;
+/** Timeout of a query to one process, in milliseconds. */
+const QUERY_TIMEOUT_MS = 2000;
+/** Longest wait until settings are in force on all VMs, in milliseconds. */
+const IN_FORCE_TIMEOUT_MS = 10_000;
+/** Interval between checks whether settings are in force, in milliseconds. */
+const IN_FORCE_POLL_MS = 100;
+
+/** Handles requests of operators. */
 export class OperatorHandler {
   readonly #options: OperatorHandlerOptions;
 
@@ -42,6 +43,7 @@
     this.#options = options;
   }
 
+  /** Handles one request; failures are sent as an error response. */
   async handle(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
     try {
       await this.#route(req, res, url);
@@ -54,9 +56,9 @@
 
   async #route(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
     const { pathname } = url;
-    if (pathname.startsWith(SETTINGS_PATH)) await this.#settings(req, res, url);
-    else if (pathname === '/v1/status') await this.#status(req, res);
-    else if (pathname === '/v1/burn') await this.#burn(req, res);
+    if (pathname.startsWith(SETTINGS_PATH)) await this.#handleSettings(req, res, url);
+    else if (pathname === '/v1/status') await this.#sendStatus(req, res);
+    else if (pathname === '/v1/burn') await this.#sendBurn(req, res);
     else {
       throw new Failure(
         'badRequest',
@@ -65,7 +67,7 @@
     }
   }
 
-  async #settings(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
+  async #handleSettings(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
     const { editor } = this.#options;
     const path = decodeURIComponent(url.pathname.slice(SETTINGS_PATH.length));
     editor.authorize(tokenOf(req), path);
@@ -83,10 +85,10 @@
         'found no If-Match header, expected the revision that was read',
       );
     }
-    const body = (await readBody(req, TEXT_LIMIT)).toString();
+    const body = (await readBody(req, TEXT_LIMIT_BYTES)).toString();
     const revision = await editor.write(path, req.method === 'DELETE' ? null : body, expected);
     const missing = url.searchParams.has('wait')
-      ? await this.#missing(splitPath(path).path, revision)
+      ? await this.#waitUntilInForce(splitPath(path).path, revision)
       : undefined;
     sendJson(res, 200, {
       path,
@@ -95,54 +97,62 @@
     });
   }
 
-  /** Waits until every live VM has the revision in force; returns those that do not in time. */
-  async #missing(path: string, revision: number): Promise<readonly string[]> {
-    const until = Date.now() + IN_FORCE_LIMIT_MS;
-    let left = this.#live();
-    while (left.length > 0 && Date.now() < until) {
-      const answers = await Promise.all(left.map((vm) => this.#revisionAt(vm, path)));
-      left = left.filter((_, i) => (answers[i] ?? 0) < revision);
-      if (left.length > 0) {
-        await pause(IN_FORCE_LOOK_MS);
+  /** Waits until the revision is in force on every live VM; returns the VMs where it is not after the timeout. */
+  async #waitUntilInForce(path: string, revision: number): Promise<readonly string[]> {
+    const deadlineAt = Date.now() + IN_FORCE_TIMEOUT_MS;
+    let remaining = this.#liveVms();
+    while (remaining.length > 0 && Date.now() < deadlineAt) {
+      const answers = await Promise.all(remaining.map((vm) => this.#revisionAt(vm, path)));
+      remaining = remaining.filter((_, i) => (answers[i] ?? 0) < revision);
+      if (remaining.length > 0) {
+        await pause(IN_FORCE_POLL_MS);
       }
     }
-    return left;
+    return remaining;
   }
 
-  #live(): readonly string[] {
+  #liveVms(): readonly string[] {
     return this.#options.fleet.members
       .filter(({ state }) => state === 'alive' || state === 'suspect')
       .map(({ vm }) => vm);
   }
 
+  /** Returns the revision in force on a VM; 0 if it is unknown or does not respond. */
   async #revisionAt(vm: string, path: string): Promise<number> {
     const member = this.#options.fleet.members.find((known) => known.vm === vm);
     if (!member) return 0;
     try {
       return Number(
-        await this.#options.fleet.callMember(member, 'settings.revision', { path }, ASK_LIMIT_MS),
+        await this.#options.fleet.callMember(
+          member,
+          'settings.revision',
+          { path },
+          QUERY_TIMEOUT_MS,
+        ),
       );
     } catch {
       return 0;
     }
   }
 
-  async #status(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #sendStatus(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const { fleet, status } = this.#options;
     if (!fleet.settings.isOperator(tokenOf(req))) {
-      throw new Failure('forbidden', 'the status needs an operator token');
+      throw new Failure('forbidden', 'the status requires an operator token');
     }
     const schedulers = await Promise.all(
       fleet.members.map(async (member) => {
         const { vm, state, draining, gateways } = member;
-        const detail = await fleet.callMember(member, 'status', {}, ASK_LIMIT_MS).catch(() => null);
+        const detail = await fleet
+          .callMember(member, 'status', {}, QUERY_TIMEOUT_MS)
+          .catch(() => null);
         return { vm, state, draining, gateways, detail };
       }),
     );
     sendJson(res, 200, { gateway: status(), schedulers });
   }
 
-  async #burn(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #sendBurn(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const { fleet } = this.#options;
     const token = tokenOf(req);
     const team = fleet.settings.teamOf(token);
@@ -166,13 +176,14 @@
     return mergeBurn(new Map(parts), fleet.settings, team);
   }
 
+  /** Queries one gateway; undefined if it does not respond with a valid report. */
   async #burnAt(address: string): Promise<GatewayBurn | undefined> {
     try {
       const answer = await call({
         method: 'GET',
         url: `http://${address}/internal/burn`,
         headers: { authorization: `Bearer ${this.#options.peerKey}` },
-        timeoutMs: ASK_LIMIT_MS,
+        timeoutMs: QUERY_TIMEOUT_MS,
       });
       return answer.status === 200 ? gatewayBurnSchema.parse(JSON.parse(answer.body)) : undefined;
     } catch {
--- a/src/node/gateway/plain.ts
+++ b/src/node/gateway/plain.ts
@@ -1,4 +1,4 @@
-/** Plain calls: idempotent ones are tried again within a budget, others run at most once. */
+/** Handles plain calls: idempotent calls are retried within a budget, others run at most once. */
 
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import { Agent, request } from 'node:http';
@@ -19,41 +19,47 @@
 import type { LedgerClient, Ticket } from './ledger';
 import { keyOf } from './model';
 
-/** What plain calls work with. */
+/** Dependencies and settings of `PlainHandler`. */
 export interface PlainHandlerOptions {
   readonly fleet: Fleet;
   readonly ledger: LedgerClient;
+  /** Failure domain of this VM. */
   readonly domain: string;
+  /** Largest accepted body, in bytes. */
   readonly bodyBytes: number;
   readonly log: Logger;
   readonly metrics: Metrics;
-  /** Told of every end, for the service-level report. */
+  /** Called once for each ended call, for the service-level report; `code` is undefined on success. */
   readonly onOutcome: (team: string, service: string, code: CodeName | undefined) => void;
 }
 
-/** A call to be passed on. */
+/** A call to be forwarded to a runner. */
 interface PlainCall {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly team: string;
   readonly serviceName: string;
   readonly service: PlainService;
-  /** Path and query behind the service's name. */
+  /** Path and query after the service's name. */
   readonly path: string;
 }
 
-/** How one dispatch ended. `refused`: the runner said, or the connection proves, that nothing ran. `brokeOff`: it was not given up here. */
+/**
+ * How one dispatch ended. `refused`: the runner reports, or the refused connection proves,
+ * that nothing ran. `lost`: the call may have run; `isBrokenOff` is false if this gateway
+ * aborted it on timeout.
+ */
 type Dispatch =
   | { readonly kind: 'answered'; readonly answer: IncomingMessage }
   | { readonly kind: 'refused'; readonly leaving: boolean }
-  | { readonly kind: 'lost'; readonly error: Error; readonly brokeOff: boolean };
+  | { readonly kind: 'lost'; readonly error: Error; readonly isBrokenOff: boolean };
 
-/** Bodies up to this size are kept, so that the call can be sent again; larger ones stream through once. */
-const KEPT_BODY_BYTES = 256 * 1024;
-/** When to come back if no runner is able, in milliseconds. */
+/** Bodies up to this size are buffered, so that the call can be sent again; larger ones are streamed once. */
+const BUFFERED_BODY_LIMIT_BYTES = 256 * 1024;
+/** Delay after which callers should retry if no runner is available, in milliseconds. */
 const RETRY_AFTER_MS = 1000;
-/** Headers that belong to one connection and are not passed on (RFC 9110, 7.6.1). */
-const HOP_HEADERS = new Set([
+/** Headers that are not forwarded: hop-by-hop headers (RFC 9110, 7.6.1) and those that only concern the gateway. */
+const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -67,11 +73,14 @@
   'expect',
 ]);
 
-function passedOn(headers: IncomingMessage['headers']): OutgoingHttpHeaders {
-  return Object.fromEntries(Object.entries(headers).filter(([name]) => !HOP_HEADERS.has(name)));
+/** Returns the headers that are forwarded. */
+function forwardedHeaders(headers: IncomingMessage['headers']): OutgoingHttpHeaders {
+  return Object.fromEntries(
+    Object.entries(headers).filter(([name]) => !CONNECTION_HEADERS.has(name)),
+  );
 }
 
-/** Whether a service's settings mark a call as one that may run at most once. */
+/** Whether a service's settings declare a call as non-idempotent, so that it may run at most once. */
 export function isNonIdempotent(service: PlainService, method: string, path: string): boolean {
   return service.nonIdempotent.some((rule) => {
     const [ruleMethod, prefix = '/'] = rule.split(' ');
@@ -79,7 +88,7 @@
   });
 }
 
-/** Takes plain calls of callers. */
+/** Handles plain calls of callers. */
 export class PlainHandler {
   readonly #options: PlainHandlerOptions;
 
@@ -87,27 +96,29 @@
 
   readonly #budget = new RetryBudget();
 
-  /** Calls that end their runners, as this gateway has seen. */
+  /** Calls whose runners crashed while processing them, as observed by this gateway. */
   readonly #quarantine = new Quarantine();
 
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 256 });
 
-  #open = 0;
+  #openCalls = 0;
 
   constructor(options: PlainHandlerOptions) {
     this.#options = options;
     this.#balancer = new PlainBalancer(options.domain);
   }
 
+  /** Number of open calls. */
   get size(): number {
-    return this.#open;
+    return this.#openCalls;
   }
 
+  /** Closes the connections to runners. */
   close(): void {
     this.#agent.destroy();
   }
 
-  /** Answers any method under `/services/NAME/`. */
+  /** Handles any method under `/services/NAME/`. */
   async handle(
     req: IncomingMessage,
     res: ServerResponse,
@@ -120,17 +131,17 @@
       throw new Failure('unknownService', `there is no plain service '${serviceName}'`);
     }
     const call: PlainCall = { req, res, team, serviceName, service, path };
-    const once = isNonIdempotent(service, req.method ?? 'GET', path);
-    this.#open += 1;
+    const isOnce = isNonIdempotent(service, req.method ?? 'GET', path);
+    this.#openCalls += 1;
     try {
-      await (once ? this.#handleOnce(call) : this.#handleIdempotent(call));
+      await (isOnce ? this.#handleOnce(call) : this.#handleIdempotent(call));
       this.#options.onOutcome(team, serviceName, undefined);
     } catch (error) {
       const failure = toFailure(error);
       this.#options.onOutcome(team, serviceName, failure.codeName);
       throw failure;
     } finally {
-      this.#open -= 1;
+      this.#openCalls -= 1;
     }
   }
 
@@ -140,7 +151,10 @@
     const length = Number(
       req.headers['content-length'] ?? (req.headers['transfer-encoding'] ? Infinity : 0),
     );
-    const body = length <= KEPT_BODY_BYTES ? await readBody(req, KEPT_BODY_BYTES) : undefined;
+    const body =
+      length <= BUFFERED_BODY_LIMIT_BYTES
+        ? await readBody(req, BUFFERED_BODY_LIMIT_BYTES)
+        : undefined;
     if (length !== Infinity && length > this.#options.bodyBytes) {
       throw new Failure(
         'bodyTooLarge',
@@ -149,48 +163,51 @@
     }
     const tried = new Set<string>();
     for (;;) {
-      this.#refuseEnding(call, body, tried.size > 0);
+      this.#refuseQuarantined(call, body, tried.size > 0);
       const runner = this.#choose(call, tried);
       const sent = await this.#dispatch(call, runner, body);
       if (sent.kind === 'answered') {
-        await this.#passBack(call, sent.answer);
+        await this.#forwardAnswer(call, sent.answer);
         return;
       }
       tried.add(runner.id);
-      this.#mayRetry(call, sent, body !== undefined);
+      this.#checkRetry(call, sent, body !== undefined);
     }
   }
 
-  /** Throws if runners ended under this very call, whoever sent it. */
-  #refuseEnding(call: PlainCall, body: Buffer | undefined, ran: boolean): void {
+  /** Throws if runners crashed while processing the same call, whichever attempt sent it. */
+  #refuseQuarantined(call: PlainCall, body: Buffer | undefined, isRepeat: boolean): void {
     if (!body) return;
-    const retryAfterMs = this.#quarantine.refusedForMs(Date.now(), contentOf(call, body));
+    const retryAfterMs = this.#quarantine.refusedForMs(Date.now(), callFingerprint(call, body));
     if (retryAfterMs === undefined) return;
-    const detail = 'several runners ended under this call';
-    if (ran) throw new Failure('runnerFailed', detail);
+    const detail = 'several runners crashed while processing this call';
+    if (isRepeat) throw new Failure('runnerFailed', detail);
     throw new Failure('quarantined', detail, { retryAfterMs });
   }
 
-  /** Runners keep their ids when they start anew, so each end counts. */
-  #noteEnd(call: PlainCall, body: Buffer, sent: Dispatch, runner: string): void {
+  /** Reports the result to the quarantine. Runners keep their ids across restarts, so the time is added to count each crash. */
+  #reportToQuarantine(call: PlainCall, body: Buffer, sent: Dispatch, runner: string): void {
     const now = Date.now();
-    const fingerprint = contentOf(call, body);
+    const fingerprint = callFingerprint(call, body);
     if (sent.kind === 'answered') this.#quarantine.completed(now, fingerprint);
-    else if (sent.kind === 'lost' && sent.brokeOff) {
+    else if (sent.kind === 'lost' && sent.isBrokenOff) {
       this.#quarantine.ended(now, fingerprint, `${runner}@${now}`);
     }
   }
 
-  /** A call that was sent may have run; only idempotent calls get here, and each repeat is paid from the budget. */
-  #mayRetry(
+  /**
+   * Throws unless the call may be retried. A lost call may have run; only idempotent
+   * calls are checked here, and each retry after a loss is charged to the retry budget.
+   */
+  #checkRetry(
     { team }: PlainCall,
     sent: Exclude<Dispatch, { kind: 'answered' }>,
-    kept: boolean,
+    isBuffered: boolean,
   ): void {
-    if (!kept) {
+    if (!isBuffered) {
       throw new Failure(
         'runnerFailed',
-        'the runner was lost, and the body was too large to be kept for another',
+        'the runner was lost, and the body was too large to be buffered for a retry',
       );
     }
     if (sent.kind === 'refused') return;
@@ -217,33 +234,33 @@
     const key = keyOf(req);
     if (key === undefined) throw new Failure('keyRequired', 'found no Idempotency-Key header');
     const body = await readBody(req, this.#options.bodyBytes);
-    this.#refuseEnding(call, body, false);
+    this.#refuseQuarantined(call, body, false);
     const fingerprint = fingerprintOf(`${req.method} ${path}`, body);
-    const claim = await this.#options.ledger.claim(team, key, fingerprint);
-    if (claim.kind === 'replay') {
-      const { status, contentType, body: text } = claim.outcome;
+    const result = await this.#options.ledger.claim(team, key, fingerprint);
+    if (result.kind === 'replay') {
+      const { status, contentType, body: text } = result.outcome;
       res.writeHead(status, { 'content-type': contentType, 'goldcrestdock-replay': 'true' });
       res.end(text);
       return;
     }
-    await this.#runOnce(call, body, claim.ticket);
+    await this.#runOnce(call, body, result.ticket);
   }
 
-  /** Only a dispatch of which it is proven that nothing ran is followed by another. */
-  async #runOnce(call: PlainCall, body: Buffer, ticket: Ticket): Promise<void> {
+  /** Dispatches again only if the previous dispatch provably did not run. */
+  async #runOnce(call: PlainCall, body: Buffer, claim: Ticket): Promise<void> {
     const { ledger } = this.#options;
     const tried = new Set<string>();
     for (;;) {
-      const runner = this.#chooseOnce(call, tried, ticket);
-      if (!ticket.mayDispatch()) {
-        ledger.withdraw(ticket);
+      const runner = this.#chooseOnce(call, tried, claim);
+      if (!claim.mayDispatch()) {
+        ledger.withdraw(claim);
         throw new Failure('ledgerUnavailable', 'the claim is too old to be dispatched', {
           retryAfterMs: RETRY_AFTER_MS,
         });
       }
       const sent = await this.#dispatch(call, runner, body);
       if (sent.kind === 'answered') {
-        await this.#settle(call, sent.answer, ticket);
+        await this.#settle(call, sent.answer, claim);
         return;
       }
       if (sent.kind === 'lost') {
@@ -256,28 +273,31 @@
     }
   }
 
-  #chooseOnce(call: PlainCall, tried: ReadonlySet<string>, ticket: Ticket): RunnerSettings {
+  #chooseOnce(call: PlainCall, tried: ReadonlySet<string>, claim: Ticket): RunnerSettings {
     const runners = this.#options.fleet.settings.pool(call.service.pool)?.runners ?? [];
     const runner = this.#balancer.choose(Date.now(), runners, tried);
     if (runner) return runner;
-    this.#options.ledger.withdraw(ticket);
+    this.#options.ledger.withdraw(claim);
     throw new Failure('noRunner', `no runner of pool ${call.service.pool} takes calls`, {
       retryAfterMs: RETRY_AFTER_MS,
     });
   }
 
-  async #settle({ res }: PlainCall, answer: IncomingMessage, ticket: Ticket): Promise<void> {
+  async #settle({ res }: PlainCall, answer: IncomingMessage, claim: Ticket): Promise<void> {
     let body: Buffer;
     try {
       body = await readBody(answer, this.#options.bodyBytes);
     } catch (error) {
-      throw new Failure('outcomeUnknown', `the answer broke off: ${toFailure(error).message}`);
+      throw new Failure(
+        'outcomeUnknown',
+        `the answer was interrupted: ${toFailure(error).message}`,
+      );
     }
     const status = answer.statusCode ?? 502;
     const contentType = answer.headers['content-type'] ?? 'application/octet-stream';
-    this.#options.ledger.settle(ticket, { status, contentType, body: body.toString() });
+    this.#options.ledger.settle(claim, { status, contentType, body: body.toString() });
     if (res.destroyed) return;
-    res.writeHead(status, passedOn(answer.headers));
+    res.writeHead(status, forwardedHeaders(answer.headers));
     res.end(body);
   }
 
@@ -288,14 +308,16 @@
   ): Promise<Dispatch> {
     this.#balancer.begin(runner.id);
     const sent = await this.#send(call, runner, body);
-    const leaving =
-      sent.kind === 'answered' && sent.answer.statusCode === 503 && (await saysNotRun(sent.answer));
-    if (leaving) {
+    const isLeaving =
+      sent.kind === 'answered' &&
+      sent.answer.statusCode === 503 &&
+      (await statesNotRun(sent.answer));
+    if (isLeaving) {
       this.#balancer.end(Date.now(), runner.id, 'leaving');
-      return { kind: 'refused', leaving };
+      return { kind: 'refused', leaving: isLeaving };
     }
     this.#balancer.end(Date.now(), runner.id, sent.kind === 'answered' ? 'ok' : 'lost');
-    if (body) this.#noteEnd(call, body, sent, runner.id);
+    if (body) this.#reportToQuarantine(call, body, sent, runner.id);
     return sent;
   }
 
@@ -305,8 +327,8 @@
     body: Buffer | undefined,
   ): Promise<Dispatch> {
     return new Promise((resolve) => {
-      const headers = passedOn(req.headers);
-      // A kept-alive connection that the runner closes at this moment looks like a lost call; a call that may not be repeated opens its own.
+      const headers = forwardedHeaders(req.headers);
+      // If the runner closes a kept-alive connection at this moment, the call looks lost; a call that cannot be repeated therefore opens a new connection.
       const agent = body === undefined || req.method !== 'GET' ? false : this.#agent;
       const signal = AbortSignal.timeout(service.timeoutMs);
       const out = request(url + path, { method: req.method, headers, agent, signal }, (answer) => {
@@ -315,7 +337,7 @@
       });
       out.on('error', (error) => {
         if (isRefusedConnect(error)) resolve({ kind: 'refused', leaving: false });
-        else resolve({ kind: 'lost', error, brokeOff: !signal.aborted });
+        else resolve({ kind: 'lost', error, isBrokenOff: !signal.aborted });
       });
       if (body === undefined) this.#streamBody(req, out);
       else out.end(body);
@@ -326,39 +348,39 @@
     req: IncomingMessage,
     out: NodeJS.WritableStream & { destroy(error?: Error): void },
   ): void {
-    let left = this.#options.bodyBytes;
+    let bytesLeft = this.#options.bodyBytes;
     req.on('data', (chunk: Buffer) => {
-      left -= chunk.length;
-      if (left < 0) out.destroy(new Failure('bodyTooLarge', 'the body is over the limit'));
+      bytesLeft -= chunk.length;
+      if (bytesLeft < 0) out.destroy(new Failure('bodyTooLarge', 'the body is over the limit'));
     });
     pipeline(req, out).catch(() => out.destroy());
   }
 
-  async #passBack({ res }: PlainCall, answer: IncomingMessage): Promise<void> {
+  async #forwardAnswer({ res }: PlainCall, answer: IncomingMessage): Promise<void> {
     if (res.destroyed) {
       answer.destroy();
       return;
     }
-    res.writeHead(answer.statusCode ?? 502, passedOn(answer.headers));
-    // The status is out: cutting the connection is the only way left to tell a part from the whole.
+    res.writeHead(answer.statusCode ?? 502, forwardedHeaders(answer.headers));
+    // The status was already sent; only a closed connection can show the caller that the body is incomplete.
     answer.once('error', () => cutOff(res));
     try {
       await pipeline(answer, res);
     } catch (error) {
-      this.#options.log.debug(`An answer broke off. ${(error as Error).message}.`);
+      this.#options.log.debug(`An answer was interrupted. ${(error as Error).message}.`);
     }
   }
 }
 
-/** What all attempts of one call have in common. */
-function contentOf({ team, serviceName, req, path }: PlainCall, body: Buffer): string {
+/** Content hash of a call; the same for all attempts. */
+function callFingerprint({ team, serviceName, req, path }: PlainCall, body: Buffer): string {
   return contentIdOf(`${team} ${serviceName} ${req.method} ${path}`, body);
 }
 
-/** A 503 counts as "not run" only if the runner says so in its body. */
-async function saysNotRun(answer: IncomingMessage): Promise<boolean> {
+/** Whether the body of a 503 response states that the call did not run; without it, the call may have run. */
+async function statesNotRun(answer: IncomingMessage): Promise<boolean> {
   if (answer.headers['content-type'] !== 'application/json') return false;
-  const text = (await readBody(answer, KEPT_BODY_BYTES)).toString();
+  const text = (await readBody(answer, BUFFERED_BODY_LIMIT_BYTES)).toString();
   try {
     return (JSON.parse(text) as { not_run?: boolean }).not_run === true;
   } catch {
--- a/src/node/gateway/relay.ts
+++ b/src/node/gateway/relay.ts
@@ -1,4 +1,4 @@
-/** Reads an answer from another gateway that works on the same request. */
+/** Reads the answer of a run that another gateway processes. */
 
 import type { ServerResponse } from 'node:http';
 
@@ -7,10 +7,10 @@
 import { END_OF_EVENTS, openStream, readEvents } from '../../utils/events';
 import type { Sink } from './sink';
 
-/** Path under which gateways let each other read a run. */
+/** Path prefix under which gateways stream runs to each other. */
 export const RELAY_PATH = '/internal/streams/';
 
-/** How reading ended: with the whole answer, or broken off anywhere before. */
+/** How reading ended: `whole` after the complete answer, `broken` at any point before. */
 export type RelayResult = 'whole' | 'broken';
 
 const tokenSchema = z.object({
@@ -18,10 +18,10 @@
   choices: z.tuple([z.object({ text: z.string() })]),
 });
 
-/** Time in which the other gateway must begin to answer, in milliseconds. */
-const BEGIN_LIMIT_MS = 1000;
-/** Time without any token after which the other gateway is given up, in milliseconds. */
-const SILENCE_LIMIT_MS = 5000;
+/** Timeout until the first token of the other gateway, in milliseconds. */
+const FIRST_TOKEN_TIMEOUT_MS = 1000;
+/** Reading is aborted if no token arrives for this time, in milliseconds. */
+const IDLE_TIMEOUT_MS = 5000;
 
 /** Reads runs of other gateways over HTTP. */
 export class Relay {
@@ -31,21 +31,24 @@
     this.#key = key;
   }
 
-  /** Feeds the sink until the end. What it was fed before a break stays with it. */
+  /**
+   * Forwards the answer to the sink. Does not throw: errors and timeouts give
+   * `broken`, and the sink keeps the tokens it received before.
+   */
   async read(gateway: string, id: string, sink: Sink, res: ServerResponse): Promise<RelayResult> {
-    const stop = new AbortController();
-    res.on('close', () => stop.abort());
-    // A frozen gateway accepts the connection and says nothing: the reader must not wait with it.
-    let silence = setTimeout(() => stop.abort(), BEGIN_LIMIT_MS);
+    const controller = new AbortController();
+    res.on('close', () => controller.abort());
+    // A suspended gateway accepts the connection but sends nothing; the timeout ends the wait.
+    let idleTimer = setTimeout(() => controller.abort(), FIRST_TOKEN_TIMEOUT_MS);
     try {
       const url = `http://${gateway}${RELAY_PATH}${encodeURIComponent(id)}`;
       const headers = { authorization: `Bearer ${this.#key}` };
-      const stream = await openStream({ method: 'GET', url, headers, signal: stop.signal });
+      const stream = await openStream({ method: 'GET', url, headers, signal: controller.signal });
       if (stream.statusCode !== 200) return 'broken';
       let tokens = 0;
       for await (const line of readEvents(stream)) {
-        clearTimeout(silence);
-        silence = setTimeout(() => stop.abort(), SILENCE_LIMIT_MS);
+        clearTimeout(idleTimer);
+        idleTimer = setTimeout(() => controller.abort(), IDLE_TIMEOUT_MS);
         if (line === END_OF_EVENTS) {
           sink.end(tokens);
           return 'whole';
@@ -58,7 +61,7 @@
     } catch {
       return 'broken';
     } finally {
-      clearTimeout(silence);
+      clearTimeout(idleTimer);
     }
   }
 }
--- a/src/node/gateway/request.ts
+++ b/src/node/gateway/request.ts
@@ -1,4 +1,4 @@
-/** Data of a model request and its run, and what is worked out from them alone. */
+/** Data types of a model request and its run, and pure functions on them. */
 
 import type { Logger } from 'pino';
 
@@ -13,7 +13,7 @@
 import type { ModelRun } from './run';
 import type { Silence } from './silence';
 
-/** A checked model request. */
+/** A validated model request. */
 export interface ModelRequest {
   readonly id: string;
   readonly team: string;
@@ -22,39 +22,42 @@
   readonly prompt: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** The same for all attempts of one request. */
+  /** Content hash; the same for all attempts of one request. */
   readonly fingerprint: string;
+  /** Hashes of the prompt's blocks, for matching prefix caches. */
   readonly blocks: readonly number[];
-  /** Keeps the prefix caches of teams apart. */
+  /** Cache salt that separates the prefix caches of teams. */
   readonly salt: string;
-  /** Whether another attempt with the same key may come for the answer. */
+  /** Whether the request has an idempotency key, so that another attempt may fetch its answer. */
   readonly keyed: boolean;
 }
 
-/** What runs work with. */
+/** Dependencies of `ModelRun`. */
 export interface RunContext {
   readonly fleet: Fleet;
   readonly runners: RunnerClient;
   readonly canceller: Canceller;
   readonly log: Logger;
   readonly metrics: Metrics;
-  /** Told once when the run has ended. */
+  /** Called once when the run has ended. */
   readonly onEnd: (run: ModelRun, outcome: RunOutcome) => void;
-  /** Told where the answer streams, so that another gateway could go on with it. */
-  readonly onLocated: (run: ModelRun, place: StreamLocation) => void;
+  /** Called with the runner that streams the answer, so that another gateway can resume it. */
+  readonly onLocated: (run: ModelRun, location: StreamLocation) => void;
 }
 
 /** How a run ended. */
 export interface RunOutcome {
+  /** Error code; undefined if the run completed or was cancelled. */
   readonly code: CodeName | undefined;
   readonly cancelled: boolean;
+  /** Time to first token, in milliseconds; undefined if no token arrived. */
   readonly firstTokenMs: number | undefined;
-  /** Mean time between tokens, in milliseconds. */
+  /** Mean time between tokens, in milliseconds; undefined for fewer than two tokens. */
   readonly tokenMs: number | undefined;
   readonly tokens: number;
 }
 
-/** A run as the status shows it. */
+/** Description of a run in the status. */
 export interface RunDescription {
   readonly id: string;
   readonly stage: string;
@@ -65,24 +68,24 @@
   readonly tokens: number;
 }
 
-/** A run's place on a runner. */
+/** The execution of one step of a run on a runner. */
 export interface Place {
   readonly runner: string;
   readonly url: string;
   readonly runId: string;
-  /** Ends the step at this place when the runner goes silent. */
+  /** Aborts the step when the runner sends nothing for too long. */
   readonly silence: Silence;
 }
 
-/** How far a run has come, as its gateway sees it. */
+/** Stage of a run, as tracked by its gateway. */
 export type RunStage = 'queued' | 'prefilling' | 'prefilled' | 'decoding' | 'ended';
 
-/** How messages to the owner name a request. */
+/** Fields that identify a request in messages to the owner. */
 export function nameOf({ id, service }: ModelRequest): Pick<Message<'started'>, 'pool' | 'id'> {
   return { pool: service.pool, id };
 }
 
-/** What the owner needs to know of a request to place it. */
+/** Fields of a request that the owner needs for placement; `dueInMs` is the time left until the first token is due. */
 export function arrivalOf(request: ModelRequest, dueInMs: number): Omit<Message<'arrive'>, 'kind'> {
   const { team, service, promptTokens, maxTokens, blocks, fingerprint } = request;
   const { tier } = service;
@@ -90,7 +93,7 @@
   return { ...nameOf(request), team, tier, ...size, fingerprint, dueInMs };
 }
 
-/** The engine's job for a run. Tokens that are out become part of the prompt, so that the engine goes on behind them. */
+/** The engine's job for a run. Tokens received so far become part of the prompt, so that the engine continues after them. */
 export function jobOf(
   { prompt, maxTokens, service, salt, keyed }: ModelRequest,
   tokens: readonly string[],
@@ -106,7 +109,7 @@
   };
 }
 
-/** Times of an answer, in milliseconds; `firstAt` is undefined if no token came. */
+/** Latencies of an answer, in milliseconds; `firstAt` is undefined if no token arrived. */
 export function timingOf(
   startedAt: number,
   firstAt: number | undefined,
--- a/src/node/gateway/run.ts
+++ b/src/node/gateway/run.ts
@@ -1,4 +1,4 @@
-/** One model request on its way: talks to the owner of its cell and to runners, and feeds its sinks. */
+/** Processes one model request: exchanges messages with the owner of its cell, runs it on runners, and forwards the answer to its sinks. */
 
 import type { CodeName } from '../../core/codes';
 import { codes } from '../../core/codes';
@@ -21,20 +21,20 @@
 import type { Sink } from './sink';
 import { Answer } from './answer';
 
-/** Pause before asking again when no owner can be reached, in milliseconds. */
+/** Pause before the next placement request when no owner is reachable, in milliseconds. */
 const OWNER_RETRY_MS = 50;
-/** A run without an owner waits at least this long for a new one once it was sent to runners, in milliseconds. */
-const OWNER_WAIT_MS = 10_000;
-/** A runner that says nothing for this long during a prefill is given up, in milliseconds. */
-const PREFILL_SILENCE_MS = 15_000;
-/** A runner that sends no token for this long is given up, in milliseconds; the transfer comes before the first. */
-const TOKEN_SILENCE_MS = 5000;
-/** How long a keyed run goes on without a reader, in milliseconds. */
-const UNREAD_MS = 2000;
-/** When callers should come back after no owner was found, in milliseconds. */
-const NO_OWNER_RETRY_MS = 1000;
-
-/** A request from its placing to its end. */
+/** A run that has received tokens reports this time until placement is due to its owner, in milliseconds; it leaves time for a change of owner. */
+const RESUME_DUE_MS = 10_000;
+/** A runner that sends nothing for this time during a prefill counts as lost, in milliseconds. */
+const PREFILL_IDLE_TIMEOUT_MS = 15_000;
+/** A runner that sends no token for this time counts as lost, in milliseconds; includes the KV cache transfer before the first token. */
+const TOKEN_IDLE_TIMEOUT_MS = 5000;
+/** How long a keyed run continues without a reader, in milliseconds. */
+const UNREAD_TIMEOUT_MS = 2000;
+/** Delay after which callers should retry when no owner was found, in milliseconds. */
+const NO_OWNER_RETRY_AFTER_MS = 1000;
+
+/** A model request from placement to its end. */
 export class ModelRun {
   readonly request: ModelRequest;
 
@@ -44,7 +44,7 @@
 
   readonly #answer = new Answer();
 
-  readonly #limit: NodeJS.Timeout;
+  readonly #deadlineTimer: NodeJS.Timeout;
 
   #stage: RunStage = 'queued';
 
@@ -56,29 +56,30 @@
 
   #owner: PeerLink | undefined;
 
-  #work = new AbortController();
+  #controller = new AbortController();
 
-  #retry: NodeJS.Timeout | undefined;
+  #retryTimer: NodeJS.Timeout | undefined;
 
-  #unread: NodeJS.Timeout | undefined;
+  #unreadTimer: NodeJS.Timeout | undefined;
 
-  #sent = false;
+  #isDispatched = false;
 
   constructor(request: ModelRequest, context: RunContext, now: number) {
     this.request = request;
     this.#context = context;
     this.#startedAt = now;
-    this.#limit = setTimeout(
+    this.#deadlineTimer = setTimeout(
       () => this.#fail('timedOut', 'the time limit of the answer has passed'),
       request.service.totalMs,
     );
   }
 
+  /** Whether the run has ended, for any reason. */
   get ended(): boolean {
     return this.#stage === 'ended';
   }
 
-  /** For operators who look for the cause of a slow request. */
+  /** Describes the run for the status, to diagnose slow requests. */
   describe(now: number): RunDescription {
     return {
       id: this.request.id,
@@ -91,123 +92,130 @@
     };
   }
 
+  /** Tokens received so far, in order. */
   get tokens(): readonly string[] {
     return this.#answer.tokens;
   }
 
-  /** Adds a reader and gives it what is out already. */
+  /** Adds a sink and sends it all tokens received so far. */
   attach(sink: Sink): void {
-    clearTimeout(this.#unread);
+    clearTimeout(this.#unreadTimer);
     this.#answer.attach(sink);
   }
 
-  /** A reader is gone. Without readers the run ends, keyed runs after a while. */
+  /** Removes a sink. A run without sinks is cancelled, a keyed run only after `UNREAD_TIMEOUT_MS`. */
   detach(sink: Sink): void {
     if (!this.#answer.detach(sink) || this.ended) return;
-    if (this.request.keyed) this.#unread = setTimeout(() => this.cancel(), UNREAD_MS);
+    if (this.request.keyed) this.#unreadTimer = setTimeout(() => this.cancel(), UNREAD_TIMEOUT_MS);
     else this.cancel();
   }
 
-  /** Ends all readers in favour of a newer attempt. */
+  /** Ends all sinks with `superseded`, as a newer attempt reads the answer. */
   supersede(): void {
     const failure = new Failure('superseded', 'a newer attempt with this key reads the answer now');
     this.#answer.fail(failure, false);
   }
 
-  /** Asks the owner for a place; again when the owner has changed. */
-  place(): void {
+  /** Requests placement from the owner of the pool; does nothing if that owner already has the request. */
+  requestPlacement(): void {
     if (this.ended) return;
     const owner = this.#context.fleet.ownerOf(this.request.service.pool);
     if (owner && owner === this.#owner && owner.up) return;
     if (!owner) {
-      this.#placeLater();
+      this.#retryPlacement();
       return;
     }
     this.#owner?.send({ kind: 'cancelled', ...nameOf(this.request) });
     this.#owner = owner;
-    this.#ask();
+    this.#sendState();
   }
 
-  /** The link to the owner was lost or came back: everything is asked for again. */
+  /** Requests placement again if the owner changed or the link to it was lost. */
   ownersChanged(): void {
     if (this.ended) return;
     if (this.#owner && !this.#owner.up) this.#owner = undefined;
-    this.place();
+    this.requestPlacement();
   }
 
+  /** Handles a message of a scheduler; ignored unless it comes from the current owner. */
   receive(link: PeerLink, message: ToGateway): void {
     if (link !== this.#owner || this.ended) return;
     if (message.kind === 'prefill') this.#startPrefill(message);
     else if (message.kind === 'decode') this.#startDecode(message);
-    else if (message.kind === 'refuse') this.#refused(message);
-    else if (message.kind === 'notOwner') this.#notOwner();
+    else if (message.kind === 'refuse') this.#handleRefusal(message);
+    else if (message.kind === 'notOwner') this.#handleNotOwner();
   }
 
-  /** Goes on with an answer that streams on a runner since an earlier gateway's time. */
+  /** Resumes an answer that a runner streams for a run of another gateway. */
   takeOver(runner: string, runId: string): void {
     const url = this.#urlOf(runner);
     if (url === undefined) {
-      this.place();
+      this.requestPlacement();
       return;
     }
-    this.#sent = true;
+    this.#isDispatched = true;
     this.#stage = 'decoding';
-    const place = { runner, url, runId, silence: new Silence(this.#work.signal) };
-    this.#decode = place;
-    this.place();
-    this.#stream(this.#context.runners.resume(url, runId, 0, place.silence.signal), place);
+    const execution = { runner, url, runId, silence: new Silence(this.#controller.signal) };
+    this.#decode = execution;
+    this.requestPlacement();
+    this.#startStream(
+      this.#context.runners.resume(url, runId, 0, execution.silence.signal),
+      execution,
+    );
   }
 
-  /** The caller is gone: frees every runner and the place at the owner. */
+  /** Cancels the run after its caller disconnected: releases every runner and the reservation at the owner. */
   cancel(): void {
     if (this.ended) return;
     this.#context.metrics.count('model.cancelled');
     this.#end({ code: undefined, cancelled: true });
   }
 
-  #ask(): void {
+  #sendState(): void {
     const common = arrivalOf(this.request, this.#dueInMs());
     const stage = this.#stage;
     if (stage === 'prefilling' || stage === 'prefilled' || stage === 'decoding') {
-      const places: { prefillRunner?: string; decodeRunner?: string } = {};
-      if (this.#prefill) places.prefillRunner = this.#prefill.runner;
-      if (this.#decode) places.decodeRunner = this.#decode.runner;
-      this.#tell({ kind: 'adopt', ...common, stage, ...places });
+      const runners: { prefillRunner?: string; decodeRunner?: string } = {};
+      if (this.#prefill) runners.prefillRunner = this.#prefill.runner;
+      if (this.#decode) runners.decodeRunner = this.#decode.runner;
+      this.#send({ kind: 'adopt', ...common, stage, ...runners });
     } else {
-      this.#tell({ kind: 'arrive', ...common });
+      this.#send({ kind: 'arrive', ...common });
     }
   }
 
   #dueInMs(): number {
-    if (this.#answer.tokens.length > 0) return OWNER_WAIT_MS;
+    if (this.#answer.tokens.length > 0) return RESUME_DUE_MS;
     return this.#startedAt + this.request.service.firstTokenMs - Date.now();
   }
 
-  #tell(message: ToScheduler): void {
+  #send(message: ToScheduler): void {
     this.#owner?.send(message);
   }
 
-  #notOwner(): void {
+  #handleNotOwner(): void {
     this.#owner = undefined;
-    this.#placeLater();
+    this.#retryPlacement();
   }
 
-  #placeLater(): void {
-    const waited = Date.now() - this.#startedAt;
-    const limit = this.#sent ? this.request.service.totalMs : this.request.service.firstTokenMs;
-    if (waited > limit) {
+  #retryPlacement(): void {
+    const waitedMs = Date.now() - this.#startedAt;
+    const limitMs = this.#isDispatched
+      ? this.request.service.totalMs
+      : this.request.service.firstTokenMs;
+    if (waitedMs > limitMs) {
       this.#fail(
         'noOwner',
         `no scheduler plans pool ${this.request.service.pool}`,
-        NO_OWNER_RETRY_MS,
+        NO_OWNER_RETRY_AFTER_MS,
       );
       return;
     }
-    clearTimeout(this.#retry);
-    this.#retry = setTimeout(() => this.place(), OWNER_RETRY_MS);
+    clearTimeout(this.#retryTimer);
+    this.#retryTimer = setTimeout(() => this.requestPlacement(), OWNER_RETRY_MS);
   }
 
-  #refused({ code, retryAfterMs }: Message<'refuse'>): void {
+  #handleRefusal({ code, retryAfterMs }: Message<'refuse'>): void {
     this.#fail(code, codes[code].meaning, retryAfterMs);
   }
 
@@ -216,7 +224,7 @@
     return pool?.runners.find(({ id }) => id === runner)?.url;
   }
 
-  #newPlace(runner: string): Place | undefined {
+  #newExecution(runner: string): Place | undefined {
     const url = this.#urlOf(runner);
     if (url === undefined) return undefined;
     this.#attempt += 1;
@@ -224,119 +232,120 @@
       runner,
       url,
       runId: runIdOf(this.request.id, this.#attempt),
-      silence: new Silence(this.#work.signal),
+      silence: new Silence(this.#controller.signal),
     };
   }
 
   /**
-   * The owner's action does not fit what this gateway holds: messages crossed
-   * while owners changed. Dropped without a word, the owner would wait for its
-   * action and this run for another, for ever; so the owner is told what is true
-   * here and comes into line. A repeated action needs nothing.
+   * Handles an action of the owner that does not match the state of this run, which
+   * happens when messages cross during a change of owner. If it were ignored, the
+   * owner would wait for its action and this run for another one forever. The state
+   * is sent again instead, so that the owner corrects its own. A repeated action
+   * needs no response.
    */
-  #contradict(repeated: boolean): void {
-    if (!repeated) this.#ask();
+  #resolveMismatch(isRepeated: boolean): void {
+    if (!isRepeated) this.#sendState();
   }
 
   #startPrefill({ runner }: Message<'prefill'>): void {
     if (this.#stage !== 'queued' && this.#stage !== 'prefilled') {
-      this.#contradict(this.#stage === 'prefilling' && this.#prefill?.runner === runner);
+      this.#resolveMismatch(this.#stage === 'prefilling' && this.#prefill?.runner === runner);
       return;
     }
-    const place = this.#newPlace(runner);
-    if (!place) {
-      this.#tellFailed(runner, 'lost');
+    const execution = this.#newExecution(runner);
+    if (!execution) {
+      this.#sendFailed(runner, 'lost');
       return;
     }
     this.#stage = 'prefilling';
-    this.#prefill = place;
-    this.#sent = true;
-    place.silence.expect(PREFILL_SILENCE_MS);
+    this.#prefill = execution;
+    this.#isDispatched = true;
+    execution.silence.expect(PREFILL_IDLE_TIMEOUT_MS);
     this.#context.runners
       .prefill(
-        place.url,
-        jobOf(this.request, this.#answer.tokens, place.runId),
-        place.silence.signal,
+        execution.url,
+        jobOf(this.request, this.#answer.tokens, execution.runId),
+        execution.silence.signal,
       )
-      .finally(() => place.silence.stop())
+      .finally(() => execution.silence.stop())
       .then(({ cachedTokens, keptMs }) => {
-        if (this.#prefill !== place || this.#stage !== 'prefilling') return;
+        if (this.#prefill !== execution || this.#stage !== 'prefilling') return;
         this.#stage = 'prefilled';
-        this.#tell({ kind: 'prefilled', ...nameOf(this.request), cachedTokens, keptMs });
+        this.#send({ kind: 'prefilled', ...nameOf(this.request), cachedTokens, keptMs });
       })
-      .catch((error: Error) => this.#prefillFailed(place, error));
+      .catch((error: Error) => this.#handlePrefillFailure(execution, error));
   }
 
-  #prefillFailed(place: Place, error: Error): void {
-    if (this.ended || this.#prefill !== place) return;
+  #handlePrefillFailure(execution: Place, error: Error): void {
+    if (this.ended || this.#prefill !== execution) return;
     this.#prefill = undefined;
     this.#stage = 'queued';
-    this.#failedAt(place, error);
+    this.#handleFailure(execution, error);
   }
 
   #startDecode({ runner, source }: Message<'decode'>): void {
     const from = this.#prefill;
     if (this.#stage !== 'prefilled' || from?.runner !== source) {
-      this.#contradict(this.#stage === 'decoding' && this.#decode?.runner === runner);
+      this.#resolveMismatch(this.#stage === 'decoding' && this.#decode?.runner === runner);
       return;
     }
-    const place = this.#newPlace(runner);
-    if (!place) {
-      this.#tellFailed(runner, 'lost');
+    const execution = this.#newExecution(runner);
+    if (!execution) {
+      this.#sendFailed(runner, 'lost');
       return;
     }
     this.#stage = 'decoding';
-    this.#decode = place;
-    const job = jobOf(this.request, this.#answer.tokens, place.runId);
+    this.#decode = execution;
+    const job = jobOf(this.request, this.#answer.tokens, execution.runId);
     const tokens = this.#context.runners.decode(
-      place.url,
+      execution.url,
       job,
       { url: from.url, runId: from.runId },
-      place.silence.signal,
+      execution.silence.signal,
     );
     if (this.request.keyed) {
       const base = this.#answer.tokens.length;
-      this.#context.onLocated(this, { runner: place.runner, runId: place.runId, base });
+      this.#context.onLocated(this, { runner: execution.runner, runId: execution.runId, base });
     }
-    this.#stream(tokens, place);
+    this.#startStream(tokens, execution);
   }
 
-  #stream(tokens: AsyncIterable<Token>, place: Place): void {
-    place.silence.expect(TOKEN_SILENCE_MS);
-    this.#read(tokens, place)
-      .finally(() => place.silence.stop())
-      .catch((error: Error) => this.#decodeFailed(place, error));
+  #startStream(tokens: AsyncIterable<Token>, execution: Place): void {
+    execution.silence.expect(TOKEN_IDLE_TIMEOUT_MS);
+    this.#readTokens(tokens, execution)
+      .finally(() => execution.silence.stop())
+      .catch((error: Error) => this.#handleDecodeFailure(execution, error));
   }
 
-  async #read(tokens: AsyncIterable<Token>, place: Place): Promise<void> {
+  async #readTokens(tokens: AsyncIterable<Token>, execution: Place): Promise<void> {
     const base = this.#answer.tokens.length;
     for await (const { offset, text } of tokens) {
-      if (this.ended || this.#decode !== place) return;
-      place.silence.expect(TOKEN_SILENCE_MS);
-      this.#accept(base + offset, text);
+      if (this.ended || this.#decode !== execution) return;
+      execution.silence.expect(TOKEN_IDLE_TIMEOUT_MS);
+      this.#addToken(base + offset, text);
     }
-    if (this.ended || this.#decode !== place) return;
+    if (this.ended || this.#decode !== execution) return;
     this.#finish();
   }
 
-  /** A token that is out already is dropped. */
-  #accept(offset: number, text: string): void {
+  /** Adds a token to the answer; drops it if it was received before. */
+  #addToken(offset: number, text: string): void {
     if (!this.#answer.isNext(offset)) return;
     if (this.#prefill) {
       this.#prefill = undefined;
-      this.#tell({ kind: 'started', ...nameOf(this.request) });
+      this.#send({ kind: 'started', ...nameOf(this.request) });
     }
     this.#answer.add(Date.now(), text);
   }
 
-  #decodeFailed(place: Place, error: Error): void {
-    if (this.ended || this.#decode !== place) return;
+  #handleDecodeFailure(execution: Place, error: Error): void {
+    if (this.ended || this.#decode !== execution) return;
     this.#decode = undefined;
     const keepsPrefill =
       error instanceof RunnerFailure && error.reason === 'full' && this.#prefill !== undefined;
     this.#stage = keepsPrefill ? 'prefilled' : 'queued';
     if (!keepsPrefill) this.#dropPrefill();
-    this.#failedAt(place, error);
+    this.#handleFailure(execution, error);
   }
 
   #dropPrefill(): void {
@@ -345,48 +354,48 @@
     if (prefill) this.#context.canceller.cancel(prefill.url, prefill.runId);
   }
 
-  #failedAt(place: Place, error: Error): void {
+  #handleFailure(execution: Place, error: Error): void {
     const reason = error instanceof RunnerFailure ? error.reason : 'lost';
     this.#context.metrics.count(`runner.${reason}`);
-    if (reason === 'lost') this.#context.canceller.cancel(place.url, place.runId);
-    this.#tellFailed(place.runner, reason);
+    if (reason === 'lost') this.#context.canceller.cancel(execution.url, execution.runId);
+    this.#sendFailed(execution.runner, reason);
   }
 
-  #tellFailed(runner: string, reason: RunnerFailure['reason']): void {
+  #sendFailed(runner: string, reason: RunnerFailure['reason']): void {
     const tokens = this.#answer.tokens.length;
-    this.#tell({ kind: 'failed', ...nameOf(this.request), runner, reason, tokens });
+    this.#send({ kind: 'failed', ...nameOf(this.request), runner, reason, tokens });
   }
 
   #finish(): void {
     this.#decode = undefined;
     this.#prefill = undefined;
-    this.#tell({ kind: 'finished', ...nameOf(this.request), tokens: this.#answer.tokens.length });
+    this.#send({ kind: 'finished', ...nameOf(this.request), tokens: this.#answer.tokens.length });
     this.#owner = undefined;
     this.#end({ code: undefined, cancelled: false });
     this.#answer.end();
   }
 
-  /** "Not run" is said only if this gateway sent nothing to any runner. */
+  /** Ends the run with a failure. It is reported as "not run" only if this gateway sent nothing to any runner. */
   #fail(code: CodeName, detail: string, retryAfterMs?: number): void {
     if (this.ended) return;
     const failure = new Failure(code, detail, retryAfterMs === undefined ? {} : { retryAfterMs });
-    const notRun = !this.#sent && codes[code].notRun;
+    const notRun = !this.#isDispatched && codes[code].notRun;
     this.#end({ code, cancelled: false });
     this.#answer.fail(failure, notRun);
   }
 
-  #end(how: Pick<RunOutcome, 'code' | 'cancelled'>): void {
+  #end(result: Pick<RunOutcome, 'code' | 'cancelled'>): void {
     this.#stage = 'ended';
-    clearTimeout(this.#limit);
-    clearTimeout(this.#retry);
-    clearTimeout(this.#unread);
-    this.#tell({ kind: 'cancelled', ...nameOf(this.request) });
-    this.#work.abort();
-    for (const place of [this.#prefill, this.#decode]) {
-      if (place) this.#context.canceller.cancel(place.url, place.runId);
+    clearTimeout(this.#deadlineTimer);
+    clearTimeout(this.#retryTimer);
+    clearTimeout(this.#unreadTimer);
+    this.#send({ kind: 'cancelled', ...nameOf(this.request) });
+    this.#controller.abort();
+    for (const execution of [this.#prefill, this.#decode]) {
+      if (execution) this.#context.canceller.cancel(execution.url, execution.runId);
     }
     this.#context.onEnd(this, {
-      ...how,
+      ...result,
       ...timingOf(this.#startedAt, this.#answer.firstAt, this.#answer.tokens.length, Date.now()),
     });
   }
--- a/src/node/gateway/settings.ts
+++ b/src/node/gateway/settings.ts
@@ -1,4 +1,4 @@
-/** Operators' reads and writes of settings, straight against the store. */
+/** Reads and writes of settings by operators, directly against the store. */
 
 import { randomUUID } from 'node:crypto';
 
@@ -15,7 +15,7 @@
 import { CONSORTIUM, TEAM_PREFIX, parseDocument, parseJsonc } from '../../core/settings/parse';
 import type { Platform } from '../platform/client';
 
-/** A document or a part of it, as read. */
+/** A settings document or a part of it. */
 export interface SettingsRead {
   readonly path: string;
   readonly revision: number;
@@ -23,17 +23,18 @@
   readonly text: string;
 }
 
-interface Current {
+/** The current state of a document; `text` is null if it does not exist. */
+interface DocumentState {
   readonly revision: number;
   readonly text: string | null;
-  /** Index to compare with; 0 if the key does not exist. */
+  /** Index of the key for compare-and-swap; 0 if the key does not exist. */
   readonly index: number;
 }
 
-/** Tries of a write whose answer was lost. */
-const TRIES = 3;
+/** Maximum number of attempts of a write whose response was lost. */
+const MAX_WRITE_ATTEMPTS = 3;
 
-/** Settings for operators. */
+/** Checks access to settings documents, reads and writes them. */
 export class SettingsEditor {
   readonly #platform: Platform;
 
@@ -44,7 +45,10 @@
     this.#settings = settings;
   }
 
-  /** Throws `forbidden` unless the token covers the path. Another team's path looks the same whether it exists or not. */
+  /**
+   * Throws `unauthorized` for an unknown token and `forbidden` if the token does not
+   * cover the path. The error does not reveal whether another team's path exists.
+   */
   authorize(token: string, path: string): void {
     const settings = this.#settings();
     const { path: document } = splitPath(path);
@@ -53,43 +57,46 @@
     if (team === undefined && !operator) {
       throw new Failure('unauthorized', 'found an unknown bearer token');
     }
-    const covered = document === CONSORTIUM ? operator : document === `${TEAM_PREFIX}${team}`;
-    if (!covered) throw new Failure('forbidden', `the token does not cover ${path}`);
+    const isCovered = document === CONSORTIUM ? operator : document === `${TEAM_PREFIX}${team}`;
+    if (!isCovered) throw new Failure('forbidden', `the token does not cover ${path}`);
   }
 
+  /** Reads a document or a part of it; throws `settingsNotFound` if there is no such document. */
   async read(path: string): Promise<SettingsRead> {
     const { path: document, inside } = splitPath(path);
-    const { revision, text } = await this.#current(document);
+    const { revision, text } = await this.#readState(document);
     if (text === null) throw new Failure('settingsNotFound', `there is no ${document}`);
     if (inside.length === 0) return { path, revision, text };
     return { path, revision, text: JSON.stringify(valueAt(text, inside, document), null, 2) };
   }
 
   /**
-   * Writes a document or a part of it, if its revision still is `expected`.
-   * Returns the new revision once the store has confirmed it.
+   * Writes a document or a part of it if its revision is still `expected`; a null
+   * body deletes. Returns the new revision once the store has confirmed it. Throws
+   * `settingsConflict` if the revision differs, and `settingsUnconfirmed` if the
+   * store does not confirm the write.
    */
   async write(path: string, body: string | null, expected: number): Promise<number> {
     const { path: document, inside } = splitPath(path);
-    const current = await this.#current(document);
+    const current = await this.#readState(document);
     if (current.revision !== expected) {
       throw new Failure(
         'settingsConflict',
         `${document} is at revision ${current.revision}, expected ${expected}`,
       );
     }
-    const text = newText(document, inside, current.text ?? '', body);
+    const text = applyEdit(document, inside, current.text ?? '', body);
     if (text !== null) parseDocument(document, text);
     const envelope: Envelope = { revision: current.revision + 1, nonce: randomUUID(), text };
-    return this.#store(document, envelope, current.index);
+    return this.#writeEnvelope(document, envelope, current.index);
   }
 
   /**
-   * What is in force counts, also when the store is older: a write based on the
-   * store's older revision would get a number that everybody has passed, and be
-   * ignored though it was accepted.
+   * The settings in force take precedence over an older state of the store. A write
+   * based on the store's older revision would get a revision number that all processes
+   * have already passed, and would be ignored although it was accepted.
    */
-  async #current(document: string): Promise<Current> {
+  async #readState(document: string): Promise<DocumentState> {
     const stored = await this.#platform.read(SETTINGS_PREFIX + document);
     const index = stored?.index ?? 0;
     const envelope = stored ? parseEnvelope(stored.value) : undefined;
@@ -101,13 +108,13 @@
   }
 
   /**
-   * An answer may be lost after the write took effect. Reading back and finding
-   * our nonce tells so; finding the old index, the same write is tried again,
-   * which the comparison with the index makes safe.
+   * The response may be lost after the write took effect. The key is then read back:
+   * if it contains the nonce of this write, the write succeeded. If it still has the
+   * old index, the write is repeated, which is safe because it compares the index.
    */
-  async #store(document: string, envelope: Envelope, index: number): Promise<number> {
+  async #writeEnvelope(document: string, envelope: Envelope, index: number): Promise<number> {
     const key = SETTINGS_PREFIX + document;
-    for (let attempt = 0; attempt < TRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt += 1) {
       const outcome = await this.#platform.write(key, JSON.stringify(envelope), index);
       if (outcome === 'written') return envelope.revision;
       const stored = await this.#platform.read(key).catch(() => undefined);
@@ -127,7 +134,8 @@
   }
 }
 
-function newText(
+/** Returns the new text of a document; null deletes it. */
+function applyEdit(
   document: string,
   inside: readonly string[],
   old: string,
--- a/src/node/gateway/silence.ts
+++ b/src/node/gateway/silence.ts
@@ -1,32 +1,34 @@
 /**
- * Gives up a step when the other side goes silent.
+ * Aborts a step when the other side sends nothing for too long.
  *
- * A frozen runner keeps its connections open: the request would wait until its
- * whole time limit and hold its slot meanwhile. Silence for longer than any
- * healthy step takes is treated as loss, and the request goes on elsewhere.
+ * A suspended runner keeps its connections open: without this timeout the request
+ * would hold its slot until its overall time limit. Inactivity for longer than any
+ * healthy step takes counts as a lost runner, and the request continues elsewhere.
  */
 export class Silence {
-  readonly #stop = new AbortController();
+  readonly #controller = new AbortController();
 
   readonly #signal: AbortSignal;
 
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param outer ends the step too */
+  /** @param outer aborts the step as well */
   constructor(outer: AbortSignal) {
-    this.#signal = AbortSignal.any([outer, this.#stop.signal]);
+    this.#signal = AbortSignal.any([outer, this.#controller.signal]);
   }
 
+  /** Aborted on timeout or by the outer signal. */
   get signal(): AbortSignal {
     return this.#signal;
   }
 
-  /** Something must be heard within this time from now, in milliseconds. */
+  /** Starts the timer, or restarts it with the duration of the first call; `ms` is in milliseconds. */
   expect(ms: number): void {
     if (this.#timer) this.#timer.refresh();
-    else this.#timer = setTimeout(() => this.#stop.abort(), ms);
+    else this.#timer = setTimeout(() => this.#controller.abort(), ms);
   }
 
+  /** Stops the timer. */
   stop(): void {
     clearTimeout(this.#timer);
   }
--- a/src/node/gateway/sink.ts
+++ b/src/node/gateway/sink.ts
@@ -1,23 +1,24 @@
-/** Where the tokens of an answer go. */
+/** Sinks that write the tokens of an answer to a response. */
 
 import type { ServerResponse } from 'node:http';
 
 import { Failure } from '../../core/failure';
 import { errorBody, sendFailure, sendJson } from '../../utils/http';
 
-/** A reader of one answer. */
+/** A reader of one answer. Either `end` or `fail` is called last. */
 export interface Sink {
-  /** One more token; `offset` counts from the beginning of the answer. */
+  /** Receives one token; `offset` counts tokens from the start of the answer. */
   token(offset: number, text: string): void;
+  /** Ends a complete answer of `tokens` tokens. */
   end(tokens: number): void;
-  /** The answer ends without being whole. */
+  /** Ends an incomplete answer; `notRun` is true if the request provably did not run. */
   fail(failure: Failure, notRun: boolean): void;
 }
 
 /**
- * Passes each token on once. A reader that moves from a broken stream to
- * another one is fed from the beginning again; without this it would see the
- * tokens before the break twice. Fails if the other stream is a different answer.
+ * Forwards each token once. After a broken stream, a reader is attached to another
+ * one that starts from the first token again; without deduplication it would receive
+ * the earlier tokens twice. Fails if the other stream carries a different answer.
  */
 export class OnceSink implements Sink {
   readonly #sink: Sink;
@@ -35,7 +36,7 @@
     const next = this.#tokens.length;
     if (offset < next && this.#tokens[offset] === text) return;
     if (offset !== next) {
-      this.#contradict(`found another token ${offset} after ${next}`);
+      this.#failMismatch(`found another token ${offset} after ${next}`);
       return;
     }
     this.#tokens.push(text);
@@ -44,12 +45,12 @@
 
   end(tokens: number): void {
     if (this.#failed) return;
-    const given = this.#tokens.length;
-    if (tokens === given) this.#sink.end(tokens);
-    else this.#contradict(`found an end after ${tokens} tokens, expected ${given}`);
+    const forwarded = this.#tokens.length;
+    if (tokens === forwarded) this.#sink.end(tokens);
+    else this.#failMismatch(`found an end after ${tokens} tokens, expected ${forwarded}`);
   }
 
-  /** Passes on a whole answer that was kept as one text. */
+  /** Forwards a complete answer that was stored as one text of `tokens` tokens. */
   replay(text: string, tokens: number): void {
     this.#sink.token(0, text);
     this.#sink.end(tokens);
@@ -59,20 +60,20 @@
     if (!this.#failed) this.#sink.fail(failure, notRun);
   }
 
-  #contradict(detail: string): void {
+  #failMismatch(detail: string): void {
     this.#failed = true;
     this.#sink.fail(new Failure('runnerFailed', detail), false);
   }
 }
 
-/** What both forms of an answer carry. */
+/** Fields that streamed and whole responses have in common. */
 export interface AnswerFrame {
   readonly id: string;
-  /** Name of the service, as the caller gave it. */
+  /** Name of the service, as given by the caller. */
   readonly model: string;
 }
 
-/** Sends tokens as server-sent events as they come. */
+/** Sends each token at once as a server-sent event. */
 export class EventSink implements Sink {
   readonly #res: ServerResponse;
 
@@ -100,7 +101,10 @@
     this.#res.end('data: [DONE]\n\n');
   }
 
-  /** Once tokens are out the status is sent, so the failure goes as an event; the missing end mark tells it from a whole answer. */
+  /**
+   * Once a token was sent, the status can no longer change, so the failure is sent
+   * as an event. The missing `[DONE]` distinguishes it from a complete answer.
+   */
   fail(failure: Failure, notRun: boolean): void {
     if (!this.#res.headersSent) {
       sendFailure(this.#res, failure, notRun);
@@ -110,7 +114,7 @@
   }
 }
 
-/** Collects the answer and sends it whole. */
+/** Collects the answer and sends it as one JSON response. */
 export class JsonSink implements Sink {
   readonly #res: ServerResponse;
 
--- a/test/node/answers.test.ts
+++ b/test/node/answers.test.ts
@@ -4,7 +4,7 @@
 import { Cluster, tokens } from '../fakes/cluster';
 import { ANSWER_PART } from '../fakes/service';
 
-/** Calls a plain service; tells what came and whether it looks whole. */
+/** Calls a plain service; returns status, whether the response is complete, and its error name or text. */
 function outcomeOf(url: string, method: string, key?: string): Promise<string> {
   const headers = {
     authorization: `Bearer ${tokens.clerks}`,
@@ -27,7 +27,7 @@
   });
 }
 
-describe('an answer without a length whose connection is reset', () => {
+describe('a response without a length whose connection is reset', () => {
   const cluster = new Cluster({ vms: 1 });
 
   beforeAll(async () => {
@@ -36,14 +36,14 @@
   }, 30_000);
   afterAll(() => cluster.stop());
 
-  // Guards against half an answer that looks complete.
-  test('is cut for the caller too', async () => {
+  // Guards against a truncated response that looks complete.
+  test('is truncated for the caller as well', async () => {
     const url = `${cluster.callers(0)}/services/registry/tiles`;
     expect(await outcomeOf(url, 'GET')).toBe(`200 cut ${ANSWER_PART}`);
   });
 
-  // Guards against half an answer that is kept, and given to each repeat of the call.
-  test('is not kept as the outcome of a call that runs once', async () => {
+  // Guards against a truncated response that is stored and replayed to each repeat of the call.
+  test('is not stored as the outcome of a non-idempotent call', async () => {
     const url = `${cluster.callers(0)}/services/registry/receipts`;
     const outcomes = [
       await outcomeOf(url, 'POST', 'receipt-1'),
--- a/test/node/budget.test.ts
+++ b/test/node/budget.test.ts
@@ -1,8 +1,8 @@
 import { LineBudget } from '../../src/node/budget';
 
-describe('a budget of lines', () => {
-  /* A fleet of 195 starts, and each VM hears of all others within a second. The log gets a few lines and their number. */
-  test('lets some through in each second and says how many were left out', () => {
+describe('the log line budget', () => {
+  /* When a fleet of 195 VMs starts, each VM receives the state of all others within a second. The log contains a few of these lines and the number of dropped ones. */
+  test('allows a limited number of lines per second and reports how many were dropped', () => {
     const rest: number[] = [];
     const budget = new LineBudget(3, (lines) => rest.push(lines));
     const through = Array.from({ length: 195 }, (_, i) => budget.allows(i * 5)).filter(Boolean);
--- a/test/node/edges.test.ts
+++ b/test/node/edges.test.ts
@@ -8,7 +8,7 @@
 import { Cluster, tokens } from '../fakes/cluster';
 import { call } from '../fakes/http';
 
-/** Sends raw bytes and gives what comes back until the other side closes. */
+/** Sends raw bytes and returns the response up to the close by the other side. */
 function sendRaw(url: string, text: string, halfClose = false): Promise<string> {
   const { hostname, port } = new URL(url);
   return new Promise((resolve, reject) => {
@@ -37,14 +37,14 @@
 
 const clerk = { authorization: `Bearer ${tokens.clerks}` };
 
-describe('bad input at the edges', () => {
+describe('invalid input on the ports', () => {
   const cluster = new Cluster();
 
   beforeAll(() => cluster.start(), 30_000);
   afterAll(() => cluster.stop());
 
-  /* Whatever a caller sends, others must not notice: one stream runs through all of it. */
-  test('gets a numbered error and leaves another request untouched', async () => {
+  /* Invalid input of one caller must not affect others: one stream is open during all of it. */
+  test('gets a numbered error and does not affect another request', async () => {
     const witness = openStream(cluster.callers(0), 'witness', 800);
     const post = (body: unknown, headers = clerk): Promise<unknown> =>
       call('POST', `${cluster.callers(0)}/v1/completions`, body, headers).then(
@@ -85,7 +85,7 @@
     expect(witness.text).toBe(answerText('witness', 800));
   });
 
-  test('that is no http gets a numbered error', async () => {
+  test('that is not HTTP gets a numbered error', async () => {
     const answer = await sendRaw(cluster.callers(0), 'EHLO mail\r\n\r\n');
     expect(answer.split('\r\n\r\n')[1]).toMatchInlineSnapshot(`
      "{"error":{"code":201,"name":"badRequest","message":"found HPE_INVALID_METHOD, expected HTTP","notRun":true,"remedy":"Mend the part of the request that is named."}}
@@ -104,7 +104,7 @@
     `);
   });
 
-  test('on a connection that is closed half way is answered all the same', async () => {
+  test('on a half-closed connection gets a response', async () => {
     const answer = await sendRaw(
       cluster.callers(0),
       'GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n',
@@ -113,7 +113,7 @@
     expect(answer).toContain('{"ok":true}');
   });
 
-  test('on the peer port is cut off, and the scheduler goes on', async () => {
+  test('on the peer port closes the connection, and the scheduler keeps working', async () => {
     const cutOff = (first: Buffer): Promise<string> =>
       new Promise((resolve) => {
         const socket = new WebSocket(`ws://${cluster.peers(0)}/peer`);
--- a/test/node/leaving.test.ts
+++ b/test/node/leaving.test.ts
@@ -3,14 +3,14 @@
 import { Cluster, eventually } from '../fakes/cluster';
 import { call } from '../fakes/http';
 
-describe('leaving', () => {
+describe('shutdown', () => {
   const cluster = new Cluster({ vms: 3 });
 
   beforeAll(() => cluster.start(), 30_000);
   afterAll(() => cluster.stop());
 
-  /* The platform lists a runner's VM as leaving. The runner itself says nothing yet; it must get no new work all the same. */
-  test('runners listed by the platform get no new work', async () => {
+  /* The platform lists a runner's VM as leaving before the runner itself reports it. The runner must not get new work. */
+  test('of runners that the platform lists gives them no new work', async () => {
     await ask(cluster.callers(0), 'opens the cell', 10);
     const [gone] = cluster.decodeRunners;
     const host = new URL(gone?.url ?? '').hostname;
@@ -31,11 +31,11 @@
   });
 
   /*
-   * A gateway is stopped while it streams. It leaves the address answers, goes on
-   * with what it has, and still takes requests of callers who were given its
-   * address before; the stream ends whole.
+   * A gateway is stopped while it streams. It is removed from the address responses,
+   * completes its open requests, and still accepts requests of callers that received
+   * its address earlier. The stream must complete.
    */
-  test('gateways cut no request and refuse none that comes by an address given before', async () => {
+  test('of a gateway interrupts no request and refuses none that uses an address given earlier', async () => {
     const prompt = 'long title history '.repeat(30);
     const stream = openStream(cluster.callers(1), prompt, 900);
     await eventually('it streams', () => stream.offsets.length > 3);
@@ -56,8 +56,8 @@
     expect(stream.whole).toBe(true);
   }, 20_000);
 
-  /* The owner of the cell is stopped while requests stream. Their gateways tell the next owner what they hold; nothing is cut. */
-  test('schedulers cut no request, and others plan their cells', async () => {
+  /* The owner of the cell is stopped while requests stream. Their gateways report their runs to the next owner; no stream may be interrupted. */
+  test('of a scheduler interrupts no request, and others take over its cells', async () => {
     const streams = [0, 2].map((vm) =>
       openStream(cluster.callers(vm), `kept ${vm} `.repeat(40), 900),
     );
--- a/test/node/model.test.ts
+++ b/test/node/model.test.ts
@@ -12,12 +12,12 @@
   beforeAll(() => cluster.start(), 30_000);
   afterAll(() => cluster.stop());
 
-  test('are answered whole as json', async () => {
+  test('get a complete JSON response', async () => {
     const answer = await ask(cluster.callers(0), 'a short title history', 40);
     expect(answer.text).toBe(answerText('a short title history', 40));
   });
 
-  test('are answered whole as a stream with offsets', async () => {
+  test('get a complete stream with offsets', async () => {
     const stream = openStream(cluster.callers(1), 'a streamed history', 40);
     await stream.ended;
     expect(stream.text).toBe(answerText('a streamed history', 40));
@@ -25,7 +25,7 @@
     expect(stream.whole).toBe(true);
   });
 
-  test('of many callers at once are each answered with their own text', async () => {
+  test('of many concurrent callers each get their own text', async () => {
     const prompts = Array.from({ length: 30 }, (_, i) => `history of parcel ${i}`);
     const answers = await Promise.all(
       prompts.map((prompt, i) => ask(cluster.callers(i % 2), prompt, 30)),
@@ -35,12 +35,12 @@
     );
   });
 
-  test('leave no engine memory held once they are done', async () => {
+  test('hold no engine memory after they end', async () => {
     await eventually('memory is free', () => cluster.held.length === 0);
     expect(cluster.held).toEqual([]);
   });
 
-  test('with a key that was answered are answered again without a second run', async () => {
+  test('with the key of an answered request get the same answer without a second run', async () => {
     const before = new Set(cluster.decodeRunners.flatMap(({ ran }) => [...ran])).size;
     const first = await ask(cluster.callers(0), 'keyed history', 40, { key: 'k1' });
     await eventually('the registry has the answer', async () => {
@@ -51,7 +51,7 @@
     expect(after - before).toBe(1);
   });
 
-  test('with a key that stood for another request are refused', async () => {
+  test('with a key used for a different request are refused', async () => {
     await ask(cluster.callers(0), 'first use', 20, { key: 'k2' });
     const { status, body } = await ask(cluster.callers(0), 'second use', 20, { key: 'k2' });
     expect({ status, body }).toMatchInlineSnapshot(`
@@ -71,11 +71,11 @@
   });
 
   /*
-   * The caller's connection breaks and it asks again with the same key at another
-   * gateway. The first run is still going. The second attempt must read that run
-   * from its beginning; a second prefill would be wasted work.
+   * The caller's connection fails, and the caller retries with the same key at
+   * another gateway while the first run is still active. The second attempt must
+   * read that run from its first token; a second prefill would be wasted work.
    */
-  test('with a key that run elsewhere are joined, and the older reader is told', async () => {
+  test('with the key of an active run on another gateway join it, and the older reader gets an error', async () => {
     const prompt = 'joined history '.repeat(10);
     const prefills = (): number =>
       cluster.prefillRunners.reduce((sum, { ran }) => sum + ran.size, 0);
@@ -101,14 +101,14 @@
   });
 
   /*
-   * The caller closes its connection in mid-answer. The gateway cancels the run
-   * on every runner it touched and gives the slot back, so that the engine's
-   * memory serves somebody who still waits.
+   * The caller disconnects during the answer. The gateway must cancel the run on
+   * every runner it used and release the slot, so that the engine's memory is
+   * available to waiting requests.
    */
   test.each([
     ['before the first token', 0],
-    ['in mid-answer', 5],
-  ])('whose caller leaves %s free all memory', async (_when, tokensSeen) => {
+    ['during the answer', 5],
+  ])('whose caller disconnects %s release all memory', async (_when, tokensSeen) => {
     const stream = openStream(cluster.callers(0), `abandoned ${tokensSeen}`.repeat(20), 1000);
     await eventually(
       'tokens came',
@@ -120,11 +120,11 @@
   });
 
   /*
-   * The decode runner's process is cut off in mid-answer. The gateway asks the
-   * owner for another place with the prompt and the tokens that are out, and the
-   * answer goes on behind them: the caller sees one whole answer.
+   * The decode runner's connection fails during the answer. The gateway requests
+   * another placement with the prompt and the tokens received so far, and the answer
+   * continues after them: the caller receives one complete answer.
    */
-  test('whose runner is lost in mid-answer go on at their offset', async () => {
+  test('whose runner is lost during the answer continue at their offset', async () => {
     const stream = openStream(cluster.callers(0), 'long deed with many parts', 900);
     await eventually('tokens came', () => stream.offsets.length > 5);
     await Promise.all(
@@ -135,7 +135,7 @@
     expect(stream.whole).toBe(true);
   });
 
-  test("of an unknown service, or of a pool that is not the team's, look alike", async () => {
+  test("of an unknown service and of another team's pool get the same error", async () => {
     const unknown = await call('GET', `${cluster.callers(0)}/services/nothing/x`, undefined, {
       authorization: `Bearer ${tokens.clerks}`,
     });
@@ -150,13 +150,13 @@
 });
 
 /*
- * A caller reads its answer through a second gateway from the first one. The
- * first gateway dies after some tokens, and meanwhile another attempt has taken
- * the key. The second gateway has sent a part already: it must end the answer
- * with an error event. Seen in a random run: the connection stayed open for ever.
+ * A caller reads its answer through a second gateway, which relays it from the first.
+ * The first gateway crashes after some tokens, and meanwhile another attempt has
+ * claimed the key. As the second gateway has already sent a part, it must end the
+ * response. Guards against a connection that stays open forever.
  */
-describe('an answer that breaks off after a part is out', () => {
-  test('ends with an error event and never stays open', async () => {
+describe('an answer that fails after its first part was sent', () => {
+  test('is ended and does not stay open', async () => {
     const { server, port } = await listen((_req, res) => {
       res.writeHead(200);
       new EventSink(res, { id: 'x', model: 'm' }).token(0, ' part');
--- a/test/node/once.test.ts
+++ b/test/node/once.test.ts
@@ -21,7 +21,7 @@
     return { code, notRun };
   };
 
-  test('run once, and a repeat on another gateway replays the answer', async () => {
+  test('run once, and a repeat on another gateway replays the response', async () => {
     const first = await issue(0, 'r1');
     await eventually('the outcome is kept', async () => (await issue(1, 'r1')).status === 200);
     const again = await issue(1, 'r1');
@@ -30,12 +30,12 @@
     expect(runsOf('r1')).toBe(1);
   });
 
-  test('sent at once to all gateways run once', async () => {
+  test('sent to all gateways concurrently run once', async () => {
     await Promise.all(Array.from({ length: 12 }, (_, i) => issue(i % 2, 'r2')));
     expect(runsOf('r2')).toBe(1);
   });
 
-  test('with a key of another call are refused', async () => {
+  test('with the key of a different call are refused', async () => {
     await issue(0, 'r3');
     const other = await issue(0, 'r3', { fee: 2 });
     expect(errorOf(other.body)).toMatchInlineSnapshot(`
@@ -47,11 +47,11 @@
   });
 
   /*
-   * The runner executes the call and the connection breaks before its answer.
-   * Nobody can know here whether it ran, so the caller is told just that, and
-   * every repeat is told the same and does not run.
+   * The runner executes the call, and the connection fails before its response.
+   * The gateway cannot determine whether the call ran, so it reports the outcome as
+   * unknown. Repeats must get an error as well and must not run.
    */
-  test('whose answer is lost are reported as unknown and never sent again', async () => {
+  test('whose response is lost are reported as unknown and not sent again', async () => {
     cluster.plainRunners.forEach((runner) => Object.assign(runner, { dropAnswers: true }));
     const first = await issue(0, 'r4');
     cluster.plainRunners.forEach((runner) => Object.assign(runner, { dropAnswers: false }));
@@ -71,8 +71,8 @@
     expect(runsOf('r4')).toBe(1);
   });
 
-  /* A runner that leaves says that it ran nothing, so the call may go to the other one. */
-  test('refused by a leaving runner go to another', async () => {
+  /* A runner that shuts down reports that the call did not run, so the call may be sent to the other one. */
+  test('refused by a runner that shuts down are sent to another', async () => {
     Object.assign(cluster.plainRunners[0] as object, { leaving: true });
     const answers = await Promise.all(['r5', 'r6', 'r7'].map((key) => issue(0, key)));
     Object.assign(cluster.plainRunners[0] as object, { leaving: false });
@@ -81,10 +81,10 @@
   });
 
   /*
-   * The store takes the claim and the answer to it is lost. Reading the shard
-   * back finds our own nonce, so the call runs, and runs once.
+   * The store accepts the claim, but its response is lost. Reading the shard back
+   * finds the nonce of this claim, so the call must run, and only once.
    */
-  test('run once when the store loses the answer to the claim', async () => {
+  test('run once if the response of the store to the claim is lost', async () => {
     cluster.platform.faults.loseWriteAnswers = 1;
     const answer = await issue(0, 'r8');
     cluster.platform.faults.loseWriteAnswers = 0;
@@ -93,10 +93,10 @@
   });
 
   /*
-   * The store is down. Without a claim nothing may run, so the caller is told at
-   * once, truthfully, that nothing did; after the outage the same key runs.
+   * While the store is down, no claim is possible and nothing may run, so the caller
+   * immediately gets a "not run" error. After the outage, the same key must run.
    */
-  test('are refused as not run while the store is down, and run afterwards', async () => {
+  test('are refused as not run while the store is down, and run after the outage', async () => {
     cluster.platform.faults.outage = true;
     const refused = await issue(0, 'r9');
     expect(errorOf(refused.body)).toMatchInlineSnapshot(`
--- a/test/node/quarantine.test.ts
+++ b/test/node/quarantine.test.ts
@@ -5,18 +5,18 @@
 const ATTEMPTS = 6;
 const clerk = { authorization: `Bearer ${tokens.clerks}` };
 
-describe('a plain call that breaks off at each runner', () => {
+describe('a plain call that crashes each runner', () => {
   const cluster = new Cluster({ vms: 1, plainRunners: 8 });
 
   beforeAll(() => cluster.start(), 30_000);
   afterAll(() => cluster.stop());
 
   /*
-   * An idempotent call ends each runner that it is sent to. The gateway sent it to one
-   * after the other until the team's budget of repeats was spent, eleven in all, and once
-   * more with each attempt of the caller.
+   * An idempotent call crashes each runner that it is sent to. Without quarantine, the
+   * gateway retries it on one runner after the other until the team's retry budget is
+   * used up, eleven runs in all, and runs it once more with each attempt of the caller.
    */
-  test('is kept from runners once three broke off', async () => {
+  test('is not sent to runners after three crashes', async () => {
     for (const runner of cluster.plainRunners) runner.deadly = DEADLY;
     const url = `${cluster.callers(0)}/services/registry/look-up`;
     const statuses: number[] = [];
--- a/test/node/settings.test.ts
+++ b/test/node/settings.test.ts
@@ -28,7 +28,7 @@
     return `${code}: ${message}`;
   };
 
-  test('are in force on every VM once a write with wait is answered', async () => {
+  test('are in force on every VM after a write with wait returns', async () => {
     const revision = await revisionOf('teams/clerks', tokens.clerks);
     const { body } = await put(
       'teams/clerks/services/deeds/maxTokens',
@@ -42,7 +42,7 @@
     ).toMatchObject({ text: '500' });
   });
 
-  test('written by two operators at once give one a conflict', async () => {
+  test('written by several operators concurrently succeed for one and conflict for the others', async () => {
     const revision = await revisionOf('teams/clerks', tokens.clerks);
     const writes = await Promise.all(
       [0, 1, 2].map((vm) =>
@@ -52,7 +52,7 @@
     expect(writes.map(({ status }) => status).sort()).toEqual([200, 409, 409]);
   });
 
-  test('that do not fit the schema are refused and change nothing', async () => {
+  test('that do not match the schema are refused and change nothing', async () => {
     const revision = await revisionOf('teams/clerks', tokens.clerks);
     const wrong = await put(
       'teams/clerks/services/deeds/maxTokens',
@@ -77,8 +77,8 @@
     expect(await revisionOf('teams/clerks', tokens.clerks)).toBe(revision);
   });
 
-  test('of a team are closed to all others, whether they exist or not', async () => {
-    const tries = await Promise.all([
+  test('of a team are forbidden to all others, whether they exist or not', async () => {
+    const responses = await Promise.all([
       get('teams/lawyers', tokens.clerks),
       get('teams/nobody', tokens.clerks),
       get('consortium', tokens.clerks),
@@ -86,7 +86,8 @@
       put('teams/lawyers/services/deeds/maxTokens', 1, 1, tokens.clerks),
       get('teams/clerks', 'unknown-token'),
     ]);
-    expect(tries.map(({ status, body }) => `${status} ${errorOf(body)}`)).toMatchInlineSnapshot(`
+    expect(responses.map(({ status, body }) => `${status} ${errorOf(body)}`))
+      .toMatchInlineSnapshot(`
      [
        "403 203: the token does not cover teams/lawyers",
        "403 203: the token does not cover teams/nobody",
@@ -99,10 +100,10 @@
   });
 
   /*
-   * The write takes effect and its answer is lost. Reading back finds our nonce,
-   * so the operator is told that it was accepted, and it is not written twice.
+   * The write takes effect, but its response is lost. Reading back finds the nonce of
+   * this write, so it is reported as accepted and not written twice.
    */
-  test('are confirmed when the store loses the answer', async () => {
+  test('are confirmed if the response of the store is lost', async () => {
     const revision = await revisionOf('teams/lawyers', tokens.lawyers);
     cluster.platform.faults.loseWriteAnswers = 1;
     const { status, body } = await put(
@@ -118,10 +119,10 @@
   });
 
   /*
-   * The store comes back with an older state. What was accepted stays in force
-   * everywhere, and the next write is based on it and not on the older state.
+   * The store is restored from an older copy. Accepted settings must stay in force on
+   * all VMs, and the next write must be based on them and not on the older state.
    */
-  test('never revert when the store comes back older', async () => {
+  test('do not revert when the store is restored from an older copy', async () => {
     const older = cluster.platform.snapshot();
     const revision = await revisionOf('teams/lawyers', tokens.lawyers);
     await put('teams/lawyers/services/deeds/maxTokens', 777, revision, tokens.lawyers);
@@ -140,8 +141,8 @@
     expect(next.body).toMatchObject({ revision: revision + 2, inForce: true });
   });
 
-  /* Somebody writes garbage into the store past the checks: the last good document stays in force. */
-  test('that are malformed in the store leave the last good ones in force', async () => {
+  /* An invalid document is written directly into the store, without validation: the last valid one must stay in force. */
+  test('that are malformed in the store leave the last valid ones in force', async () => {
     const revision = await revisionOf('teams/lawyers', tokens.lawyers);
     const bad = JSON.stringify({ revision: revision + 1, nonce: 'x', text: '{ "services": 7 }' });
     cluster.platform.poke('settings/teams/lawyers', bad);
@@ -163,7 +164,7 @@
     expect(body).toHaveProperty('choices');
   });
 
-  /* A VM starts while the store is down: it takes the settings from its peers. */
+  /* A VM that starts while the store is down must get the settings from its peers. */
   test('reach a VM that starts during an outage', async () => {
     await cluster.gateways[2]?.close();
     await cluster.schedulers[2]?.close();
--- a/test/node/sink.test.ts
+++ b/test/node/sink.test.ts
@@ -2,7 +2,7 @@
 import type { Sink } from '../../src/node/gateway/sink';
 import { OnceSink } from '../../src/node/gateway/sink';
 
-/** A sink that notes what it is told. */
+/** A sink that records its calls in `out`. */
 function sinkInto(out: string[]): Sink {
   return {
     token: (offset, text) => out.push(`${offset} ${text}`),
@@ -11,9 +11,9 @@
   };
 }
 
-describe('a reader that moves from a broken run to another one', () => {
-  // Guards against the end of a shorter run taken for the end of the longer one whose tokens are out.
-  test('is not told that its answer is whole when the other run ends before the tokens that it has', () => {
+describe('a reader that switches from a broken run to another one', () => {
+  // Guards against treating the end of a shorter run as the end of the longer one whose tokens were already sent.
+  test('gets a failure when the other run ends before the tokens that were already received', () => {
     const out: string[] = [];
     const sink = new OnceSink(sinkInto(out));
     ['a', 'b', 'c'].forEach((text, offset) => sink.token(offset, text));
@@ -22,8 +22,8 @@
     expect(out).toEqual(['0 a', '1 b', '2 c', expect.stringMatching(/^fail/)]);
   });
 
-  // Guards against an answer that ends as whole although tokens in its middle never came.
-  test('is not told that its answer is whole when tokens were left out', () => {
+  // Guards against an answer that ends as complete although tokens in its middle are missing.
+  test('gets a failure when tokens are missing', () => {
     const out: string[] = [];
     const sink = new OnceSink(sinkInto(out));
     sink.token(0, 'a');
