--- a/src/node/gateway/answer.ts
+++ b/src/node/gateway/answer.ts
@@ -10,7 +10,7 @@
 
   readonly #sinks = new Set<Sink>();
 
-  #firstAt: number | undefined;
+  #firstTokenAt: number | undefined;
 
   /** Tokens received so far, in order. */
   get tokens(): readonly string[] {
@@ -18,8 +18,8 @@
   }
 
   /** When the first token arrived, in milliseconds since the epoch; undefined before that. */
-  get firstAt(): number | undefined {
-    return this.#firstAt;
+  get firstTokenAt(): number | undefined {
+    return this.#firstTokenAt;
   }
 
   /** Adds a sink and sends it all tokens received so far. */
@@ -45,7 +45,7 @@
 
   /** Appends the next token and forwards it to all sinks. */
   add(now: number, text: string): void {
-    this.#firstAt ??= now;
+    this.#firstTokenAt ??= now;
     const offset = this.#tokens.push(text) - 1;
     for (const sink of this.#sinks) sink.token(offset, text);
   }
--- a/src/node/gateway/burn.ts
+++ b/src/node/gateway/burn.ts
@@ -46,7 +46,11 @@
    * Records a model request. It is good if its answer was complete and met both
    * latency targets; a cancelled request counts as neither good nor bad.
    */
-  model(now: number, { team, serviceName, service }: ModelRequest, outcome: RunOutcome): void {
+  recordModel(
+    now: number,
+    { team, serviceName, service }: ModelRequest,
+    outcome: RunOutcome,
+  ): void {
     const record = this.#recordOf(team, serviceName);
     const { code, cancelled, firstTokenMs, tokenMs } = outcome;
     if (cancelled) {
@@ -61,7 +65,7 @@
   }
 
   /** Records a plain call; it is good if `code` is undefined. */
-  plain(now: number, team: string, service: string, code: CodeName | undefined): void {
+  recordPlain(now: number, team: string, service: string, code: CodeName | undefined): void {
     countOutcome(now, this.#recordOf(team, service), code, code === undefined);
   }
 
--- a/src/node/gateway/callers.ts
+++ b/src/node/gateway/callers.ts
@@ -66,7 +66,7 @@
     else if (pathname === '/readyz') this.#sendReadiness(res);
     else if (pathname === '/v1/addresses') this.#sendAddresses(res);
     else if (phase() === 'leaving') this.#refuseLeaving(res);
-    else if (!fleet.ready) {
+    else if (!fleet.isReady) {
       throw new Failure('noOwner', 'the settings have not been received yet', {
         retryAfterMs: 1000,
       });
@@ -82,7 +82,7 @@
   }
 
   #sendReadiness(res: ServerResponse): void {
-    const ready = this.#options.fleet.ready && this.#options.phase() === 'open';
+    const ready = this.#options.fleet.isReady && this.#options.phase() === 'open';
     sendJson(res, ready ? 200 : 503, { ready });
   }
 
@@ -125,14 +125,14 @@
       id?: string;
     };
     const run = this.#options.models.findRun(String(id));
-    sendJson(res, 200, { held: run !== undefined && !run.ended });
+    sendJson(res, 200, { held: run !== undefined && !run.hasEnded });
   }
 
   /** Streams a run to another gateway that handles a newer attempt; the readers here end with `superseded`. */
   #streamRun(res: ServerResponse, url: URL): void {
     const id = decodeURIComponent(url.pathname.slice(RELAY_PATH.length));
     const run = this.#options.models.findRun(id);
-    if (!run || run.ended) throw new Failure('badRequest', 'this gateway does not have that run');
+    if (!run || run.hasEnded) throw new Failure('badRequest', 'this gateway has no such run');
     run.supersede();
     const sink = new EventSink(res, { id, model: run.request.serviceName });
     run.attach(sink);
--- a/src/node/gateway/daemon.ts
+++ b/src/node/gateway/daemon.ts
@@ -25,7 +25,7 @@
 import { ModelHandler } from './model';
 import { OperatorHandler } from './operator';
 import { PlainHandler } from './plain';
-import { Relay } from './relay';
+import { RelayClient } from './relay';
 import { SettingsEditor } from './settings';
 
 /** Ports that a gateway listens on. */
@@ -104,7 +104,7 @@
       id: `${config.vm}-${randomUUID().slice(0, 8)}`,
       vm: config.vm,
       key: config.peerKey,
-      home: config.scheduler,
+      localScheduler: config.scheduler,
       address,
       log: logOf(log, 'peer'),
       onMessage: (link, message) => this.#models.receive(link, message),
@@ -117,12 +117,12 @@
       fleet: this.#fleet,
       runners: this.#runners,
       canceller: this.#canceller,
-      relay: new Relay(config.peerKey),
+      relay: new RelayClient(config.peerKey),
       address,
       bodyBytes: config.limits.bodyBytes,
       log: this.#log,
       metrics: this.#metrics,
-      onOutcome: (request, outcome) => burn.model(Date.now(), request, outcome),
+      onOutcome: (request, outcome) => burn.recordModel(Date.now(), request, outcome),
     });
     this.#plain = new PlainHandler({
       fleet: this.#fleet,
@@ -131,7 +131,7 @@
       bodyBytes: config.limits.bodyBytes,
       log: this.#log,
       metrics: this.#metrics,
-      onOutcome: (team, service, code) => burn.plain(Date.now(), team, service, code),
+      onOutcome: (team, service, code) => burn.recordPlain(Date.now(), team, service, code),
     });
     this.#callers = this.#createCallerServer(burn);
     this.#operators = this.#createOperatorServer();
@@ -156,7 +156,7 @@
     if (this.#phase !== 'open') return;
     this.#phase = 'draining';
     this.#log.info('Draining.');
-    this.#fleet.home.send({ kind: 'draining' });
+    this.#fleet.localScheduler.send({ kind: 'draining' });
     await pause(this.#config.addressTtlMs);
     this.#phase = 'leaving';
     while (this.#models.size + this.#plain.size > 0) await pause(DRAIN_POLL_MS);
@@ -170,10 +170,10 @@
    * restart of the scheduler or a lost link, "draining" is therefore sent again.
    */
   #handleFleetChange(): void {
-    if (this.#phase !== 'open' && this.#fleet.home.up) {
-      this.#fleet.home.send({ kind: 'draining' });
+    if (this.#phase !== 'open' && this.#fleet.localScheduler.up) {
+      this.#fleet.localScheduler.send({ kind: 'draining' });
     }
-    this.#models.ownersChanged();
+    this.#models.refreshOwners();
   }
 
   /** Stops immediately; open requests are interrupted. */
--- a/src/node/gateway/fleet.ts
+++ b/src/node/gateway/fleet.ts
@@ -20,7 +20,7 @@
   /** Shared key that authenticates peers. */
   readonly key: string;
   /** Peer address of the scheduler on this VM. */
-  readonly home: string;
+  readonly localScheduler: string;
   /** Callers' address of this gateway. */
   readonly address: () => string;
   readonly log: Logger;
@@ -64,7 +64,7 @@
 
   /** Connects to the scheduler of this VM; call this once callers can be served. */
   start(): void {
-    this.#linkTo(this.#options.home);
+    this.#linkTo(this.#options.localScheduler);
   }
 
   /** The current settings. */
@@ -78,13 +78,13 @@
   }
 
   /** Whether the settings and the members have been received from a scheduler. */
-  get ready(): boolean {
+  get isReady(): boolean {
     return this.#documents.consortium !== undefined && this.#members.size > 0;
   }
 
   /** Link to the scheduler of this VM. */
-  get home(): PeerLink {
-    return this.#linkTo(this.#options.home);
+  get localScheduler(): PeerLink {
+    return this.#linkTo(this.#options.localScheduler);
   }
 
   /**
@@ -131,7 +131,8 @@
   }
 
   #callFirst(owners: readonly Member[], method: string, params: unknown): Promise<unknown> {
-    const link = this.#firstUp(owners, 2) ?? (this.home.up ? this.home : undefined);
+    const link =
+      this.#firstUp(owners, 2) ?? (this.localScheduler.up ? this.localScheduler : undefined);
     if (!link) {
       return Promise.reject(new Failure('noOwner', `${method}: no scheduler is reachable`));
     }
@@ -196,7 +197,7 @@
    * only on connecting, so their reports only add members that are missing.
    */
   #updateMembers(link: PeerLink, notices: readonly MemberNotice[]): void {
-    const isLocal = link.address === this.#options.home;
+    const isLocal = link.address === this.#options.localScheduler;
     for (const notice of notices) {
       if (isLocal || !this.#members.has(notice.vm)) {
         this.#members.set(notice.vm, { ...notice, incarnation: 0, cores: 1, storeLost: false });
@@ -209,7 +210,7 @@
   /** Closes unused links and removes members that are dead or have left. */
   #sweep(now: number): void {
     for (const [address, { link, usedAt }] of this.#links) {
-      if (address !== this.#options.home && now - usedAt > UNUSED_LINK_TIMEOUT_MS) {
+      if (address !== this.#options.localScheduler && now - usedAt > UNUSED_LINK_TIMEOUT_MS) {
         this.#links.delete(address);
         link.close();
       }
--- a/src/node/gateway/ledger.ts
+++ b/src/node/gateway/ledger.ts
@@ -17,7 +17,7 @@
 import type { Fleet } from './fleet';
 
 /** A successful claim: the right to dispatch one call. */
-export interface Ticket {
+export interface Claim {
   readonly team: string;
   readonly key: string;
   /** Identifies this claim among others of the same key. */
@@ -28,12 +28,12 @@
    * deleted and claimed again. The clock is monotonic, so changing the VM's time
    * does not extend the claim.
    */
-  mayDispatch(): boolean;
+  canDispatch(): boolean;
 }
 
 /** Result of a claim: the right to dispatch, or the outcome of an earlier run to replay. */
-export type ClaimGrant =
-  | { readonly kind: 'claimed'; readonly ticket: Ticket }
+export type ClaimResult =
+  | { readonly kind: 'claimed'; readonly claim: Claim }
   | { readonly kind: 'replay'; readonly outcome: Outcome };
 
 const outcomeSchema = z.object({ status: z.int(), contentType: z.string(), body: z.string() });
@@ -79,11 +79,11 @@
    * failure for the caller: `ledgerFull`, `keyReused`, `alreadyRunning`,
    * `answerNotKept` or `ledgerUnavailable`.
    */
-  async claim(team: string, key: string, fingerprint: string): Promise<ClaimGrant> {
+  async claim(team: string, key: string, fingerprint: string): Promise<ClaimResult> {
     const nonce = randomUUID();
     const claim = createClaim(team, key, nonce);
     const result = await this.#claim(claim, fingerprint);
-    if (result.kind === 'claimed') return { kind: 'claimed', ticket: claim };
+    if (result.kind === 'claimed') return { kind: 'claimed', claim };
     if (result.kind === 'full') {
       throw new Failure('ledgerFull', 'the ledger is full', { retryAfterMs: RETRY_AFTER_MS });
     }
@@ -102,7 +102,7 @@
   }
 
   /** Records an outcome in the background; retries while the store is down. */
-  settle(claim: Ticket, outcome: Outcome): void {
+  settle(claim: Claim, outcome: Outcome): void {
     const fits = Buffer.byteLength(outcome.body) <= OUTCOME_LIMIT_BYTES;
     const kept = fits ? outcome : { status: NOT_KEPT_STATUS, contentType: '', body: '' };
     this.#writeWithRetries(
@@ -114,7 +114,7 @@
   }
 
   /** Withdraws a claim whose call did not run, in the background. */
-  withdraw(claim: Ticket): void {
+  withdraw(claim: Claim): void {
     this.#writeWithRetries(claim, 'ledger.withdraw', claimRefOf(claim), MAX_ATTEMPTS);
   }
 
@@ -125,7 +125,7 @@
     this.#timers.clear();
   }
 
-  async #claim(claim: Ticket, fingerprint: string): Promise<z.infer<typeof resultSchema>> {
+  async #claim(claim: Claim, fingerprint: string): Promise<z.infer<typeof resultSchema>> {
     try {
       const params = { ...claimRefOf(claim), fingerprint };
       return resultSchema.parse(await this.#call(claim, 'ledger.claim', params));
@@ -137,11 +137,11 @@
     }
   }
 
-  #call({ team, key }: Ticket, method: string, params: unknown): Promise<unknown> {
+  #call({ team, key }: Claim, method: string, params: unknown): Promise<unknown> {
     return this.#fleet.callShard(shardOf(ledgerKey(team, key)), method, params);
   }
 
-  #writeWithRetries(claim: Ticket, method: string, params: unknown, attemptsLeft: number): void {
+  #writeWithRetries(claim: Claim, method: string, params: unknown, attemptsLeft: number): void {
     this.#call(claim, method, params).catch((error) => {
       // A call that fails because of stop() itself must not schedule the next attempt.
       if (this.#stopped) return;
@@ -158,11 +158,11 @@
   }
 }
 
-function claimRefOf({ team, key, nonce }: Ticket): { team: string; key: string; nonce: string } {
+function claimRefOf({ team, key, nonce }: Claim): { team: string; key: string; nonce: string } {
   return { team, key, nonce };
 }
 
-function createClaim(team: string, key: string, nonce: string): Ticket {
+function createClaim(team: string, key: string, nonce: string): Claim {
   const validUntil = performance.now() + DISPATCH_LIMIT_MS;
-  return { team, key, nonce, mayDispatch: () => performance.now() < validUntil };
+  return { team, key, nonce, canDispatch: () => performance.now() < validUntil };
 }
--- a/src/node/gateway/model.ts
+++ b/src/node/gateway/model.ts
@@ -15,15 +15,15 @@
 import { readBody } from '../../utils/http';
 import type { PeerLink } from '../peer/link';
 import type { ToGateway } from '../peer/messages';
-import type { Relay } from './relay';
+import type { RelayClient } from './relay';
 import type { ModelRequest, RunContext, RunDescription, RunOutcome } from './request';
 import { ModelRun } from './run';
 import type { Sink } from './sink';
-import { EventSink, JsonSink, OnceSink } from './sink';
+import { EventSink, JsonSink, DeduplicatingSink } from './sink';
 
 /** Dependencies and settings of `ModelHandler`. */
 export interface ModelHandlerOptions extends Omit<RunContext, 'onEnd' | 'onLocated'> {
-  readonly relay: Relay;
+  readonly relay: RelayClient;
   /** Callers' address of this gateway. */
   readonly address: () => string;
   /** Largest accepted body, in bytes. */
@@ -67,7 +67,7 @@
 ]);
 
 /** Returns the idempotency key of a request, or undefined if it has none; throws `badRequest` if it is malformed. */
-export function keyOf(req: IncomingMessage): string | undefined {
+export function idempotencyKeyOf(req: IncomingMessage): string | undefined {
   const { 'idempotency-key': key } = req.headers;
   if (key === undefined) return undefined;
   if (typeof key !== 'string' || key === '' || key.length > KEY_LIMIT_CHARS) {
@@ -129,14 +129,14 @@
   }
 
   /** Makes every run check its owner again, after owners may have changed. */
-  ownersChanged(): void {
-    for (const run of this.#runs.values()) run.ownersChanged();
+  refreshOwners(): void {
+    for (const run of this.#runs.values()) run.refreshOwner();
   }
 
   /** Handles `POST /v1/completions`. */
   async handle(req: IncomingMessage, res: ServerResponse, team: string): Promise<void> {
     const now = Date.now();
-    const key = keyOf(req);
+    const key = idempotencyKeyOf(req);
     const body = await readBody(req, this.#options.bodyBytes);
     const completion = parseCompletion(body.toString());
     const request = this.#parseRequest(team, completion, key !== undefined);
@@ -149,7 +149,7 @@
   #parseRequest(
     team: string,
     { model, prompt, max_tokens: requested }: Completion,
-    keyed: boolean,
+    isKeyed: boolean,
   ): ModelRequest {
     const service = this.#options.fleet.settings.service(team, model);
     if (service?.kind !== 'model') {
@@ -167,7 +167,7 @@
       fingerprint: contentIdOf(`${team} ${model}`, prompt),
       blocks: hashBlocks(salt, prompt),
       salt,
-      keyed,
+      isKeyed,
     };
   }
 
@@ -195,7 +195,7 @@
   async #startKeyed(
     request: ModelRequest,
     key: string,
-    sink: OnceSink,
+    sink: DeduplicatingSink,
     res: ServerResponse,
     now: number,
   ): Promise<void> {
@@ -228,7 +228,7 @@
     now: number,
   ): Promise<void> {
     const local = this.#runs.get(attempt.id);
-    if (local && !local.ended) {
+    if (local && !local.hasEnded) {
       local.supersede();
       attachSink(local, sink, res);
       return;
@@ -311,10 +311,10 @@
   return sharingGroup === undefined ? `team/${team}` : `group/${sharingGroup}`;
 }
 
-function sinkFor(res: ServerResponse, request: ModelRequest, stream: boolean): OnceSink {
-  const frame = { id: request.id, model: request.serviceName };
-  return new OnceSink(
-    stream ? new EventSink(res, frame) : new JsonSink(res, frame, request.promptTokens),
+function sinkFor(res: ServerResponse, request: ModelRequest, stream: boolean): DeduplicatingSink {
+  const metadata = { id: request.id, model: request.serviceName };
+  return new DeduplicatingSink(
+    stream ? new EventSink(res, metadata) : new JsonSink(res, metadata, request.promptTokens),
   );
 }
 
--- a/src/node/gateway/plain.ts
+++ b/src/node/gateway/plain.ts
@@ -16,8 +16,8 @@
 import { cutOff, failOnReset, isRefusedConnect, readBody } from '../../utils/http';
 import type { Metrics } from '../metrics';
 import type { Fleet } from './fleet';
-import type { LedgerClient, Ticket } from './ledger';
-import { keyOf } from './model';
+import type { LedgerClient, Claim } from './ledger';
+import { idempotencyKeyOf } from './model';
 
 /** Dependencies and settings of `PlainHandler`. */
 export interface PlainHandlerOptions {
@@ -231,7 +231,7 @@
 
   async #handleOnce(call: PlainCall): Promise<void> {
     const { req, res, team, path } = call;
-    const key = keyOf(req);
+    const key = idempotencyKeyOf(req);
     if (key === undefined) throw new Failure('keyRequired', 'found no Idempotency-Key header');
     const body = await readBody(req, this.#options.bodyBytes);
     this.#refuseQuarantined(call, body, false);
@@ -243,16 +243,16 @@
       res.end(text);
       return;
     }
-    await this.#runOnce(call, body, result.ticket);
+    await this.#runOnce(call, body, result.claim);
   }
 
   /** Dispatches again only if the previous dispatch provably did not run. */
-  async #runOnce(call: PlainCall, body: Buffer, claim: Ticket): Promise<void> {
+  async #runOnce(call: PlainCall, body: Buffer, claim: Claim): Promise<void> {
     const { ledger } = this.#options;
     const tried = new Set<string>();
     for (;;) {
       const runner = this.#chooseOnce(call, tried, claim);
-      if (!claim.mayDispatch()) {
+      if (!claim.canDispatch()) {
         ledger.withdraw(claim);
         throw new Failure('ledgerUnavailable', 'the claim is too old to be dispatched', {
           retryAfterMs: RETRY_AFTER_MS,
@@ -273,7 +273,7 @@
     }
   }
 
-  #chooseOnce(call: PlainCall, tried: ReadonlySet<string>, claim: Ticket): RunnerSettings {
+  #chooseOnce(call: PlainCall, tried: ReadonlySet<string>, claim: Claim): RunnerSettings {
     const runners = this.#options.fleet.settings.pool(call.service.pool)?.runners ?? [];
     const runner = this.#balancer.choose(Date.now(), runners, tried);
     if (runner) return runner;
@@ -283,7 +283,7 @@
     });
   }
 
-  async #settle({ res }: PlainCall, answer: IncomingMessage, claim: Ticket): Promise<void> {
+  async #settle({ res }: PlainCall, answer: IncomingMessage, claim: Claim): Promise<void> {
     let body: Buffer;
     try {
       body = await readBody(answer, this.#options.bodyBytes);
--- a/src/node/gateway/request.ts
+++ b/src/node/gateway/request.ts
@@ -11,7 +11,7 @@
 import type { Canceller } from './canceller';
 import type { Fleet } from './fleet';
 import type { ModelRun } from './run';
-import type { Silence } from './silence';
+import type { IdleTimeout } from './timeout';
 
 /** A validated model request. */
 export interface ModelRequest {
@@ -29,7 +29,7 @@
   /** Cache salt that separates the prefix caches of teams. */
   readonly salt: string;
   /** Whether the request has an idempotency key, so that another attempt may fetch its answer. */
-  readonly keyed: boolean;
+  readonly isKeyed: boolean;
 }
 
 /** Dependencies of `ModelRun`. */
@@ -69,19 +69,22 @@
 }
 
 /** The execution of one step of a run on a runner. */
-export interface Place {
+export interface Execution {
   readonly runner: string;
   readonly url: string;
   readonly runId: string;
   /** Aborts the step when the runner sends nothing for too long. */
-  readonly silence: Silence;
+  readonly idleTimeout: IdleTimeout;
 }
 
 /** Stage of a run, as tracked by its gateway. */
 export type RunStage = 'queued' | 'prefilling' | 'prefilled' | 'decoding' | 'ended';
 
 /** Fields that identify a request in messages to the owner. */
-export function nameOf({ id, service }: ModelRequest): Pick<Message<'started'>, 'pool' | 'id'> {
+export function requestRefOf({
+  id,
+  service,
+}: ModelRequest): Pick<Message<'started'>, 'pool' | 'id'> {
   return { pool: service.pool, id };
 }
 
@@ -90,12 +93,12 @@
   const { team, service, promptTokens, maxTokens, blocks, fingerprint } = request;
   const { tier } = service;
   const size = { promptTokens, maxTokens, blocks: [...blocks] };
-  return { ...nameOf(request), team, tier, ...size, fingerprint, dueInMs };
+  return { ...requestRefOf(request), team, tier, ...size, fingerprint, dueInMs };
 }
 
 /** The engine's job for a run. Tokens received so far become part of the prompt, so that the engine continues after them. */
 export function jobOf(
-  { prompt, maxTokens, service, salt, keyed }: ModelRequest,
+  { prompt, maxTokens, service, salt, isKeyed }: ModelRequest,
   tokens: readonly string[],
   runId: string,
 ): EngineJob {
@@ -105,18 +108,18 @@
     maxTokens: maxTokens - tokens.length,
     priority: service.tier === 'interactive' ? 0 : 1,
     cacheSalt: salt,
-    resumable: keyed,
+    resumable: isKeyed,
   };
 }
 
-/** Latencies of an answer, in milliseconds; `firstAt` is undefined if no token arrived. */
+/** Latencies of an answer, in milliseconds; `firstTokenAt` is undefined if no token arrived. */
 export function timingOf(
   startedAt: number,
-  firstAt: number | undefined,
+  firstTokenAt: number | undefined,
   tokens: number,
   now: number,
 ): Pick<RunOutcome, 'firstTokenMs' | 'tokenMs' | 'tokens'> {
-  if (firstAt === undefined) return { firstTokenMs: undefined, tokenMs: undefined, tokens };
-  const tokenMs = tokens < 2 ? undefined : (now - firstAt) / (tokens - 1);
-  return { firstTokenMs: firstAt - startedAt, tokenMs, tokens };
+  if (firstTokenAt === undefined) return { firstTokenMs: undefined, tokenMs: undefined, tokens };
+  const tokenMs = tokens < 2 ? undefined : (now - firstTokenAt) / (tokens - 1);
+  return { firstTokenMs: firstTokenAt - startedAt, tokenMs, tokens };
 }
--- a/src/node/gateway/run.ts
+++ b/src/node/gateway/run.ts
@@ -8,29 +8,29 @@
 import type { Message, ToGateway, ToScheduler } from '../peer/messages';
 import type { Token } from '../runner/client';
 import { RunnerFailure } from '../runner/client';
-import { Silence } from './silence';
+import { IdleTimeout } from './timeout';
 import type {
   ModelRequest,
-  Place,
+  Execution,
   RunContext,
   RunDescription,
   RunOutcome,
   RunStage,
 } from './request';
-import { arrivalOf, jobOf, nameOf, timingOf } from './request';
+import { arrivalOf, jobOf, requestRefOf, timingOf } from './request';
 import type { Sink } from './sink';
 import { Answer } from './answer';
 
 /** Pause before the next placement request when no owner is reachable, in milliseconds. */
 const OWNER_RETRY_MS = 50;
-/** A run that has received tokens reports this time until placement is due to its owner, in milliseconds; it leaves time for a change of owner. */
+/** Time until placement is due, as reported to the owner once tokens were received, in milliseconds; long enough for a change of owner. */
 const RESUME_DUE_MS = 10_000;
 /** A runner that sends nothing for this time during a prefill counts as lost, in milliseconds. */
 const PREFILL_IDLE_TIMEOUT_MS = 15_000;
 /** A runner that sends no token for this time counts as lost, in milliseconds; includes the KV cache transfer before the first token. */
 const TOKEN_IDLE_TIMEOUT_MS = 5000;
 /** How long a keyed run continues without a reader, in milliseconds. */
-const UNREAD_TIMEOUT_MS = 2000;
+const UNREAD_LIMIT_MS = 2000;
 /** Delay after which callers should retry when no owner was found, in milliseconds. */
 const NO_OWNER_RETRY_AFTER_MS = 1000;
 
@@ -50,9 +50,9 @@
 
   #attempt = 0;
 
-  #prefill: Place | undefined;
+  #prefill: Execution | undefined;
 
-  #decode: Place | undefined;
+  #decode: Execution | undefined;
 
   #owner: PeerLink | undefined;
 
@@ -75,7 +75,7 @@
   }
 
   /** Whether the run has ended, for any reason. */
-  get ended(): boolean {
+  get hasEnded(): boolean {
     return this.#stage === 'ended';
   }
 
@@ -103,10 +103,10 @@
     this.#answer.attach(sink);
   }
 
-  /** Removes a sink. A run without sinks is cancelled, a keyed run only after `UNREAD_TIMEOUT_MS`. */
+  /** Removes a sink. A run without sinks is cancelled, a keyed run only after `UNREAD_LIMIT_MS`. */
   detach(sink: Sink): void {
-    if (!this.#answer.detach(sink) || this.ended) return;
-    if (this.request.keyed) this.#unreadTimer = setTimeout(() => this.cancel(), UNREAD_TIMEOUT_MS);
+    if (!this.#answer.detach(sink) || this.hasEnded) return;
+    if (this.request.isKeyed) this.#unreadTimer = setTimeout(() => this.cancel(), UNREAD_LIMIT_MS);
     else this.cancel();
   }
 
@@ -118,28 +118,28 @@
 
   /** Requests placement from the owner of the pool; does nothing if that owner already has the request. */
   requestPlacement(): void {
-    if (this.ended) return;
+    if (this.hasEnded) return;
     const owner = this.#context.fleet.ownerOf(this.request.service.pool);
     if (owner && owner === this.#owner && owner.up) return;
     if (!owner) {
       this.#retryPlacement();
       return;
     }
-    this.#owner?.send({ kind: 'cancelled', ...nameOf(this.request) });
+    this.#owner?.send({ kind: 'cancelled', ...requestRefOf(this.request) });
     this.#owner = owner;
     this.#sendState();
   }
 
   /** Requests placement again if the owner changed or the link to it was lost. */
-  ownersChanged(): void {
-    if (this.ended) return;
+  refreshOwner(): void {
+    if (this.hasEnded) return;
     if (this.#owner && !this.#owner.up) this.#owner = undefined;
     this.requestPlacement();
   }
 
   /** Handles a message of a scheduler; ignored unless it comes from the current owner. */
   receive(link: PeerLink, message: ToGateway): void {
-    if (link !== this.#owner || this.ended) return;
+    if (link !== this.#owner || this.hasEnded) return;
     if (message.kind === 'prefill') this.#startPrefill(message);
     else if (message.kind === 'decode') this.#startDecode(message);
     else if (message.kind === 'refuse') this.#handleRefusal(message);
@@ -155,18 +155,18 @@
     }
     this.#isDispatched = true;
     this.#stage = 'decoding';
-    const execution = { runner, url, runId, silence: new Silence(this.#controller.signal) };
+    const execution = { runner, url, runId, idleTimeout: new IdleTimeout(this.#controller.signal) };
     this.#decode = execution;
     this.requestPlacement();
     this.#startStream(
-      this.#context.runners.resume(url, runId, 0, execution.silence.signal),
+      this.#context.runners.resume(url, runId, 0, execution.idleTimeout.signal),
       execution,
     );
   }
 
   /** Cancels the run after its caller disconnected: releases every runner and the reservation at the owner. */
   cancel(): void {
-    if (this.ended) return;
+    if (this.hasEnded) return;
     this.#context.metrics.count('model.cancelled');
     this.#end({ code: undefined, cancelled: true });
   }
@@ -224,7 +224,7 @@
     return pool?.runners.find(({ id }) => id === runner)?.url;
   }
 
-  #newExecution(runner: string): Place | undefined {
+  #newExecution(runner: string): Execution | undefined {
     const url = this.#urlOf(runner);
     if (url === undefined) return undefined;
     this.#attempt += 1;
@@ -232,7 +232,7 @@
       runner,
       url,
       runId: runIdOf(this.request.id, this.#attempt),
-      silence: new Silence(this.#controller.signal),
+      idleTimeout: new IdleTimeout(this.#controller.signal),
     };
   }
 
@@ -260,24 +260,24 @@
     this.#stage = 'prefilling';
     this.#prefill = execution;
     this.#isDispatched = true;
-    execution.silence.expect(PREFILL_IDLE_TIMEOUT_MS);
+    execution.idleTimeout.restart(PREFILL_IDLE_TIMEOUT_MS);
     this.#context.runners
       .prefill(
         execution.url,
         jobOf(this.request, this.#answer.tokens, execution.runId),
-        execution.silence.signal,
+        execution.idleTimeout.signal,
       )
-      .finally(() => execution.silence.stop())
+      .finally(() => execution.idleTimeout.stop())
       .then(({ cachedTokens, keptMs }) => {
         if (this.#prefill !== execution || this.#stage !== 'prefilling') return;
         this.#stage = 'prefilled';
-        this.#send({ kind: 'prefilled', ...nameOf(this.request), cachedTokens, keptMs });
+        this.#send({ kind: 'prefilled', ...requestRefOf(this.request), cachedTokens, keptMs });
       })
       .catch((error: Error) => this.#handlePrefillFailure(execution, error));
   }
 
-  #handlePrefillFailure(execution: Place, error: Error): void {
-    if (this.ended || this.#prefill !== execution) return;
+  #handlePrefillFailure(execution: Execution, error: Error): void {
+    if (this.hasEnded || this.#prefill !== execution) return;
     this.#prefill = undefined;
     this.#stage = 'queued';
     this.#handleFailure(execution, error);
@@ -301,30 +301,30 @@
       execution.url,
       job,
       { url: from.url, runId: from.runId },
-      execution.silence.signal,
+      execution.idleTimeout.signal,
     );
-    if (this.request.keyed) {
+    if (this.request.isKeyed) {
       const base = this.#answer.tokens.length;
       this.#context.onLocated(this, { runner: execution.runner, runId: execution.runId, base });
     }
     this.#startStream(tokens, execution);
   }
 
-  #startStream(tokens: AsyncIterable<Token>, execution: Place): void {
-    execution.silence.expect(TOKEN_IDLE_TIMEOUT_MS);
+  #startStream(tokens: AsyncIterable<Token>, execution: Execution): void {
+    execution.idleTimeout.restart(TOKEN_IDLE_TIMEOUT_MS);
     this.#readTokens(tokens, execution)
-      .finally(() => execution.silence.stop())
+      .finally(() => execution.idleTimeout.stop())
       .catch((error: Error) => this.#handleDecodeFailure(execution, error));
   }
 
-  async #readTokens(tokens: AsyncIterable<Token>, execution: Place): Promise<void> {
+  async #readTokens(tokens: AsyncIterable<Token>, execution: Execution): Promise<void> {
     const base = this.#answer.tokens.length;
     for await (const { offset, text } of tokens) {
-      if (this.ended || this.#decode !== execution) return;
-      execution.silence.expect(TOKEN_IDLE_TIMEOUT_MS);
+      if (this.hasEnded || this.#decode !== execution) return;
+      execution.idleTimeout.restart(TOKEN_IDLE_TIMEOUT_MS);
       this.#addToken(base + offset, text);
     }
-    if (this.ended || this.#decode !== execution) return;
+    if (this.hasEnded || this.#decode !== execution) return;
     this.#finish();
   }
 
@@ -333,13 +333,13 @@
     if (!this.#answer.isNext(offset)) return;
     if (this.#prefill) {
       this.#prefill = undefined;
-      this.#send({ kind: 'started', ...nameOf(this.request) });
+      this.#send({ kind: 'started', ...requestRefOf(this.request) });
     }
     this.#answer.add(Date.now(), text);
   }
 
-  #handleDecodeFailure(execution: Place, error: Error): void {
-    if (this.ended || this.#decode !== execution) return;
+  #handleDecodeFailure(execution: Execution, error: Error): void {
+    if (this.hasEnded || this.#decode !== execution) return;
     this.#decode = undefined;
     const keepsPrefill =
       error instanceof RunnerFailure && error.reason === 'full' && this.#prefill !== undefined;
@@ -354,7 +354,7 @@
     if (prefill) this.#context.canceller.cancel(prefill.url, prefill.runId);
   }
 
-  #handleFailure(execution: Place, error: Error): void {
+  #handleFailure(execution: Execution, error: Error): void {
     const reason = error instanceof RunnerFailure ? error.reason : 'lost';
     this.#context.metrics.count(`runner.${reason}`);
     if (reason === 'lost') this.#context.canceller.cancel(execution.url, execution.runId);
@@ -363,13 +363,17 @@
 
   #sendFailed(runner: string, reason: RunnerFailure['reason']): void {
     const tokens = this.#answer.tokens.length;
-    this.#send({ kind: 'failed', ...nameOf(this.request), runner, reason, tokens });
+    this.#send({ kind: 'failed', ...requestRefOf(this.request), runner, reason, tokens });
   }
 
   #finish(): void {
     this.#decode = undefined;
     this.#prefill = undefined;
-    this.#send({ kind: 'finished', ...nameOf(this.request), tokens: this.#answer.tokens.length });
+    this.#send({
+      kind: 'finished',
+      ...requestRefOf(this.request),
+      tokens: this.#answer.tokens.length,
+    });
     this.#owner = undefined;
     this.#end({ code: undefined, cancelled: false });
     this.#answer.end();
@@ -377,7 +381,7 @@
 
   /** Ends the run with a failure. It is reported as "not run" only if this gateway sent nothing to any runner. */
   #fail(code: CodeName, detail: string, retryAfterMs?: number): void {
-    if (this.ended) return;
+    if (this.hasEnded) return;
     const failure = new Failure(code, detail, retryAfterMs === undefined ? {} : { retryAfterMs });
     const notRun = !this.#isDispatched && codes[code].notRun;
     this.#end({ code, cancelled: false });
@@ -389,14 +393,19 @@
     clearTimeout(this.#deadlineTimer);
     clearTimeout(this.#retryTimer);
     clearTimeout(this.#unreadTimer);
-    this.#send({ kind: 'cancelled', ...nameOf(this.request) });
+    this.#send({ kind: 'cancelled', ...requestRefOf(this.request) });
     this.#controller.abort();
     for (const execution of [this.#prefill, this.#decode]) {
       if (execution) this.#context.canceller.cancel(execution.url, execution.runId);
     }
     this.#context.onEnd(this, {
       ...result,
-      ...timingOf(this.#startedAt, this.#answer.firstAt, this.#answer.tokens.length, Date.now()),
+      ...timingOf(
+        this.#startedAt,
+        this.#answer.firstTokenAt,
+        this.#answer.tokens.length,
+        Date.now(),
+      ),
     });
   }
 }
--- a/src/node/gateway/settings.ts
+++ b/src/node/gateway/settings.ts
@@ -16,7 +16,7 @@
 import type { Platform } from '../platform/client';
 
 /** A settings document or a part of it. */
-export interface SettingsRead {
+export interface SettingsValue {
   readonly path: string;
   readonly revision: number;
   /** JSON with comments for a whole document, JSON for a part. */
@@ -62,7 +62,7 @@
   }
 
   /** Reads a document or a part of it; throws `settingsNotFound` if there is no such document. */
-  async read(path: string): Promise<SettingsRead> {
+  async read(path: string): Promise<SettingsValue> {
     const { path: document, inside } = splitPath(path);
     const { revision, text } = await this.#readState(document);
     if (text === null) throw new Failure('settingsNotFound', `there is no ${document}`);
--- a/src/node/gateway/sink.ts
+++ b/src/node/gateway/sink.ts
@@ -20,7 +20,7 @@
  * one that starts from the first token again; without deduplication it would receive
  * the earlier tokens twice. Fails if the other stream carries a different answer.
  */
-export class OnceSink implements Sink {
+export class DeduplicatingSink implements Sink {
   readonly #sink: Sink;
 
   readonly #tokens: string[] = [];
@@ -67,7 +67,7 @@
 }
 
 /** Fields that streamed and whole responses have in common. */
-export interface AnswerFrame {
+export interface ResponseMetadata {
   readonly id: string;
   /** Name of the service, as given by the caller. */
   readonly model: string;
@@ -77,11 +77,11 @@
 export class EventSink implements Sink {
   readonly #res: ServerResponse;
 
-  readonly #frame: AnswerFrame;
+  readonly #metadata: ResponseMetadata;
 
-  constructor(res: ServerResponse, frame: AnswerFrame) {
+  constructor(res: ServerResponse, metadata: ResponseMetadata) {
     this.#res = res;
-    this.#frame = frame;
+    this.#metadata = metadata;
   }
 
   token(offset: number, text: string): void {
@@ -93,7 +93,7 @@
     }
     const choices = [{ index: 0, text, finish_reason: null }];
     this.#res.write(
-      `data: ${JSON.stringify({ ...this.#frame, object: 'text_completion', choices, offset })}\n\n`,
+      `data: ${JSON.stringify({ ...this.#metadata, object: 'text_completion', choices, offset })}\n\n`,
     );
   }
 
@@ -118,15 +118,15 @@
 export class JsonSink implements Sink {
   readonly #res: ServerResponse;
 
-  readonly #frame: AnswerFrame;
+  readonly #metadata: ResponseMetadata;
 
   readonly #promptTokens: number;
 
   #text = '';
 
-  constructor(res: ServerResponse, frame: AnswerFrame, promptTokens: number) {
+  constructor(res: ServerResponse, metadata: ResponseMetadata, promptTokens: number) {
     this.#res = res;
-    this.#frame = frame;
+    this.#metadata = metadata;
     this.#promptTokens = promptTokens;
   }
 
@@ -137,7 +137,7 @@
   end(tokens: number): void {
     const choices = [{ index: 0, text: this.#text, finish_reason: 'stop' }];
     const usage = { prompt_tokens: this.#promptTokens, completion_tokens: tokens };
-    sendJson(this.#res, 200, { ...this.#frame, object: 'text_completion', choices, usage });
+    sendJson(this.#res, 200, { ...this.#metadata, object: 'text_completion', choices, usage });
   }
 
   fail(failure: Failure, notRun: boolean): void {
--- a/src/node/gateway/silence.ts
+++ b/src/node/gateway/timeout.ts
@@ -5,7 +5,7 @@
  * would hold its slot until its overall time limit. Inactivity for longer than any
  * healthy step takes counts as a lost runner, and the request continues elsewhere.
  */
-export class Silence {
+export class IdleTimeout {
   readonly #controller = new AbortController();
 
   readonly #signal: AbortSignal;
@@ -23,7 +23,7 @@
   }
 
   /** Starts the timer, or restarts it with the duration of the first call; `ms` is in milliseconds. */
-  expect(ms: number): void {
+  restart(ms: number): void {
     if (this.#timer) this.#timer.refresh();
     else this.#timer = setTimeout(() => this.#controller.abort(), ms);
   }
