--- a/src/node/gateway/daemon.ts
+++ b/src/node/gateway/daemon.ts
@@ -8,7 +8,7 @@
 import type { Logger } from 'pino';
 
 import { codes } from '../../core/codes';
-import { OpenAnswers } from '../../utils/answers';
+import { OpenResponses } from '../../utils/responses';
 import { errorBody } from '../../utils/http';
 import { Failure } from '../../core/failure';
 import type { GatewayConfig } from '../config';
@@ -203,7 +203,7 @@
       log: this.#log,
       phase: () => this.#phase,
     });
-    const answers = new OpenAnswers();
+    const answers = new OpenResponses();
     const server = createServer(
       {
         maxHeaderSize: limits.headerBytes,
@@ -217,7 +217,7 @@
     );
     server.maxConnections = limits.connections;
     server.on('clientError', (error, socket) => {
-      if (answers.cutOn(socket)) socket.destroy();
+      if (answers.abortOn(socket)) socket.destroy();
       else respondToMalformedInput(error, socket);
     });
     return server;
--- a/src/node/gateway/fleet.ts
+++ b/src/node/gateway/fleet.ts
@@ -5,7 +5,7 @@
 import { Failure } from '../../core/failure';
 import type { Member } from '../../core/membership/types';
 import { LEDGER_SHARDS } from '../../core/ledger/shard';
-import { Owners, chooseAddresses } from '../../core/ownership';
+import { OwnerCache, chooseAddresses } from '../../core/ownership';
 import type { Settings } from '../../core/settings/documents';
 import { SettingsDocuments } from '../../core/settings/documents';
 import { PeerLink } from '../peer/link';
@@ -49,7 +49,7 @@
 
   readonly #members = new Map<string, Member>();
 
-  readonly #owners = new Owners();
+  readonly #owners = new OwnerCache();
 
   readonly #links = new Map<string, UsedLink>();
 
@@ -183,7 +183,7 @@
   #receive(link: PeerLink, message: ToGateway, forward: FleetOptions['onMessage']): void {
     if (message.kind === 'settings') {
       for (const document of message.documents) this.#documents.apply(document);
-      this.#owners.settingsChanged();
+      this.#owners.invalidate();
       this.#options.onChange();
     } else if (message.kind === 'members') {
       this.#updateMembers(link, message.members);
--- a/src/node/gateway/plain.ts
+++ b/src/node/gateway/plain.ts
@@ -13,7 +13,7 @@
 import { PlainBalancer } from '../../core/plain/balancer';
 import { Quarantine } from '../../core/quarantine/quarantine';
 import type { PlainService, RunnerSettings } from '../../core/settings/schema';
-import { cutOff, failOnReset, isRefusedConnect, readBody } from '../../utils/http';
+import { abortResponse, failOnReset, isConnectionRefused, readBody } from '../../utils/http';
 import type { Metrics } from '../metrics';
 import type { Fleet } from './fleet';
 import type { LedgerClient, Claim } from './ledger';
@@ -189,9 +189,9 @@
   #reportToQuarantine(call: PlainCall, body: Buffer, sent: Dispatch, runner: string): void {
     const now = Date.now();
     const fingerprint = callFingerprint(call, body);
-    if (sent.kind === 'answered') this.#quarantine.completed(now, fingerprint);
+    if (sent.kind === 'answered') this.#quarantine.recordCompletion(now, fingerprint);
     else if (sent.kind === 'lost' && sent.isBrokenOff) {
-      this.#quarantine.ended(now, fingerprint, `${runner}@${now}`);
+      this.#quarantine.recordCrash(now, fingerprint, `${runner}@${now}`);
     }
   }
 
@@ -336,7 +336,7 @@
         resolve({ kind: 'answered', answer });
       });
       out.on('error', (error) => {
-        if (isRefusedConnect(error)) resolve({ kind: 'refused', leaving: false });
+        if (isConnectionRefused(error)) resolve({ kind: 'refused', leaving: false });
         else resolve({ kind: 'lost', error, isBrokenOff: !signal.aborted });
       });
       if (body === undefined) this.#streamBody(req, out);
@@ -363,7 +363,7 @@
     }
     res.writeHead(answer.statusCode ?? 502, forwardedHeaders(answer.headers));
     // The status was already sent; only a closed connection can show the caller that the body is incomplete.
-    answer.once('error', () => cutOff(res));
+    answer.once('error', () => abortResponse(res));
     try {
       await pipeline(answer, res);
     } catch (error) {
--- a/src/node/runner/client.ts
+++ b/src/node/runner/client.ts
@@ -7,7 +7,7 @@
 
 import type { FailureReason } from '../../core/cell/types';
 import { END_OF_EVENTS, openStream, readEvents } from '../../utils/events';
-import { call, isRefusedConnect } from '../../utils/http';
+import { call, isConnectionRefused } from '../../utils/http';
 
 /** Thrown when a runner did not do what it was asked; `full`, `evicted` and `leaving` are its own word that it ran nothing. */
 export class RunnerFailure extends Error {
@@ -128,7 +128,7 @@
 }
 
 function brokenOff(error: Error): RunnerFailure {
-  return new RunnerFailure(isRefusedConnect(error) ? 'unreachable' : 'lost', error.message);
+  return new RunnerFailure(isConnectionRefused(error) ? 'unreachable' : 'lost', error.message);
 }
 
 /** The client on Node's http. */
--- a/src/node/scheduler/members.ts
+++ b/src/node/scheduler/members.ts
@@ -15,26 +15,26 @@
   MembershipEvent,
   MembershipOptions,
   Packet,
-  Rumour,
+  GossipUpdate,
 } from '../../core/membership/types';
-import type { Proof } from '../../core/routing/freshness';
+import type { FreshnessProof } from '../../core/routing/freshness';
 import type { Metrics } from '../metrics';
 
 /** What the rest of the scheduler hears from membership. */
 export interface MembershipListener {
   onChange(member: Member): void;
-  onRumour(rumour: Rumour, address: string): void;
+  onRumour(rumour: GossipUpdate, address: string): void;
   onDiffers(address: string): void;
 }
 
 /** How members tell each other of the age of what they know; see `Freshness`. */
 export interface ProofExchange {
   /** Default: this one has no proof. */
-  tell(): Proof | undefined;
+  tell(): FreshnessProof | undefined;
   /** This member asks another one. */
   ask(seq: number): void;
   /** What it asked is answered. */
-  answer(seq: number, proof: Proof): void;
+  answer(seq: number, proof: FreshnessProof): void;
 }
 
 /** How to start. */
--- a/src/node/scheduler/settings.ts
+++ b/src/node/scheduler/settings.ts
@@ -7,8 +7,8 @@
 import { z } from 'zod';
 
 import { toFailure } from '../../core/failure';
-import type { Member, Rumour } from '../../core/membership/types';
-import { mayOwn } from '../../core/membership/types';
+import type { Member, GossipUpdate } from '../../core/membership/types';
+import { canOwn } from '../../core/membership/types';
 import { ownersOfKey } from '../../core/ownership';
 import type { Settings, StoredDocument } from '../../core/settings/documents';
 import { SettingsDocuments } from '../../core/settings/documents';
@@ -83,7 +83,7 @@
   }
 
   /** Fetches the one document that the rumour is of, unless it is known or already being fetched. */
-  async onRumour({ path, revision }: Rumour, address: string): Promise<void> {
+  async onRumour({ path, revision }: GossipUpdate, address: string): Promise<void> {
     if (revision <= Math.max(this.#book.revisionOf(path), this.#coming.get(path) ?? 0)) return;
     this.#coming.set(path, revision);
     try {
@@ -148,7 +148,7 @@
   /** The store is asked by the first schedulers of a domain, and by all until settings are there. */
   #isReader(): boolean {
     const { vm, domain, members } = this.#options;
-    const near = members().filter((member) => member.domain === domain && mayOwn(member));
+    const near = members().filter((member) => member.domain === domain && canOwn(member));
     const readers = ownersOfKey('settings-readers', near).slice(0, READERS_PER_DOMAIN);
     return readers.length < READERS_PER_DOMAIN || readers.some((reader) => reader.vm === vm);
   }
