--- a/src/node/budget.ts
+++ b/src/node/budget.ts
@@ -1,34 +1,37 @@
-/** Keeps lines of one kind within a number a second, whatever the size of the fleet. */
+/** Rate limit for log lines of one kind, so that their number does not grow with the fleet. */
 
 const WINDOW_MS = 1000;
 
-/** Lets the first lines of each second through and counts the rest. */
+/** Allows the first lines of each one-second window and counts the lines that are suppressed. */
 export class LineBudget {
-  readonly #most: number;
+  readonly #maxLines: number;
 
-  readonly #onRest: (lines: number) => void;
+  readonly #onSuppressed: (lines: number) => void;
 
-  #windowAt = -Infinity;
+  #windowStart = -Infinity;
 
   #lines = 0;
 
-  /** @param onRest says, with the next line after it, how many of a second were left out */
-  constructor(most: number, onRest: (lines: number) => void) {
-    this.#most = most;
-    this.#onRest = onRest;
+  /**
+   * @param maxLines lines allowed in each one-second window
+   * @param onSuppressed receives the number of suppressed lines of a window when the next window opens
+   */
+  constructor(maxLines: number, onSuppressed: (lines: number) => void) {
+    this.#maxLines = maxLines;
+    this.#onSuppressed = onSuppressed;
   }
 
-  /** Whether one more line may be written now. */
+  /** Counts a line and returns whether it may be written; `now` is in milliseconds. */
   allows(now: number): boolean {
-    if (now - this.#windowAt >= WINDOW_MS) this.#open(now);
+    if (now - this.#windowStart >= WINDOW_MS) this.#openWindow(now);
     this.#lines += 1;
-    return this.#lines <= this.#most;
+    return this.#lines <= this.#maxLines;
   }
 
-  #open(now: number): void {
-    const rest = this.#lines - this.#most;
-    this.#windowAt = now;
+  #openWindow(now: number): void {
+    const suppressed = this.#lines - this.#maxLines;
+    this.#windowStart = now;
     this.#lines = 0;
-    if (rest > 0) this.#onRest(rest);
+    if (suppressed > 0) this.#onSuppressed(suppressed);
   }
 }
--- a/src/node/config.ts
+++ b/src/node/config.ts
@@ -1,4 +1,4 @@
-/** Daemon settings: JSON with comments, resolved once into a complete read-only object. */
+/** Settings of the daemons: JSON with comments, parsed once into a complete, read-only object. */
 
 import { readFileSync } from 'node:fs';
 
@@ -94,7 +94,7 @@
 /** Complete settings of a scheduler. */
 export type SchedulerConfig = Readonly<z.infer<typeof schedulerSchema>>;
 
-/** Reads a text file or says clearly why not. */
+/** Reads a UTF-8 text file; throws `fileUnreadable` with the path and the error code. */
 export function readText(path: string): string {
   try {
     return readFileSync(path, 'utf8');
@@ -107,12 +107,12 @@
   }
 }
 
-/** Reads and resolves the settings file of either daemon. */
+/** Reads the settings file of either daemon and fills in the defaults; throws if it does not match the schema. */
 export function loadConfig(path: string): GatewayConfig | SchedulerConfig {
   return Object.freeze(validate(daemonSchema, parseJsonc(readText(path), path), path));
 }
 
-/** Reads the settings file of one role. */
+/** Reads the settings file of one role; throws `settingsInvalid` if the file is for the other role. */
 export function loadConfigOf<R extends 'gateway' | 'scheduler'>(
   path: string,
   role: R,
--- a/src/node/log.ts
+++ b/src/node/log.ts
@@ -1,9 +1,9 @@
-/** Logs: short sentences with a fixed prefix for each part of the program. */
+/** Loggers: messages are short sentences with a fixed prefix for each component. */
 
 import type { DestinationStream, Logger } from 'pino';
 import pino from 'pino';
 
-/** The parts that write logs; the name is the prefix. */
+/** Components that write log lines; the name is the prefix of their messages. */
 export type Part =
   | 'gateway'
   | 'scheduler'
@@ -25,22 +25,24 @@
   | 'runner'
   | 'cli';
 
-/** Root logger of a process. */
+/** Creates the root logger of a process; without a destination it writes to standard output. */
 export function createLog(level: string, vm: string, destination?: DestinationStream): Logger {
   const options = { level, base: { vm }, timestamp: pino.stdTimeFunctions.isoTime };
   return destination ? pino(options, destination) : pino(options);
 }
 
-/** Bytes that are gathered before they are written, and most that may wait to be written. */
-const WRITE_BYTES = 4096;
-const WAITING_BYTES = 1024 * 1024;
-/** Longest time that a line waits to be written, in milliseconds. */
-const FLUSH_MS = 200;
+/** Bytes that are buffered before a write. */
+const MIN_WRITE_BYTES = 4096;
+/** Limit on buffered bytes; lines beyond it are dropped. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
+/** Longest time that a line stays in the buffer, in milliseconds. */
+const FLUSH_INTERVAL_MS = 200;
 
 /**
- * Root logger of a process that must not wait for its log: a reader that does not
- * read would otherwise stop the process in the middle of a request. What does not
- * fit is dropped, counted and said in the log once it is read again.
+ * Creates a root logger that writes asynchronously to standard output. With
+ * synchronous writes, a consumer that stops reading the pipe would block the process
+ * in the middle of a request. Lines that exceed the buffer are dropped and counted,
+ * and the count is logged by the next periodic flush. `flush` writes the buffer synchronously.
  */
 export function createBoundedLog(
   level: string,
@@ -49,8 +51,8 @@
   const stream = pino.destination({
     dest: 1,
     sync: false,
-    minLength: WRITE_BYTES,
-    maxLength: WAITING_BYTES,
+    minLength: MIN_WRITE_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   const log = createLog(level, vm, stream);
   let dropped = 0;
@@ -58,15 +60,15 @@
     dropped += 1;
   });
   const flush = (): void => {
-    if (dropped > 0) log.warn({ dropped }, 'Lines were dropped.');
+    if (dropped > 0) log.warn({ dropped }, 'Dropped log lines.');
     dropped = 0;
     stream.flush();
   };
-  setInterval(flush, FLUSH_MS).unref();
+  setInterval(flush, FLUSH_INTERVAL_MS).unref();
   return { log, flush: () => stream.flushSync() };
 }
 
-/** Logger of one part: each message starts with `part: `. */
-export function logOf(root: Logger, part: Part): Logger {
-  return root.child({}, { msgPrefix: `${part}: ` });
+/** Creates the logger of one component: each message starts with `<component>: `. */
+export function logOf(root: Logger, component: Part): Logger {
+  return root.child({}, { msgPrefix: `${component}: ` });
 }
--- a/src/node/metrics.ts
+++ b/src/node/metrics.ts
@@ -1,24 +1,24 @@
-/** Metrics over StatsD, and the same numbers kept for `ctl status`. */
+/** Metrics sent over StatsD; counters and gauges are also kept in memory for `ctl status`. */
 
 import { StatsD } from 'hot-shots';
 
-/** Counters and gauges by name. */
+/** Counters, gauges and timings by name. */
 export interface Metrics {
   count(name: string, by?: number): void;
   gauge(name: string, value: number): void;
   timing(name: string, ms: number): void;
-  /** All counters and gauges since the start. */
+  /** Current values of all counters and gauges since the process started. */
   readonly values: Readonly<Record<string, number>>;
   close(): void;
 }
 
-/** Where to send. */
+/** Address of the StatsD server. */
 export interface MetricsOptions {
   readonly host: string;
   readonly port: number;
 }
 
-/** Keeps the numbers and sends them if there is somewhere to send them to. */
+/** Metrics of one process; sent only if `options` names a StatsD server. */
 export class ProcessMetrics implements Metrics {
   readonly #values: Record<string, number> = {};
 
--- a/src/node/peer/calls.ts
+++ b/src/node/peer/calls.ts
@@ -1,4 +1,4 @@
-/** Calls with answers over a peer link: numbers them and matches the replies. */
+/** Request-reply calls over a peer link, matched by sequence number. */
 
 import { codes } from '../../core/codes';
 import { Failure, toFailure } from '../../core/failure';
@@ -10,13 +10,13 @@
   readonly timer: NodeJS.Timeout;
 }
 
-/** Calls under way on one link. */
+/** Calls on one link that wait for their reply. */
 export class PendingCalls {
   readonly #pending = new Map<number, Pending>();
 
   #seq = 0;
 
-  /** Sends a call; rejects when `limitMs` has passed or the link is lost. */
+  /** Sends a call. Rejects with the failure in the reply, or with `noOwner` after `limitMs` milliseconds or when the link is lost. */
   start(
     send: (message: Message<'call'>) => void,
     method: string,
@@ -35,6 +35,7 @@
     });
   }
 
+  /** Settles the call that the reply belongs to; ignores replies to unknown or timed-out calls. */
   settle(reply: Message<'reply'>): void {
     const pending = this.#pending.get(reply.seq);
     if (!pending) return;
@@ -48,6 +49,7 @@
     pending.reject(new Failure(reply.code, reply.detail ?? codes[reply.code].meaning, options));
   }
 
+  /** Rejects all pending calls with `noOwner`. */
   failAll(reason: string): void {
     for (const { reject, timer } of this.#pending.values()) {
       clearTimeout(timer);
@@ -57,7 +59,7 @@
   }
 }
 
-/** Runs the handler of a call and makes the reply from what it gives or throws. */
+/** Runs the handler of a call and builds the reply from its result or its error. Never rejects. */
 export async function answerCall(
   { seq, method, params }: Message<'call'>,
   handle: (method: string, params: unknown) => Promise<unknown>,
--- a/src/node/peer/link.ts
+++ b/src/node/peer/link.ts
@@ -1,4 +1,4 @@
-/** The opening side of a peer link: connects, says hello, and connects again when it is lost. */
+/** Client side of a peer link: connects, sends `hello`, and reconnects when the connection is lost. */
 
 import type { Logger } from 'pino';
 import WebSocket from 'ws';
@@ -9,30 +9,33 @@
 import type { Message, ToGateway, ToScheduler } from './messages';
 import { toGatewaySchema } from './messages';
 
-/** Who opens the link and whereto. */
+/** Options of a `PeerLink`. */
 export interface PeerLinkOptions {
   /** `HOST:PORT` of the scheduler. */
   readonly address: string;
+  /** Identity of this process, sent after connecting. */
   readonly hello: Omit<Message<'hello'>, 'kind' | 'version'>;
+  /** Protocol version to announce. */
   readonly version: number;
   readonly log: Logger;
+  /** Receives all messages but `welcome`, calls and replies. */
   readonly onMessage: (message: ToGateway) => void;
   readonly onUp?: () => void;
   readonly onDown?: () => void;
-  /** Answers calls of the other side. Default: none are known. */
+  /** Answers calls of the peer. Without it, calls are ignored. */
   readonly onCall?: (method: string, params: unknown) => Promise<unknown>;
 }
 
-/** First wait before connecting again, in milliseconds; doubles up to the limit. */
-const RECONNECT_MS = 50;
-const RECONNECT_LIMIT_MS = 1000;
-/** A link that is silent for this long is closed, in milliseconds. */
-const SILENCE_LIMIT_MS = 4000;
-const PING_MS = 1000;
-/** Time limit of a call, in milliseconds. */
-const CALL_LIMIT_MS = 5000;
+/** Initial reconnect delay in milliseconds; doubles up to the limit. */
+const INITIAL_RECONNECT_MS = 50;
+const MAX_RECONNECT_MS = 1000;
+/** A connection without incoming messages or pongs for this long is closed, in milliseconds. */
+const IDLE_TIMEOUT_MS = 4000;
+const PING_INTERVAL_MS = 1000;
+/** Default timeout of a call, in milliseconds. */
+const CALL_TIMEOUT_MS = 5000;
 
-/** A link that stays open until `close`. */
+/** A link that reconnects until `close` is called. */
 export class PeerLink {
   readonly address: string;
 
@@ -46,22 +49,22 @@
 
   #closed = false;
 
-  #waitMs = RECONNECT_MS;
+  #reconnectMs = INITIAL_RECONNECT_MS;
 
-  #retry: NodeJS.Timeout | undefined;
+  #reconnectTimer: NodeJS.Timeout | undefined;
 
-  #pinger: NodeJS.Timeout | undefined;
+  #pingTimer: NodeJS.Timeout | undefined;
 
-  #heardAt = 0;
+  #lastReceivedAt = 0;
 
-  #settleOpened: (() => void) | undefined;
+  #resolveOpened: (() => void) | undefined;
 
-  /** Resolves when the first try to connect has ended, well or not. */
+  /** Resolves when the first connection attempt has succeeded or failed. */
   readonly opened = new Promise<void>((resolve) => {
-    this.#settleOpened = resolve;
+    this.#resolveOpened = resolve;
   });
 
-  /** Bytes sent and received, for measurements. */
+  /** Bytes of messages sent and received, for measurements; `hello` is not counted. */
   bytes = 0;
 
   constructor(options: PeerLinkOptions) {
@@ -70,11 +73,12 @@
     this.#connect();
   }
 
+  /** Whether the handshake is complete and the connection is open. */
   get up(): boolean {
     return this.#up;
   }
 
-  /** Sends if the link is up and tells whether it was. */
+  /** Sends a message if the link is up; returns false if it is not. */
   send(message: ToScheduler): boolean {
     if (!this.#up || !this.#socket) return false;
     const data = encode(message);
@@ -83,8 +87,8 @@
     return true;
   }
 
-  /** Calls a method on the other side; rejects with its failure, or with `noOwner` if it does not answer. */
-  call(method: string, params: unknown, limitMs = CALL_LIMIT_MS): Promise<unknown> {
+  /** Calls a method of the peer. Rejects with the peer's failure, or with `noOwner` if no reply arrives within `limitMs`. */
+  call(method: string, params: unknown, limitMs = CALL_TIMEOUT_MS): Promise<unknown> {
     return this.#calls.start(
       (message) => {
         if (!this.send(message)) this.#calls.failAll(`${this.address} is not connected`);
@@ -95,11 +99,12 @@
     );
   }
 
+  /** Closes the link for good and rejects its pending calls. */
   close(): void {
     this.#closed = true;
-    clearTimeout(this.#retry);
+    clearTimeout(this.#reconnectTimer);
     this.#socket?.close();
-    this.#down();
+    this.#onDisconnect();
   }
 
   #connect(): void {
@@ -114,24 +119,24 @@
     });
     socket.on('message', (data: Buffer) => this.#receive(data));
     socket.on('pong', () => {
-      this.#heardAt = performance.now();
+      this.#lastReceivedAt = performance.now();
     });
     socket.on('error', () => {});
     socket.on('close', () => {
       if (this.#socket !== socket) return;
-      this.#settleOpened?.();
-      this.#down();
-      if (!this.#closed) this.#connectLater();
+      this.#resolveOpened?.();
+      this.#onDisconnect();
+      if (!this.#closed) this.#scheduleReconnect();
     });
   }
 
-  #connectLater(): void {
-    this.#retry = setTimeout(() => this.#connect(), this.#waitMs);
-    this.#waitMs = Math.min(RECONNECT_LIMIT_MS, this.#waitMs * 2);
+  #scheduleReconnect(): void {
+    this.#reconnectTimer = setTimeout(() => this.#connect(), this.#reconnectMs);
+    this.#reconnectMs = Math.min(MAX_RECONNECT_MS, this.#reconnectMs * 2);
   }
 
   #receive(data: Buffer): void {
-    this.#heardAt = performance.now();
+    this.#lastReceivedAt = performance.now();
     this.bytes += data.length;
     try {
       this.#dispatch(decode(toGatewaySchema, data));
@@ -142,13 +147,13 @@
   }
 
   #dispatch(message: ToGateway): void {
-    if (message.kind === 'welcome') this.#welcome();
+    if (message.kind === 'welcome') this.#onWelcome();
     else if (message.kind === 'reply') this.#calls.settle(message);
-    else if (message.kind === 'call') this.#answer(message);
+    else if (message.kind === 'call') this.#answerPeer(message);
     else this.#options.onMessage(message);
   }
 
-  #answer(message: Message<'call'>): void {
+  #answerPeer(message: Message<'call'>): void {
     const { onCall } = this.#options;
     if (!onCall) return;
     answerCall(message, onCall)
@@ -156,25 +161,26 @@
       .catch((error) => this.#options.log.error(toFailure(error).line));
   }
 
-  #welcome(): void {
+  #onWelcome(): void {
     this.#up = true;
-    this.#settleOpened?.();
-    this.#waitMs = RECONNECT_MS;
-    this.#pinger = setInterval(() => this.#ping(), PING_MS);
+    this.#resolveOpened?.();
+    this.#reconnectMs = INITIAL_RECONNECT_MS;
+    this.#pingTimer = setInterval(() => this.#ping(), PING_INTERVAL_MS);
     this.#options.onUp?.();
   }
 
   /**
    * A frozen peer keeps its TCP connection open, and requests sent to it would
-   * wait for ever. Silence after pings closes the link, so that they move on.
+   * wait forever. The link is closed when pings stay unanswered, so that these
+   * requests are sent elsewhere.
    */
   #ping(): void {
-    if (performance.now() - this.#heardAt > SILENCE_LIMIT_MS) this.#socket?.terminate();
+    if (performance.now() - this.#lastReceivedAt > IDLE_TIMEOUT_MS) this.#socket?.terminate();
     else this.#socket?.ping();
   }
 
-  #down(): void {
-    clearInterval(this.#pinger);
+  #onDisconnect(): void {
+    clearInterval(this.#pingTimer);
     this.#calls.failAll(`the link to ${this.address} was lost`);
     if (!this.#up) return;
     this.#up = false;
--- a/src/node/peer/messages.ts
+++ b/src/node/peer/messages.ts
@@ -1,11 +1,11 @@
-/** Messages between processes. Every field is checked where a message comes in. */
+/** Messages between processes. Every field is validated by the receiver. */
 
 import { z } from 'zod';
 
 import type { CodeName } from '../../core/codes';
 import { codes } from '../../core/codes';
 
-/** Grows with each change that older processes would not understand. */
+/** Version of the protocol; incremented with each incompatible change. */
 export const PROTOCOL_VERSION = 7;
 
 const id = z.string().min(1).max(200);
@@ -26,7 +26,7 @@
   tier: z.enum(['interactive', 'batch']),
   promptTokens: count,
   maxTokens: count,
-  /** Time left until the first token is due; clocks of VMs differ, so no absolute time crosses. */
+  /** Time left until the first token is due, in milliseconds; relative because the clocks of VMs differ. */
   dueInMs: ms,
   blocks: z.array(z.int().min(0)).max(64),
   fingerprint: z.string().max(64).optional(),
@@ -39,7 +39,7 @@
   role: z.enum(['gateway', 'scheduler', 'operator']),
   id,
   vm: name,
-  /** Address for callers, from gateways. */
+  /** Address that callers connect to; sent by gateways only. */
   address: z.string().max(100).optional(),
 });
 const welcome = z.object({ kind: z.literal('welcome'), version: z.int(), vm: name });
@@ -110,7 +110,7 @@
   retryAfterMs: ms.optional(),
 });
 
-/** What a scheduler takes from gateways, other schedulers and operators' tools. */
+/** Messages that a scheduler accepts from gateways, other schedulers and operators' tools. */
 export const toSchedulerSchema = z.discriminatedUnion('kind', [
   hello,
   arrive,
@@ -124,7 +124,7 @@
   callMessage,
   reply,
 ]);
-/** What a gateway takes from schedulers. */
+/** Messages that a gateway accepts from schedulers. */
 export const toGatewaySchema = z.discriminatedUnion('kind', [
   welcome,
   prefill,
@@ -139,9 +139,9 @@
 
 /** A message to a scheduler. */
 export type ToScheduler = z.infer<typeof toSchedulerSchema>;
-/** A message to a gateway, or to whoever opened the link. */
+/** A message from the listening side of a link: to a gateway or to any other process that opened the link. */
 export type ToGateway = z.infer<typeof toGatewaySchema>;
-/** A member as gateways are told of it. */
+/** A member as reported to gateways. */
 export type MemberNotice = z.infer<typeof member>;
 /** A message of one kind. */
 export type Message<K extends (ToScheduler | ToGateway)['kind']> = Extract<
--- a/src/node/peer/server.ts
+++ b/src/node/peer/server.ts
@@ -1,4 +1,4 @@
-/** The listening side of peer links. */
+/** Server side of peer links. */
 
 import { timingSafeEqual } from 'node:crypto';
 import type { Server } from 'node:http';
@@ -15,41 +15,45 @@
 import type { Message, ToGateway, ToScheduler } from './messages';
 import { PROTOCOL_VERSION, toSchedulerSchema } from './messages';
 
-/** A peer that said hello. */
+/** A connected peer that completed the handshake. */
 export interface Peer {
   readonly id: string;
   readonly vm: string;
   readonly role: Message<'hello'>['role'];
   readonly address: string | undefined;
   send(message: ToGateway): void;
+  /** Calls a method of the peer. Rejects with the peer's failure, or with `noOwner` if no reply arrives in time. */
   call(method: string, params: unknown): Promise<unknown>;
 }
 
-/** What the owner of the server does. */
+/** Callbacks of a `PeerServer`. */
 export interface PeerHandler {
   onOpen(peer: Peer): void;
+  /** Receives all messages after `hello` but calls and replies. */
   onMessage(peer: Peer, message: ToScheduler): void;
   onCall(peer: Peer, method: string, params: unknown): Promise<unknown>;
   onClose(peer: Peer): void;
 }
 
-/** Where to listen and what to ask of peers. */
+/** Options of a `PeerServer`. */
 export interface PeerServerOptions {
   readonly host: string;
   readonly port: number;
+  /** Key that peers must present. */
   readonly key: string;
   readonly vm: string;
   readonly log: Logger;
   readonly handler: PeerHandler;
 }
 
-/** A peer that does not say hello within this time is cut off, in milliseconds. */
-const HELLO_LIMIT_MS = 2000;
-const CALL_LIMIT_MS = 2000;
-/** A peer that sends neither messages nor pings for this long is cut off, in milliseconds. */
-const SILENCE_LIMIT_MS = 5000;
+/** A connection without `hello` within this time is closed, in milliseconds. */
+const HELLO_TIMEOUT_MS = 2000;
+/** Timeout of a call to a peer, in milliseconds. */
+const CALL_TIMEOUT_MS = 2000;
+/** A connection without incoming messages or pings for this long is closed, in milliseconds. */
+const IDLE_TIMEOUT_MS = 5000;
 
-function sameKey(a: string, b: string): boolean {
+function isSameKey(a: string, b: string): boolean {
   return timingSafeEqual(Buffer.from(hashToken(a)), Buffer.from(hashToken(b)));
 }
 
@@ -79,11 +83,11 @@
   }
 
   call(method: string, params: unknown): Promise<unknown> {
-    return this.calls.start((message) => this.send(message), method, params, CALL_LIMIT_MS);
+    return this.calls.start((message) => this.send(message), method, params, CALL_TIMEOUT_MS);
   }
 }
 
-/** Accepts peers that know the key and speak this version. */
+/** Accepts peers that present the key and use the same protocol version. */
 export class PeerServer {
   readonly #options: PeerServerOptions;
 
@@ -106,7 +110,7 @@
     this.#sockets.on('connection', (socket) => this.#accept(socket));
   }
 
-  /** Starts to listen and gives the port. */
+  /** Starts listening; resolves to the port in use. */
   listen(): Promise<number> {
     const { host, port } = this.#options;
     return new Promise((resolve, reject) => {
@@ -118,6 +122,7 @@
     });
   }
 
+  /** Closes all connections and stops listening. */
   close(): Promise<void> {
     for (const socket of this.#sockets.clients) socket.terminate();
     this.#sockets.close();
@@ -129,20 +134,20 @@
 
   #accept(socket: WebSocket): void {
     let peer: Connection | undefined;
-    // A frozen gateway keeps its link open and its requests would hold their slots; peers ping every second.
-    const silence = setTimeout(() => socket.terminate(), SILENCE_LIMIT_MS);
-    socket.on('ping', () => silence.refresh());
-    const limit = setTimeout(() => socket.terminate(), HELLO_LIMIT_MS);
+    // A frozen gateway keeps its connection open, and its requests would keep their slots. Live peers ping every second.
+    const idleTimer = setTimeout(() => socket.terminate(), IDLE_TIMEOUT_MS);
+    socket.on('ping', () => idleTimer.refresh());
+    const helloTimer = setTimeout(() => socket.terminate(), HELLO_TIMEOUT_MS);
     socket.on('message', (data: Buffer) => {
-      silence.refresh();
+      idleTimer.refresh();
       try {
         const message = decode(toSchedulerSchema, data);
         if (peer) {
           this.#dispatch(peer, message);
           return;
         }
-        peer = this.#greet(socket, message);
-        clearTimeout(limit);
+        peer = this.#handshake(socket, message);
+        clearTimeout(helloTimer);
         this.#options.handler.onOpen(peer);
       } catch (error) {
         this.#reject(socket, toFailure(error));
@@ -150,15 +155,15 @@
     });
     socket.on('error', (error) => this.#reject(socket, new Failure('peerRejected', error.message)));
     socket.on('close', () => {
-      clearTimeout(limit);
-      clearTimeout(silence);
+      clearTimeout(helloTimer);
+      clearTimeout(idleTimer);
       if (!peer) return;
       peer.calls.failAll('the link was lost');
       this.#options.handler.onClose(peer);
     });
   }
 
-  #greet(socket: WebSocket, message: ToScheduler): Connection {
+  #handshake(socket: WebSocket, message: ToScheduler): Connection {
     const { key, vm } = this.#options;
     if (message.kind !== 'hello') {
       throw new Failure('peerRejected', `found ${message.kind}, expected hello`);
@@ -169,7 +174,7 @@
         `found protocol ${message.version}, expected ${PROTOCOL_VERSION}`,
       );
     }
-    if (!sameKey(message.key, key)) throw new Failure('peerRejected', 'found another peer key');
+    if (!isSameKey(message.key, key)) throw new Failure('peerRejected', 'found another peer key');
     socket.send(encode({ kind: 'welcome', version: PROTOCOL_VERSION, vm }));
     return new Connection(socket, message);
   }
@@ -187,7 +192,7 @@
   }
 
   #reject(socket: WebSocket, failure: Failure): void {
-    this.#options.log.warn(`Cut off a peer. ${failure.line}.`);
+    this.#options.log.warn(`Closed a peer connection. ${failure.line}.`);
     socket.terminate();
   }
 }
--- a/src/node/platform/client.ts
+++ b/src/node/platform/client.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the platform: key-value service with compare-and-swap, leases and
- * watches over Consul's HTTP protocol, and the lagging list of VMs.
+ * Client of the platform: a key-value service with compare-and-swap, leases and
+ * watches over Consul's HTTP protocol, and the list of VMs, which may be out of date.
  */
 
 import { Agent } from 'node:http';
@@ -11,11 +11,11 @@
 import type { Answer } from '../../utils/http';
 import { call } from '../../utils/http';
 
-/** A value with the index of its last change. */
+/** A value with the index of its last modification. */
 export interface StoredValue {
   readonly key: string;
   readonly value: string;
-  /** Grows with each write; 0 for a key that does not exist. */
+  /** Increases with each write; 0 stands for a key that does not exist. */
   readonly index: number;
 }
 
@@ -26,25 +26,28 @@
   readonly leaving: boolean;
 }
 
-/** How a conditional write ended. `unknown`: the answer was lost, the write may have taken effect. */
+/** Result of a conditional write. `unknown`: no answer arrived, and the write may have taken effect. */
 export type WriteOutcome = 'written' | 'conflict' | 'unknown';
 
-/** Everything that is asked of the platform. */
+/** Interface of the platform. */
 export interface Platform {
+  /** Reads a key; `undefined` if it does not exist. */
   read(key: string): Promise<StoredValue | undefined>;
-  /** Values under a prefix, at once or, if nothing changed since `index`, after a change or `waitMs`. */
+  /** Values under a prefix: immediately if they changed since `index`, otherwise after the next change or after `waitMs`. */
   watch(prefix: string, index: number, waitMs: number, signal?: AbortSignal): Promise<PrefixState>;
-  /** Writes if the key's index still is `index`. */
+  /** Writes a key if its index still equals `index`. Never rejects. */
   write(key: string, value: string, index: number): Promise<WriteOutcome>;
+  /** Creates a lease and returns its id. */
   createLease(ttlMs: number): Promise<string>;
+  /** Renews a lease; false if it has expired. */
   renewLease(lease: string, ttlMs: number): Promise<boolean>;
   endLease(lease: string): Promise<void>;
-  /** Takes a key under a lease; false if another holds it. */
+  /** Locks a key with a lease and sets its value; false if another lease holds it. */
   acquire(key: string, value: string, lease: string): Promise<boolean>;
   vms(): Promise<readonly ListedVm[]>;
 }
 
-/** Values under a prefix at one moment. */
+/** Values under a prefix, as of one index of the store. */
 export interface PrefixState {
   readonly index: number;
   readonly values: readonly StoredValue[];
@@ -62,14 +65,17 @@
 );
 const leaseSchema = z.object({ ID: z.string() });
 
-/** Time limit of a call that does not wait for a change, in milliseconds. */
-const CALL_LIMIT_MS = 2000;
+/** Timeout of a call in milliseconds; a watch adds its waiting time. */
+const CALL_TIMEOUT_MS = 2000;
 
-function seconds(ms: number): string {
+function toSeconds(ms: number): string {
   return `${ms / 1000}s`;
 }
 
-/** The client on HTTP. Every method rejects with `platformUnavailable` when no answer comes. */
+/**
+ * Platform client over HTTP. All methods but `write` reject with `platformUnavailable`
+ * on a timeout, a connection error or a status of 500 and above.
+ */
 export class HttpPlatform implements Platform {
   readonly #base: string;
 
@@ -90,8 +96,8 @@
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<PrefixState> {
-    const path = `/v1/kv/${encodeURIComponent(prefix)}?recurse=1&index=${index}&wait=${seconds(waitMs)}`;
-    const answer = await this.#call('GET', path, undefined, CALL_LIMIT_MS + waitMs, signal);
+    const path = `/v1/kv/${encodeURIComponent(prefix)}?recurse=1&index=${index}&wait=${toSeconds(waitMs)}`;
+    const answer = await this.#call('GET', path, undefined, CALL_TIMEOUT_MS + waitMs, signal);
     const values = answer.status === 404 ? [] : parseEntries(answer);
     return { index: Number(answer.headers['x-consul-index'] ?? 0), values };
   }
@@ -113,7 +119,7 @@
     const answer = await this.#call(
       'PUT',
       '/v1/session/create',
-      JSON.stringify({ TTL: seconds(ttlMs) }),
+      JSON.stringify({ TTL: toSeconds(ttlMs) }),
     );
     return leaseSchema.parse(JSON.parse(answer.body)).ID;
   }
@@ -122,7 +128,7 @@
     const answer = await this.#call(
       'PUT',
       `/v1/session/renew/${lease}`,
-      JSON.stringify({ TTL: seconds(ttlMs) }),
+      JSON.stringify({ TTL: toSeconds(ttlMs) }),
     );
     return answer.status === 200;
   }
@@ -150,6 +156,7 @@
     }));
   }
 
+  /** Closes all pooled connections. */
   close(): void {
     this.#agent.destroy();
   }
@@ -158,7 +165,7 @@
     method: string,
     path: string,
     body?: string,
-    timeoutMs = CALL_LIMIT_MS,
+    timeoutMs = CALL_TIMEOUT_MS,
     signal?: AbortSignal,
   ): Promise<Answer> {
     try {
--- a/src/node/runner/client.ts
+++ b/src/node/runner/client.ts
@@ -1,4 +1,4 @@
-/** Client of the runners: prefill, decode streams, cancels, lists and reports. */
+/** Client of the runners' HTTP interface: prefill, decode streams, cancellation, held runs, load reports and cache events. */
 
 import type { IncomingMessage } from 'node:http';
 import { Agent } from 'node:http';
@@ -9,7 +9,10 @@
 import { END_OF_EVENTS, openStream, readEvents } from '../../utils/events';
 import { call, isRefusedConnect } from '../../utils/http';
 
-/** Thrown when a runner did not do what it was asked; `full`, `evicted` and `leaving` are its own word that it ran nothing. */
+/**
+ * Thrown when a call to a runner fails. For `full`, `evicted` and `leaving` the runner itself
+ * reports that it did not run the request.
+ */
 export class RunnerFailure extends Error {
   readonly reason: FailureReason;
 
@@ -20,21 +23,23 @@
   }
 }
 
-/** A prompt for the engine. */
+/** A request to an engine. */
 export interface EngineJob {
-  /** Id under which the engine knows the job. */
+  /** Id that identifies the run at the engine. */
   readonly runId: string;
   readonly prompt: string;
   readonly maxTokens: number;
   readonly priority: number;
   readonly cacheSalt: string;
-  /** Whether the engine goes on for a while when the connection breaks, so that another gateway can pick the stream up. */
+  /** Whether the engine keeps generating for a limited time after a broken connection, so that another gateway can resume the stream. */
   readonly resumable: boolean;
 }
 
-/** A finished prefill. */
+/** Result of a finished prefill. */
 export interface PrefillResult {
+  /** Prompt tokens served from the prefix cache. */
   readonly cachedTokens: number;
+  /** How long the prefill runner keeps the KV cache for the transfer, in milliseconds. */
   readonly keptMs: number;
 }
 
@@ -45,41 +50,45 @@
   readonly text: string;
 }
 
-/** A load report. */
+/** Load report of a runner. */
 export interface RunnerLoad {
-  /** How old the figures were when the runner answered, in milliseconds; no clock crosses between VMs. */
+  /** Age of the figures when the runner answered, in milliseconds; relative because the clocks of VMs differ. */
   readonly ageMs: number;
   readonly running: number;
   readonly waiting: number;
   readonly leaving: boolean;
 }
 
-/** Blocks that came into or left a runner's prefix cache. */
+/** Blocks added to or removed from a runner's prefix cache. */
 export interface CacheEvent {
   readonly seq: number;
   readonly added: readonly number[];
   readonly removed: readonly number[];
 }
 
-/** What gateways and schedulers ask of runners. */
+/** Calls of gateways and schedulers to runners, addressed by base URL. */
 export interface RunnerClient {
+  /** Runs the prefill only; rejects with `RunnerFailure`. */
   prefill(url: string, job: EngineJob, signal: AbortSignal): Promise<PrefillResult>;
+  /** Fetches the KV cache from `source` and streams the output tokens; throws `RunnerFailure`. */
   decode(
     url: string,
     job: EngineJob,
     source: DecodeSource,
     signal: AbortSignal,
   ): AsyncIterable<Token>;
-  /** Tokens of a run that another gateway began. */
+  /** Streams the tokens of a run that another gateway started, from position `offset`. */
   resume(url: string, runId: string, offset: number, signal: AbortSignal): AsyncIterable<Token>;
-  /** True once the runner holds nothing for the run. */
+  /** Cancels a run; resolves to true once the runner holds nothing for it. */
   cancel(url: string, runId: string): Promise<boolean>;
+  /** Ids of the runs that the runner holds. */
   held(url: string): Promise<readonly string[]>;
   load(url: string): Promise<RunnerLoad>;
+  /** Cache events after sequence number `since`. */
   cacheEvents(url: string, since: number): Promise<readonly CacheEvent[]>;
 }
 
-/** Where the KV cache is fetched from. */
+/** Runner and run that the KV cache is fetched from. */
 export interface DecodeSource {
   readonly url: string;
   readonly runId: string;
@@ -103,12 +112,12 @@
   ),
 });
 
-/** Time limit of a prefill call, in milliseconds. */
-const PREFILL_LIMIT_MS = 60_000;
-/** Time limit of small calls, in milliseconds. */
-const CALL_LIMIT_MS = 1000;
+/** Timeout of a prefill call, in milliseconds. */
+const PREFILL_TIMEOUT_MS = 60_000;
+/** Timeout of all other calls that are not streams, in milliseconds. */
+const CALL_TIMEOUT_MS = 1000;
 
-const reasons: Readonly<Record<number, FailureReason>> = {
+const reasonsByStatus: Readonly<Record<number, FailureReason>> = {
   429: 'full',
   410: 'evicted',
   503: 'leaving',
@@ -127,11 +136,11 @@
   });
 }
 
-function brokenOff(error: Error): RunnerFailure {
+function connectionFailure(error: Error): RunnerFailure {
   return new RunnerFailure(isRefusedConnect(error) ? 'unreachable' : 'lost', error.message);
 }
 
-/** The client on Node's http. */
+/** Runner client over HTTP. */
 export class HttpRunnerClient implements RunnerClient {
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 512 });
 
@@ -141,13 +150,13 @@
       url: `${url}/v1/completions`,
       body: body(job, { do_remote_decode: true }),
       agent: this.#agent,
-      timeoutMs: PREFILL_LIMIT_MS,
+      timeoutMs: PREFILL_TIMEOUT_MS,
       signal,
     }).catch((error: Error) => {
-      throw brokenOff(error);
+      throw connectionFailure(error);
     });
     if (answer.status !== 200) {
-      throw new RunnerFailure(reasons[answer.status] ?? 'lost', `status ${answer.status}`);
+      throw new RunnerFailure(reasonsByStatus[answer.status] ?? 'lost', `status ${answer.status}`);
     }
     const { cached_tokens: cachedTokens, kept_ms: keptMs } = prefillSchema.parse(
       JSON.parse(answer.body),
@@ -166,16 +175,16 @@
       remote_url: source.url,
       remote_request_id: source.runId,
     };
-    return this.#tokens('POST', `${url}/v1/completions`, body(job, transfer), signal);
+    return this.#streamTokens('POST', `${url}/v1/completions`, body(job, transfer), signal);
   }
 
   resume(url: string, runId: string, offset: number, signal: AbortSignal): AsyncIterable<Token> {
     const path = `/v1/streams/${encodeURIComponent(runId)}?offset=${offset}`;
-    return this.#tokens('GET', url + path, undefined, signal);
+    return this.#streamTokens('GET', url + path, undefined, signal);
   }
 
   async cancel(url: string, runId: string): Promise<boolean> {
-    const answer = await this.#small(
+    const answer = await this.#callBriefly(
       'POST',
       `${url}/v1/cancel`,
       JSON.stringify({ request_id: runId }),
@@ -184,37 +193,38 @@
   }
 
   async held(url: string): Promise<readonly string[]> {
-    const answer = await this.#small('GET', `${url}/v1/requests`);
+    const answer = await this.#callBriefly('GET', `${url}/v1/requests`);
     return heldSchema.parse(JSON.parse(answer.body)).held;
   }
 
   async load(url: string): Promise<RunnerLoad> {
-    const answer = await this.#small('GET', `${url}/v1/load`);
+    const answer = await this.#callBriefly('GET', `${url}/v1/load`);
     const { age_ms: ageMs, ...rest } = loadSchema.parse(JSON.parse(answer.body));
     return { ageMs, ...rest };
   }
 
   async cacheEvents(url: string, since: number): Promise<readonly CacheEvent[]> {
-    const answer = await this.#small('GET', `${url}/v1/cache/events?since=${since}`);
+    const answer = await this.#callBriefly('GET', `${url}/v1/cache/events?since=${since}`);
     return eventsSchema.parse(JSON.parse(answer.body)).events;
   }
 
+  /** Closes all pooled connections. */
   close(): void {
     this.#agent.destroy();
   }
 
-  #small(method: string, url: string, text?: string): ReturnType<typeof call> {
-    const options = { method, url, agent: this.#agent, timeoutMs: CALL_LIMIT_MS };
+  #callBriefly(method: string, url: string, text?: string): ReturnType<typeof call> {
+    const options = { method, url, agent: this.#agent, timeoutMs: CALL_TIMEOUT_MS };
     return call(text === undefined ? options : { ...options, body: text });
   }
 
-  async *#tokens(
+  async *#streamTokens(
     method: string,
     url: string,
     text: string | undefined,
     signal: AbortSignal,
   ): AsyncGenerator<Token> {
-    const stream = await this.#open(method, url, text, signal);
+    const stream = await this.#openStream(method, url, text, signal);
     try {
       for await (const line of readEvents(stream)) {
         if (line === END_OF_EVENTS) return;
@@ -224,11 +234,11 @@
     } catch (error) {
       throw new RunnerFailure('lost', (error as Error).message);
     }
-    // The end of the connection is no end of the answer: only the engine's own mark is.
+    // Only the engine's end mark completes the answer; a closed connection alone means that it is truncated.
     throw new RunnerFailure('lost', 'the stream ended before its end mark');
   }
 
-  async #open(
+  async #openStream(
     method: string,
     url: string,
     text: string | undefined,
@@ -236,12 +246,12 @@
   ): Promise<IncomingMessage> {
     const stream = await openStream({ method, url, body: text, agent: this.#agent, signal }).catch(
       (error: Error) => {
-        throw brokenOff(error);
+        throw connectionFailure(error);
       },
     );
     const { statusCode = 0 } = stream;
     if (statusCode === 200) return stream;
     stream.resume();
-    throw new RunnerFailure(reasons[statusCode] ?? 'lost', `status ${statusCode}`);
+    throw new RunnerFailure(reasonsByStatus[statusCode] ?? 'lost', `status ${statusCode}`);
   }
 }
--- a/src/version.ts
+++ b/src/version.ts
@@ -1,4 +1,4 @@
-/** Version of this build; the bundler puts the values in. */
+/** Version of this build. The bundler replaces the declared constant with its value. */
 
 declare const GOLDCRESTDOCK_VERSION: string | undefined;
 
