--- a/src/node/peer/link.ts
+++ b/src/node/peer/link.ts
@@ -45,7 +45,7 @@
 
   #socket: WebSocket | undefined;
 
-  #up = false;
+  #isUp = false;
 
   #closed = false;
 
@@ -75,12 +75,12 @@
 
   /** Whether the handshake is complete and the connection is open. */
   get up(): boolean {
-    return this.#up;
+    return this.#isUp;
   }
 
   /** Sends a message if the link is up; returns false if it is not. */
   send(message: ToScheduler): boolean {
-    if (!this.#up || !this.#socket) return false;
+    if (!this.#isUp || !this.#socket) return false;
     const data = encode(message);
     this.bytes += data.length;
     this.#socket.send(data);
@@ -162,7 +162,7 @@
   }
 
   #onWelcome(): void {
-    this.#up = true;
+    this.#isUp = true;
     this.#resolveOpened?.();
     this.#reconnectMs = INITIAL_RECONNECT_MS;
     this.#pingTimer = setInterval(() => this.#ping(), PING_INTERVAL_MS);
@@ -182,8 +182,8 @@
   #onDisconnect(): void {
     clearInterval(this.#pingTimer);
     this.#calls.failAll(`the link to ${this.address} was lost`);
-    if (!this.#up) return;
-    this.#up = false;
+    if (!this.#isUp) return;
+    this.#isUp = false;
     this.#options.onDown?.();
   }
 }
--- a/src/node/scheduler/cells.ts
+++ b/src/node/scheduler/cells.ts
@@ -1,4 +1,4 @@
-/** Hosts the cells that this scheduler plans: carries messages, timers and actions. */
+/** Hosts the cells of the pools that this scheduler plans: passes messages and timers to them and performs their actions. */
 
 import type { Logger } from 'pino';
 import { match } from 'ts-pattern';
@@ -11,16 +11,16 @@
 import type { Message, ToScheduler } from '../peer/messages';
 import type { Peer } from '../peer/server';
 
-/** Messages that concern a cell. */
+/** Messages that are passed to a cell. */
 export type CellMessage = Extract<
   ToScheduler,
   { kind: 'arrive' | 'adopt' | 'prefilled' | 'started' | 'finished' | 'failed' | 'cancelled' }
 >;
 
-/** How far this scheduler's claim to a pool goes: 0 is the owner, 1 the next. */
+/** Rank of this scheduler among the owners of a pool: 0 is the owner, 1 its successor, and so on; Infinity if it cannot own the pool. */
 export type Claims = (pool: string) => number;
 
-/** What the host works with. */
+/** Dependencies of a `CellHost`. */
 export interface CellHostOptions {
   readonly settings: () => Settings;
   readonly claim: Claims;
@@ -28,21 +28,21 @@
   readonly metrics: Metrics;
 }
 
-interface Hosted {
+interface HostedCell {
   readonly cell: Cell;
-  /** Who asked for each request; it gets the actions. */
+  /** Gateway of each request id, which receives the actions. */
   readonly peers: Map<string, Peer>;
   timer: NodeJS.Timeout | undefined;
 }
 
-/** Grants wait this long in a new cell, for gateways to tell what runs already, in milliseconds. */
-const CAUTION_MS = 250;
-/** Requests of a lost gateway are dropped after this time, in milliseconds; it may only have lost its link. */
-const ORPHAN_MS = 3000;
-/** Requests of each cell that the status shows. */
-const OLDEST_SHOWN = 5;
-/** Owner and next in line take requests; a third would only split the account further. */
-const CLAIMS_SERVED = 2;
+/** Warm-up of a new cell, in milliseconds: it starts no prefill until gateways have reported the requests that run already. */
+const WARM_UP_MS = 250;
+/** Requests of a disconnected gateway are dropped after this time, in milliseconds; until then it may reconnect. */
+const DISCONNECT_GRACE_MS = 3000;
+/** Number of requests per cell in the status. */
+const MAX_OLDEST = 5;
+/** Only the owner and its successor accept requests; each further scheduler would split the account of capacity once more. */
+const MAX_PLANNERS = 2;
 
 function arrivalOf(now: number, message: Message<'arrive'> | Message<'adopt'>): Arrival {
   const { id, team, tier, promptTokens, maxTokens, dueInMs, blocks, fingerprint } = message;
@@ -82,11 +82,11 @@
     .exhaustive();
 }
 
-/** The only writer of the cells section of the blackboard. */
+/** Cells planned by this scheduler, by pool. No other class changes them. */
 export class CellHost {
   readonly #options: CellHostOptions;
 
-  readonly #hosted = new Map<string, Hosted>();
+  readonly #hosted = new Map<string, HostedCell>();
 
   readonly #startedAt = Date.now();
 
@@ -94,15 +94,15 @@
     this.#options = options;
   }
 
-  /** Pools planned here, by name. */
+  /** Cells planned here, by name of their pool. */
   get cells(): ReadonlyMap<string, Cell> {
     return new Map([...this.#hosted].map(([pool, { cell }]) => [pool, cell]));
   }
 
-  /** Requests that are in each cell for longest, for operators who look for the cause of a slow one. */
+  /** The oldest requests of each cell for the status, so that operators can find the cause of a slow one. */
   oldest(now: number): readonly unknown[] {
     return [...this.#hosted].flatMap(([pool, { cell, peers }]) =>
-      [...cell.requests.values()].slice(0, OLDEST_SHOWN).map(({ arrival, stage, since }) => ({
+      [...cell.requests.values()].slice(0, MAX_OLDEST).map(({ arrival, stage, since }) => ({
         pool,
         id: arrival.id,
         stage,
@@ -112,6 +112,7 @@
     );
   }
 
+  /** Passes a gateway's message to its cell, or replies `notOwner` if the pool is not planned here. */
   receive(peer: Peer, message: CellMessage): void {
     const hosted = this.#hosted.get(message.pool) ?? this.#open(message.pool);
     if (!hosted) {
@@ -120,15 +121,15 @@
       }
       return;
     }
-    const asks = message.kind === 'arrive' || message.kind === 'adopt';
-    if (asks) hosted.peers.set(message.id, peer);
+    const isRequest = message.kind === 'arrive' || message.kind === 'adopt';
+    if (isRequest) hosted.peers.set(message.id, peer);
     if (
-      !asks &&
+      !isRequest &&
       !hosted.cell.requests.has(message.id) &&
       message.kind !== 'cancelled' &&
       message.kind !== 'finished'
     ) {
-      // The gateway counts on a place that this cell does not know of: it has to ask again.
+      // The gateway relies on a reservation that this cell does not have, so it must send its request again.
       peer.send({ kind: 'notOwner', id: message.id, pool: message.pool });
       return;
     }
@@ -139,16 +140,16 @@
     }
   }
 
-  /** Hands an event to a cell and carries out its actions. */
+  /** Passes an event to a cell and performs its actions. */
   handle(pool: string, event: CellEvent): void {
     const hosted = this.#hosted.get(pool);
     if (!hosted) return;
     const now = Date.now();
     for (const action of hosted.cell.handle(now, event)) perform(hosted, action);
-    this.#arm(pool, hosted, now);
+    this.#scheduleWake(pool, hosted, now);
   }
 
-  /** A gateway that is back within the time has its requests adopted again by then. */
+  /** Drops the requests of a disconnected gateway after a delay. A gateway that reconnects in time has them adopted again. */
   lose(peer: Peer): void {
     setTimeout(() => {
       for (const [pool, { peers }] of this.#hosted) {
@@ -159,26 +160,26 @@
         }
         if (orphans.length > 0) {
           this.#options.log.warn(
-            `Dropped ${orphans.length} requests of the lost gateway ${peer.id}.`,
+            `Dropped ${orphans.length} requests of the disconnected gateway ${peer.id}.`,
           );
         }
       }
-    }, ORPHAN_MS).unref();
+    }, DISCONNECT_GRACE_MS).unref();
   }
 
-  /** Drops cells that others own now, and brings the rest in line with the settings. */
+  /** Closes cells that other schedulers own now, and applies the current settings to the others. */
   review(): void {
     const settings = this.#options.settings();
     for (const [pool, hosted] of this.#hosted) {
       const spec = settings.pool(pool);
-      const lost = !spec || this.#options.claim(pool) >= CLAIMS_SERVED;
-      const idle = this.#options.claim(pool) > 0 && hosted.cell.requests.size === 0;
-      if (lost || idle) this.#close(pool, hosted);
+      const isLost = !spec || this.#options.claim(pool) >= MAX_PLANNERS;
+      const isIdle = this.#options.claim(pool) > 0 && hosted.cell.requests.size === 0;
+      if (isLost || isIdle) this.#close(pool, hosted);
       else this.#configure(pool);
     }
   }
 
-  /** Marks runners that stand on VMs which the platform lists as leaving. */
+  /** Marks the runners on VMs that the platform lists as leaving. */
   setLeavingHosts(hosts: ReadonlySet<string>): void {
     for (const pool of this.#hosted.keys()) {
       const runners = this.#options.settings().pool(pool)?.runners ?? [];
@@ -187,13 +188,13 @@
     }
   }
 
-  /** Counts broken invariants and publishes the counters. */
+  /** Checks the invariants of all cells and publishes their counters and gauges. */
   inspect(): void {
     const { metrics, log } = this.#options;
     for (const [pool, { cell }] of this.#hosted) {
       for (const violation of cell.violations()) {
         metrics.count('invariant.broken');
-        log.error({ pool }, `An invariant is broken: ${violation}.`);
+        log.error({ pool }, `Invariant violated: ${violation}.`);
       }
       for (const [name, value] of Object.entries(cell.counters)) {
         metrics.gauge(`cell.${pool}.${name}`, value);
@@ -203,25 +204,26 @@
     }
   }
 
+  /** Stops all timers and drops all cells, without a message to gateways. */
   stop(): void {
     for (const { timer } of this.#hosted.values()) clearTimeout(timer);
     this.#hosted.clear();
   }
 
-  #open(pool: string): Hosted | undefined {
+  #open(pool: string): HostedCell | undefined {
     const settings = this.#options.settings();
     const spec = settings.pool(pool);
-    if (!spec || !settings.consortium || this.#options.claim(pool) >= CLAIMS_SERVED) {
+    if (!spec || !settings.consortium || this.#options.claim(pool) >= MAX_PLANNERS) {
       return undefined;
     }
     const cell = new Cell({
       policy: policyOf(spec, settings.consortium),
-      warmUpUntil: Math.max(this.#startedAt, Date.now()) + CAUTION_MS,
+      warmUpUntil: Math.max(this.#startedAt, Date.now()) + WARM_UP_MS,
     });
-    const hosted: Hosted = { cell, peers: new Map(), timer: undefined };
+    const hosted: HostedCell = { cell, peers: new Map(), timer: undefined };
     this.#hosted.set(pool, hosted);
     this.#configure(pool);
-    this.#options.log.info(`Planning pool ${pool}.`);
+    this.#options.log.info(`Started planning pool ${pool}.`);
     return hosted;
   }
 
@@ -233,15 +235,15 @@
     this.handle(pool, { kind: 'runners', runners: runnersOf(spec) });
   }
 
-  /** Requests that wait here are asked for again by their gateways at the new owner. */
-  #close(pool: string, hosted: Hosted): void {
+  /** Drops a cell; gateways send its requests to the new owner after `notOwner`. */
+  #close(pool: string, hosted: HostedCell): void {
     clearTimeout(hosted.timer);
     this.#hosted.delete(pool);
     for (const [id, peer] of hosted.peers) peer.send({ kind: 'notOwner', id, pool });
-    this.#options.log.info(`Pool ${pool} is planned elsewhere now.`);
+    this.#options.log.info(`Stopped planning pool ${pool}.`);
   }
 
-  #arm(pool: string, hosted: Hosted, now: number): void {
+  #scheduleWake(pool: string, hosted: HostedCell, now: number): void {
     clearTimeout(hosted.timer);
     const next = hosted.cell.nextWake(now);
     if (next === Infinity) return;
@@ -250,7 +252,7 @@
   }
 }
 
-function perform({ peers }: Hosted, action: CellAction): void {
+function perform({ peers }: HostedCell, action: CellAction): void {
   const peer = peers.get(action.id);
   if (action.kind === 'refuse') peers.delete(action.id);
   peer?.send(action);
--- a/src/node/scheduler/daemon.ts
+++ b/src/node/scheduler/daemon.ts
@@ -1,4 +1,4 @@
-/** The scheduler daemon: puts its parts together, starts and stops them. */
+/** The scheduler daemon: creates, connects, starts and stops its components. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
@@ -28,18 +28,18 @@
 import { RunnerMonitor } from './monitor';
 import { SettingsController } from './settings';
 
-/** Period of housekeeping, in milliseconds. */
-const REVIEW_MS = 1000;
-/** Least period of reading the platform's VM list, in milliseconds. */
-const LIST_MS = 2000;
-/** The period grows by this for each member, so that the fleet's reads stay about even, in milliseconds. */
-const LIST_MEMBER_MS = 50;
-/** Time that gateways get to move on before a leaving scheduler ends, in milliseconds. */
-const LEAVE_MS = 1000;
-/** Time limit of asking a gateway what it holds, in milliseconds. */
-const HOLDS_LIMIT_MS = 1000;
-
-/** A running scheduler. */
+/** Interval of maintenance, in milliseconds. */
+const MAINTENANCE_INTERVAL_MS = 1000;
+/** Minimum interval between reads of the platform's VM list, in milliseconds. */
+const MIN_LIST_INTERVAL_MS = 2000;
+/** Interval between reads of the VM list per member, in milliseconds, so that the read rate of the whole fleet stays about constant. */
+const LIST_INTERVAL_PER_MEMBER_MS = 50;
+/** Time for gateways to switch to other schedulers before a leaving scheduler exits, in milliseconds. */
+const LEAVE_DELAY_MS = 1000;
+/** Timeout of the call that asks a gateway whether it holds a request, in milliseconds. */
+const HOLDS_TIMEOUT_MS = 1000;
+
+/** One scheduler process. */
 export class Scheduler {
   readonly #config: SchedulerConfig;
 
@@ -73,11 +73,11 @@
 
   readonly #drainingGateways = new Set<string>();
 
-  #members: MembershipDriver | undefined;
+  #membership: MembershipDriver | undefined;
 
-  #review: NodeJS.Timeout | undefined;
+  #maintenanceTimer: NodeJS.Timeout | undefined;
 
-  #lister: NodeJS.Timeout | undefined;
+  #listTimer: NodeJS.Timeout | undefined;
 
   #leaving = false;
 
@@ -103,11 +103,11 @@
       log: logOf(log, 'settings'),
       metrics: this.#metrics,
       members: () => this.#allMembers(),
-      onApplied: (documents) => this.#applied(documents),
+      onApplied: (documents) => this.#onSettingsApplied(documents),
     });
     this.#cells = new CellHost({
       settings: () => this.#settings.settings,
-      claim: (pool) => this.#claimTo(pool),
+      claim: (pool) => this.#rankIn(pool),
       log: logOf(log, 'cell'),
       metrics: this.#metrics,
     });
@@ -115,7 +115,7 @@
       settings: () => this.#settings.settings,
       cells: this.#cells,
       runners: this.#runners,
-      holder: (id) => this.#askHolder(id),
+      holder: (id) => this.#findHolder(id),
       log: logOf(log, 'cell'),
       metrics: this.#metrics,
     });
@@ -132,19 +132,19 @@
       vm: config.vm,
       log: logOf(log, 'peer'),
       handler: {
-        onOpen: (peer) => this.#openPeer(peer),
+        onOpen: (peer) => this.#onPeerOpen(peer),
         onMessage: (peer, message) => this.#receive(peer, message),
         onCall: (_peer, method, params) => this.#methods.answer(method, params),
-        onClose: (peer) => this.#closePeer(peer),
+        onClose: (peer) => this.#onPeerClose(peer),
       },
     });
   }
 
-  /** Starts everything and gives the peer port. */
+  /** Starts all components; resolves to the port for peers. */
   async start(log: Logger): Promise<number> {
     const { host } = this.#config.peer;
     const port = await this.#server.listen();
-    const members = new MembershipDriver({
+    const membership = new MembershipDriver({
       membership: {
         vm: this.#config.vm,
         domain: this.#config.domain,
@@ -153,7 +153,7 @@
         probeMs: this.#config.probeMs,
         suspectMs: this.#config.suspectMs,
         random: Math.random,
-        // Above any earlier life of this VM: incarnations grow far slower than milliseconds.
+        // Higher than the incarnation of any earlier process on this VM, since incarnations increase far more slowly than the time in milliseconds.
         incarnation: Date.now(),
       },
       host,
@@ -162,53 +162,55 @@
       log: logOf(log, 'members'),
       metrics: this.#metrics,
       listener: {
-        onChange: (member) => this.#memberChanged(member),
-        onRumour: (rumour, address) => this.#background(this.#settings.onRumour(rumour, address)),
-        onDiffers: (address) => this.#background(this.#settings.onDiffers(Date.now(), address)),
+        onChange: (member) => this.#onMemberChange(member),
+        onRumour: (rumour, address) =>
+          this.#runInBackground(this.#settings.onRumour(rumour, address)),
+        onDiffers: (address) =>
+          this.#runInBackground(this.#settings.onDiffers(Date.now(), address)),
       },
     });
-    this.#members = members;
-    this.#owners.update(members.members.all);
-    await members.start();
-    await this.#list();
+    this.#membership = membership;
+    this.#owners.update(membership.members.all);
+    await membership.start();
+    await this.#readVmList();
     this.#settings.start();
     this.#monitor.start();
-    this.#review = setInterval(() => this.#housekeep(), REVIEW_MS);
+    this.#maintenanceTimer = setInterval(() => this.#runMaintenance(), MAINTENANCE_INTERVAL_MS);
     this.#log.info({ port }, 'Started.');
     return port;
   }
 
-  /** Leaves: announces it, lets the next owners take over, ends. */
+  /** Leaves the fleet: announces it, gives the next owners time to take over, then closes. */
   async stop(): Promise<void> {
     this.#leaving = true;
-    this.#members?.tell({ kind: 'leaving' });
-    this.#notify(this.#allMembers());
+    this.#membership?.tell({ kind: 'leaving' });
+    this.#sendMembers(this.#allMembers());
     this.#owners.update(this.#allMembers());
     this.#cells.review();
-    await pause(LEAVE_MS);
+    await pause(LEAVE_DELAY_MS);
     await this.close();
     this.#log.info('Stopped.');
   }
 
-  /** Ends at once. */
+  /** Closes all components immediately. Further calls do nothing. */
   async close(): Promise<void> {
     if (this.#closed) return;
     this.#closed = true;
-    clearInterval(this.#review);
-    clearTimeout(this.#lister);
+    clearInterval(this.#maintenanceTimer);
+    clearTimeout(this.#listTimer);
     this.#monitor.stop();
     this.#settings.stop();
     this.#cells.stop();
     this.#ledger.stop();
     this.#links.close();
-    this.#members?.stop();
+    this.#membership?.stop();
     await this.#server.close();
     this.#runners.close();
     this.#platform.close();
     this.#metrics.close();
   }
 
-  /** What `ctl status` shows of this scheduler. */
+  /** Status of this scheduler as shown by `ctl status`. */
   status(): unknown {
     const { settings } = this.#settings;
     return {
@@ -227,88 +229,89 @@
   }
 
   #allMembers(): readonly Member[] {
-    return this.#members?.members.all ?? [];
+    return this.#membership?.members.all ?? [];
   }
 
-  #claimTo(pool: string): number {
+  /** Rank of this scheduler among the owners of the pool, from 0; Infinity if it cannot own the pool. */
+  #rankIn(pool: string): number {
     const spec = this.#settings.settings.pool(pool);
     if (!spec || this.#leaving) return Infinity;
     const rank = this.#owners.ofPool(pool, spec).findIndex(({ vm }) => vm === this.#config.vm);
     return rank < 0 ? Infinity : rank;
   }
 
-  #openPeer(peer: Peer): void {
+  #onPeerOpen(peer: Peer): void {
     if (peer.role !== 'gateway') return;
     const { settings } = this.#settings;
     peer.send({ kind: 'settings', documents: [...settings.newerThan({})] });
     peer.send({
       kind: 'members',
-      members: this.#allMembers().map((member) => notice(member)),
+      members: this.#allMembers().map((member) => toNotice(member)),
     });
     if (peer.vm !== this.#config.vm) return;
     this.#gateways.set(peer.id, peer);
     this.#drainingGateways.delete(peer.id);
-    this.#describe();
+    this.#announceStatus();
   }
 
-  #closePeer(peer: Peer): void {
+  #onPeerClose(peer: Peer): void {
     if (peer.role !== 'gateway') return;
     this.#cells.lose(peer);
     if (this.#gateways.get(peer.id) !== peer) return;
     this.#gateways.delete(peer.id);
-    this.#describe();
+    this.#announceStatus();
   }
 
-  /** Tells the fleet which gateways of this VM take callers. */
-  #describe(): void {
+  /** Announces to the fleet which gateways of this VM accept callers. */
+  #announceStatus(): void {
     const open = [...this.#gateways.values()].filter(({ id }) => !this.#drainingGateways.has(id));
     const gateways = open.flatMap(({ address }) => (address === undefined ? [] : [address]));
     const description = { gateways, draining: this.#leaving, storeLost: false };
-    this.#members?.tell({ kind: 'described', description });
+    this.#membership?.tell({ kind: 'described', description });
   }
 
   #receive(peer: Peer, message: ToScheduler): void {
     if (message.kind === 'draining') {
       this.#drainingGateways.add(peer.id);
-      this.#describe();
+      this.#announceStatus();
       return;
     }
     if (message.kind === 'hello' || message.kind === 'call' || message.kind === 'reply') return;
     this.#cells.receive(peer, message);
   }
 
-  #memberChanged(member: Member): void {
+  #onMemberChange(member: Member): void {
     this.#owners.update(this.#allMembers());
-    this.#notify([member]);
+    this.#sendMembers([member]);
     this.#cells.review();
     if (member.vm !== this.#config.vm) this.#log.info(`Member ${member.vm} is ${member.state}.`);
   }
 
-  #notify(members: readonly Member[]): void {
-    const notices = members.map((member) => notice(member));
+  #sendMembers(members: readonly Member[]): void {
+    const notices = members.map((member) => toNotice(member));
     for (const gateway of this.#gateways.values()) {
       gateway.send({ kind: 'members', members: notices });
     }
   }
 
-  #applied(documents: readonly StoredDocument[]): void {
+  #onSettingsApplied(documents: readonly StoredDocument[]): void {
     this.#owners.settingsChanged();
-    this.#members?.members.setDigest(this.#settings.settings.digest);
+    this.#membership?.members.setDigest(this.#settings.settings.digest);
     const rumours = documents.map(({ path, revision }) => ({ path, revision }));
-    if (rumours.length > 0) this.#members?.tell({ kind: 'rumours', rumours });
+    if (rumours.length > 0) this.#membership?.tell({ kind: 'rumours', rumours });
     for (const gateway of this.#gateways.values()) {
       gateway.send({ kind: 'settings', documents: [...documents] });
     }
     this.#cells.review();
   }
 
-  #housekeep(): void {
+  #runMaintenance(): void {
     this.#keys.expire(Date.now());
     this.#cells.review();
     this.#cells.inspect();
   }
 
-  async #list(): Promise<void> {
+  async #readVmList(): Promise<void> {
     try {
       const vms = await this.#platform.vms();
       const listed = vms.map(({ id, address, leaving }) => ({
@@ -316,7 +319,7 @@
         address: this.#peerAddress(address),
         leaving,
       }));
-      this.#members?.tell({ kind: 'listed', vms: listed });
+      this.#membership?.tell({ kind: 'listed', vms: listed });
       const leavingHosts = vms
         .filter(({ leaving }) => leaving)
         .map(({ address }) => address.split(':')[0] ?? '');
@@ -324,23 +327,26 @@
     } catch (error) {
       this.#log.debug(`The VM list could not be read. ${toFailure(error).line}.`);
     }
-    const wait = Math.max(LIST_MS, LIST_MEMBER_MS * this.#allMembers().length);
-    this.#lister = setTimeout(() => this.#background(this.#list()), wait);
+    const wait = Math.max(
+      MIN_LIST_INTERVAL_MS,
+      LIST_INTERVAL_PER_MEMBER_MS * this.#allMembers().length,
+    );
+    this.#listTimer = setTimeout(() => this.#runInBackground(this.#readVmList()), wait);
   }
 
-  /** The list gives hosts; all schedulers listen on the same port unless the list names one. */
+  /** The list contains hosts; all schedulers listen on the same port unless the list names one. */
   #peerAddress(address: string): string {
     return address.includes(':') ? address : `${address}:${this.#config.peer.port}`;
   }
 
-  async #askHolder(id: string): Promise<'held' | 'gone' | 'unknown'> {
+  async #findHolder(id: string): Promise<'held' | 'gone' | 'unknown'> {
     try {
       const answer = await call({
         method: 'POST',
         url: `http://${gatewayOf(id)}/internal/holds`,
         headers: { authorization: `Bearer ${this.#config.peerKey}` },
         body: JSON.stringify({ id }),
-        timeoutMs: HOLDS_LIMIT_MS,
+        timeoutMs: HOLDS_TIMEOUT_MS,
       });
       if (answer.status !== 200) return 'unknown';
       return (JSON.parse(answer.body) as { held: boolean }).held ? 'held' : 'gone';
@@ -349,11 +355,11 @@
     }
   }
 
-  #background(work: Promise<void>): void {
+  #runInBackground(work: Promise<void>): void {
     work.catch((error) => this.#log.error(toFailure(error).line));
   }
 }
 
-function notice({ vm, domain, address, state, draining, gateways }: Member): MemberNotice {
+function toNotice({ vm, domain, address, state, draining, gateways }: Member): MemberNotice {
   return { vm, domain, address, state, draining, gateways: [...gateways] };
 }
--- a/src/node/scheduler/ledger.ts
+++ b/src/node/scheduler/ledger.ts
@@ -1,6 +1,6 @@
 /**
- * Writes ledger shards. Changes that come while a write is under way share the
- * next one, so the rate of writes is bounded by shards, not by requests.
+ * Writes ledger shards. Changes submitted during a write are combined into the next
+ * one, so the write rate is bounded by the number of shards, not by the request rate.
  */
 
 import { setTimeout as pause } from 'node:timers/promises';
@@ -21,21 +21,21 @@
 
 interface ShardQueue {
   readonly pending: Pending[];
-  /** Claims that were given up, to be taken back when the store answers again. */
+  /** Withdrawals of claims whose write was not confirmed, to be written once the store answers again. */
   readonly withdrawals: ShardChange[];
   busy: boolean;
 }
 
-/** Tries of one commit before its changes are refused. */
-const TRIES = 4;
-/** Least time between writes of one shard, in milliseconds: 16 shards make at most 320 writes a second. */
-const WRITE_GAP_MS = 50;
-/** Pause before withdrawals are tried again, in milliseconds. */
-const WITHDRAW_RETRY_MS = 2000;
-/** When a refused caller should come back, in milliseconds. */
+/** Attempts of one commit before its changes are rejected. */
+const MAX_ATTEMPTS = 4;
+/** Minimum time between writes of one shard, in milliseconds; limits 16 shards to 320 writes per second. */
+const MIN_WRITE_INTERVAL_MS = 50;
+/** Delay before withdrawals are retried, in milliseconds. */
+const WITHDRAWAL_RETRY_MS = 2000;
+/** Time after which a rejected caller should retry, in milliseconds. */
 const RETRY_AFTER_MS = 2000;
 
-/** The ledger writer of one scheduler. */
+/** The ledger writer of one scheduler, with one queue per shard. */
 export class LedgerWriter {
   readonly #platform: Platform;
 
@@ -58,14 +58,15 @@
     }));
   }
 
-  /** Applies a change durably; rejects with `ledgerUnavailable` when the store does not confirm it. */
+  /** Applies a change and stores it; rejects with `ledgerUnavailable` if the store does not confirm the write. */
   submit(shard: number, change: ShardChange): Promise<ClaimResult> {
     return new Promise((resolve, reject) => {
       this.#queueOf(shard).pending.push({ change, resolve, reject });
-      this.#run(shard);
+      this.#startDrain(shard);
     });
   }
 
+  /** Starts no further writes; changes that are still queued are never settled. */
   stop(): void {
     this.#stopped = true;
   }
@@ -78,7 +79,7 @@
     return queue;
   }
 
-  #run(shard: number): void {
+  #startDrain(shard: number): void {
     const queue = this.#queueOf(shard);
     if (queue.busy || this.#stopped) return;
     queue.busy = true;
@@ -98,25 +99,27 @@
       if (results) {
         batch.forEach(({ resolve }, i) => resolve(results[withdrawals.length + i] as ClaimResult));
       } else {
-        this.#giveUp(shard, queue, batch, withdrawals);
+        this.#rejectBatch(shard, queue, batch, withdrawals);
       }
-      await pause(WRITE_GAP_MS);
+      await pause(MIN_WRITE_INTERVAL_MS);
     }
     queue.busy = false;
   }
 
   /**
-   * A write whose answer was lost may have taken effect. Reading the shard again
-   * and applying the same changes settles it: a change that is there already is
-   * known by its nonce and changes nothing. A late write cannot do harm after
-   * that, since the index it compares with is gone.
+   * Writes the changes with compare-and-swap; returns undefined when all attempts failed.
+   *
+   * A write without an answer may have taken effect, so each attempt reads the shard
+   * again and applies the same changes: a change that is already stored is recognized
+   * by its nonce and has no effect. A delayed write fails after a later one, because
+   * the index that it compares with has changed.
    */
   async #commit(
     shard: number,
     changes: readonly ShardChange[],
   ): Promise<readonly ClaimResult[] | undefined> {
     const key = `ledger/${shard}`;
-    for (let attempt = 0; attempt < TRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       try {
         const stored = await this.#platform.read(key);
         const content = LedgerShard.parse(stored?.value);
@@ -141,11 +144,11 @@
   }
 
   /**
-   * The store did not confirm, so nothing is dispatched and "not run" is true. A
-   * claim that took effect unseen would block its key for ever, so it is taken
-   * back once the store answers.
+   * Rejects a batch that the store did not confirm. None of its calls are dispatched, so
+   * it is correct to report them as not run. A claim whose write took effect without an
+   * answer would block its key forever, so it is withdrawn once the store answers again.
    */
-  #giveUp(
+  #rejectBatch(
     shard: number,
     queue: ShardQueue,
     batch: readonly Pending[],
@@ -165,7 +168,7 @@
         }),
       );
     }
-    setTimeout(() => this.#retryWithdrawals(shard, queue), WITHDRAW_RETRY_MS).unref();
+    setTimeout(() => this.#retryWithdrawals(shard, queue), WITHDRAWAL_RETRY_MS).unref();
   }
 
   #retryWithdrawals(shard: number, queue: ShardQueue): void {
--- a/src/node/scheduler/links.ts
+++ b/src/node/scheduler/links.ts
@@ -1,4 +1,4 @@
-/** Links to other schedulers, opened when needed and closed when idle. */
+/** Links to other schedulers, opened on demand and closed when idle. */
 
 import type { Logger } from 'pino';
 
@@ -6,29 +6,29 @@
 import { PeerLink } from '../peer/link';
 import { PROTOCOL_VERSION } from '../peer/messages';
 
-/** Who opens the links. */
+/** Identity of the scheduler that opens the links. */
 export interface SchedulerLinksOptions {
   readonly vm: string;
   readonly key: string;
   readonly log: Logger;
 }
 
-interface Open {
+interface OpenLink {
   readonly link: PeerLink;
   readonly ready: Promise<void>;
   idle: NodeJS.Timeout;
 }
 
-/** A link that was not used for this long is closed, in milliseconds. */
-const IDLE_MS = 10_000;
-/** Time in which a link must come up, in milliseconds. */
-const CONNECT_LIMIT_MS = 2000;
+/** A link without calls for this long is closed, in milliseconds. */
+const IDLE_TIMEOUT_MS = 10_000;
+/** Timeout for connecting, handshake included, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 2000;
 
-/** Links by address. */
+/** Links to other schedulers, by address. */
 export class SchedulerLinks {
   readonly #options: SchedulerLinksOptions;
 
-  readonly #open = new Map<string, Open>();
+  readonly #open = new Map<string, OpenLink>();
 
   #closed = false;
 
@@ -36,29 +36,30 @@
     this.#options = options;
   }
 
-  /** Calls a method of another scheduler. */
+  /** Calls a method of another scheduler; rejects with its failure, or with `noOwner` if it cannot be reached. */
   async call(address: string, method: string, params: unknown): Promise<unknown> {
     if (this.#closed) throw new Failure('noOwner', 'this scheduler is stopping');
     const open = this.#open.get(address) ?? this.#connect(address);
     clearTimeout(open.idle);
-    open.idle = setTimeout(() => this.#close(address), IDLE_MS);
+    open.idle = setTimeout(() => this.#close(address), IDLE_TIMEOUT_MS);
     await open.ready;
     return open.link.call(method, params);
   }
 
+  /** Closes all links; later calls reject with `noOwner`. */
   close(): void {
     this.#closed = true;
     for (const address of [...this.#open.keys()]) this.#close(address);
   }
 
-  #connect(address: string): Open {
+  #connect(address: string): OpenLink {
     const { vm, key, log } = this.#options;
     let up = (): void => {};
     const ready = new Promise<void>((resolve, reject) => {
       const limit = setTimeout(() => {
         this.#close(address);
-        reject(new Failure('noOwner', `${address} did not answer within ${CONNECT_LIMIT_MS} ms`));
-      }, CONNECT_LIMIT_MS);
+        reject(new Failure('noOwner', `${address} did not answer within ${CONNECT_TIMEOUT_MS} ms`));
+      }, CONNECT_TIMEOUT_MS);
       up = () => {
         clearTimeout(limit);
         resolve();
@@ -73,7 +74,11 @@
       onMessage: () => {},
       onUp: up,
     });
-    const opened: Open = { link, ready, idle: setTimeout(() => this.#close(address), IDLE_MS) };
+    const opened: OpenLink = {
+      link,
+      ready,
+      idle: setTimeout(() => this.#close(address), IDLE_TIMEOUT_MS),
+    };
     this.#open.set(address, opened);
     return opened;
   }
--- a/src/node/scheduler/members.ts
+++ b/src/node/scheduler/members.ts
@@ -1,4 +1,4 @@
-/** Membership over UDP: carries packets and timers for the membership core. */
+/** Membership over UDP: sends and receives packets and runs the timer of the membership protocol. */
 
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import type { Socket } from 'node:dgram';
@@ -20,24 +20,26 @@
 import type { Proof } from '../../core/routing/freshness';
 import type { Metrics } from '../metrics';
 
-/** What the rest of the scheduler hears from membership. */
+/** Callbacks for changes that the membership protocol detects. */
 export interface MembershipListener {
   onChange(member: Member): void;
+  /** The member at the address announced a new revision. */
   onRumour(rumour: Rumour, address: string): void;
+  /** The digest of the member at the address differs, so it may have newer settings. */
   onDiffers(address: string): void;
 }
 
-/** How members tell each other of the age of what they know; see `Freshness`. */
+/** Exchange of freshness proofs over pings and acknowledgements; see `Freshness`. */
 export interface ProofExchange {
-  /** Default: this one has no proof. */
+  /** Proof to send with a packet; undefined if this member has none. */
   tell(): Proof | undefined;
-  /** This member asks another one. */
+  /** Called when this member sends the ping `seq`, which asks for a proof. */
   ask(seq: number): void;
-  /** What it asked is answered. */
+  /** Called when the acknowledgement of the ping `seq` carries a proof. */
   answer(seq: number, proof: Proof): void;
 }
 
-/** How to start. */
+/** Options of a `MembershipDriver`. */
 export interface MembershipDriverOptions {
   readonly membership: MembershipOptions;
   readonly host: string;
@@ -46,13 +48,14 @@
   readonly log: Logger;
   readonly metrics: Metrics;
   readonly listener: MembershipListener;
-  /** Default: nothing of the kind is told. */
+  /** Without it, no freshness proofs are exchanged. */
   readonly proofs?: ProofExchange;
 }
 
+/** Length of the authentication tag before each packet, in bytes. */
 const TAG_BYTES = 16;
 
-/** A member on the wire. */
+/** Schema of a member in a packet. */
 export const memberSchema = z.object({
   vm: z.string().max(64),
   domain: z.string().max(64),
@@ -86,7 +89,7 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** Owns the UDP socket and the timer. */
+/** Runs the membership protocol with its UDP socket and timer. Times are in milliseconds of `performance.now()`. */
 export class MembershipDriver {
   readonly members: Membership;
 
@@ -108,6 +111,7 @@
     );
   }
 
+  /** Binds the socket and starts probing; rejects if the port cannot be bound. */
   start(): Promise<void> {
     const { host, port } = this.#options;
     return new Promise((resolve, reject) => {
@@ -125,7 +129,7 @@
     this.#socket.close();
   }
 
-  /** Hands an event to the core and carries out what it wants. */
+  /** Passes an event to the membership protocol and performs the resulting actions. Does nothing after `stop`. */
   tell(event: MembershipEvent): void {
     if (this.#stopped) return;
     const actions = this.members.handle(performance.now(), event);
@@ -152,7 +156,7 @@
     const data = Buffer.concat([this.#tag(body), body]);
     this.#options.metrics.count('members.packets');
     this.#options.metrics.count('members.bytes', data.length);
-    // A datagram that cannot be sent is a lost datagram, which probing bears.
+    // Send errors are ignored: the protocol tolerates lost datagrams.
     this.#socket.send(data, Number(port), host, () => {});
   }
 
@@ -164,16 +168,16 @@
       return;
     }
     const packet = packetSchema.safeParse(packr.unpack(body));
-    if (packet.success) this.#take(packet.data);
+    if (packet.success) this.#accept(packet.data);
     else this.#options.metrics.count('members.rejected');
   }
 
-  #take({ proof, ...packet }: z.infer<typeof packetSchema>): void {
+  #accept({ proof, ...packet }: z.infer<typeof packetSchema>): void {
     if (proof && packet.kind === 'ack') this.#options.proofs?.answer(packet.seq, proof);
     this.tell({ kind: 'packet', packet });
   }
 
-  /** Without the tag, anyone on the network could have members called dead. */
+  /** Authentication tag of a packet. Without it, any host on the network could report members as dead. */
   #tag(body: Buffer): Buffer {
     return createHmac('sha256', this.#options.key).update(body).digest().subarray(0, TAG_BYTES);
   }
--- a/src/node/scheduler/methods.ts
+++ b/src/node/scheduler/methods.ts
@@ -1,4 +1,4 @@
-/** Calls that a scheduler answers for gateways, other schedulers and operators' tools. */
+/** Methods that a scheduler provides to gateways, other schedulers and operators' tools. */
 
 import { z } from 'zod';
 
@@ -9,7 +9,7 @@
 import type { Settings } from '../../core/settings/documents';
 import type { LedgerWriter } from './ledger';
 
-/** What the methods work with. */
+/** Dependencies of the methods. */
 export interface MethodContext {
   readonly settings: () => Settings;
   readonly members: () => readonly Member[];
@@ -133,7 +133,7 @@
   };
 }
 
-/** Answers calls by name; parameters that do not fit are `peerRejected`. */
+/** Dispatches calls by method name. Rejects with `peerRejected` for an unknown method or malformed parameters. */
 export class Methods {
   readonly #methods: ReadonlyMap<string, Method>;
 
@@ -147,6 +147,7 @@
     );
   }
 
+  /** Runs a method; resolves to its result, or to null if it has none. */
   async answer(method: string, params: unknown): Promise<unknown> {
     const known = this.#methods.get(method);
     if (!known) throw new Failure('peerRejected', `found method '${method}', expected a known one`);
--- a/src/node/scheduler/monitor.ts
+++ b/src/node/scheduler/monitor.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the runners of the cells planned here: load reports, cache events, and
- * what each runner holds. Runs that nobody asks for any more are cancelled.
+ * Polls the runners of the cells planned here for load reports, cache events and held
+ * runs, and cancels orphaned runs: those that no gateway holds a request for any more.
  */
 
 import type { Logger } from 'pino';
@@ -13,10 +13,10 @@
 import type { RunnerClient } from '../runner/client';
 import type { CellHost } from './cells';
 
-/** Whether a gateway still holds a request: `unknown` if it does not answer. */
+/** Returns whether the request's gateway still holds it: `unknown` if the gateway does not answer. */
 export type Holder = (id: string) => Promise<'held' | 'gone' | 'unknown'>;
 
-/** What the monitor works with. */
+/** Dependencies of a `RunnerMonitor`. */
 export interface RunnerMonitorOptions {
   readonly settings: () => Settings;
   readonly cells: CellHost;
@@ -26,55 +26,57 @@
   readonly metrics: Metrics;
 }
 
-/** Period of load reports, in milliseconds. */
-const LOAD_MS = 500;
-/** Period of cache events and lists of held runs, in milliseconds. */
-const LIST_MS = 1000;
-/** A run that no request here accounts for is looked into after this time, in milliseconds. */
-const STRANGER_MS = 1500;
-/** Answers of "unknown" after which a stranger's gateway is held for dead. */
-const UNKNOWN_LIMIT = 3;
-
-interface Stranger {
+/** Polling interval of load reports, in milliseconds. */
+const LOAD_INTERVAL_MS = 500;
+/** Polling interval of cache events and held runs, in milliseconds. */
+const LIST_INTERVAL_MS = 1000;
+/** A run without a request in its cell is checked with its gateway after this time, in milliseconds. */
+const ORPHAN_CHECK_MS = 1500;
+/** Number of `unknown` answers after which the gateway of a run is considered dead. */
+const MAX_UNKNOWN_ANSWERS = 3;
+
+interface Candidate {
+  /** When the run was first seen without a request, in milliseconds since 1970. */
   readonly since: number;
+  /** Number of `unknown` answers so far. */
   unknown: number;
 }
 
-/** Polls on timers; a slow runner holds up only itself. */
+/** Polls runners on timers. Each runner has at most one poll of a kind in progress, so a slow runner delays no other. */
 export class RunnerMonitor {
   readonly #options: RunnerMonitorOptions;
 
-  readonly #strangers = new Map<string, Stranger>();
+  readonly #candidates = new Map<string, Candidate>();
 
-  readonly #eventsSince = new Map<string, number>();
+  readonly #lastEventSeq = new Map<string, number>();
 
   readonly #busy = new Set<string>();
 
-  #loads: NodeJS.Timeout | undefined;
+  #loadTimer: NodeJS.Timeout | undefined;
 
-  #lists: NodeJS.Timeout | undefined;
+  #listTimer: NodeJS.Timeout | undefined;
 
   constructor(options: RunnerMonitorOptions) {
     this.#options = options;
   }
 
   start(): void {
-    this.#loads = setInterval(
-      () => this.#each('load', (pool, runner) => this.#readLoad(pool, runner)),
-      LOAD_MS,
+    this.#loadTimer = setInterval(
+      () => this.#pollAll('load', (pool, runner) => this.#readLoad(pool, runner)),
+      LOAD_INTERVAL_MS,
     );
-    this.#lists = setInterval(() => {
-      this.#each('held', (pool, runner, cell) => this.#readHeld(pool, runner, cell));
-      this.#each('cache', (pool, runner) => this.#readCache(pool, runner));
-    }, LIST_MS);
+    this.#listTimer = setInterval(() => {
+      this.#pollAll('held', (pool, runner, cell) => this.#readHeld(pool, runner, cell));
+      this.#pollAll('cache', (pool, runner) => this.#readCache(pool, runner));
+    }, LIST_INTERVAL_MS);
   }
 
   stop(): void {
-    clearInterval(this.#loads);
-    clearInterval(this.#lists);
+    clearInterval(this.#loadTimer);
+    clearInterval(this.#listTimer);
   }
 
-  #each(
+  #pollAll(
     what: string,
     read: (pool: string, runner: RunnerSettings, cell: Cell) => Promise<void>,
   ): void {
@@ -92,56 +94,54 @@
   }
 
   async #readLoad(pool: string, { id, url }: RunnerSettings): Promise<void> {
-    const asked = Date.now();
+    const requestedAt = Date.now();
     const { ageMs, running, waiting, leaving } = await this.#options.runners.load(url);
-    const report = { runner: id, asOf: asked - ageMs, running: running + waiting, leaving };
+    const report = { runner: id, asOf: requestedAt - ageMs, running: running + waiting, leaving };
     this.#options.cells.handle(pool, { kind: 'reported', report });
   }
 
   async #readCache(pool: string, { id, url, role }: RunnerSettings): Promise<void> {
     if (role !== 'prefill') return;
-    const events = await this.#options.runners.cacheEvents(url, this.#eventsSince.get(id) ?? 0);
+    const events = await this.#options.runners.cacheEvents(url, this.#lastEventSeq.get(id) ?? 0);
     for (const { seq, added, removed } of events) {
-      this.#eventsSince.set(id, Math.max(seq, this.#eventsSince.get(id) ?? 0));
+      this.#lastEventSeq.set(id, Math.max(seq, this.#lastEventSeq.get(id) ?? 0));
       this.#options.cells.handle(pool, { kind: 'cached', runner: id, added, removed });
     }
   }
 
   /**
-   * A gateway that died cannot cancel its runs, and a cancel may be lost. Either
-   * shows as a run that no request accounts for. Another owner's request looks
-   * the same for a moment, so the run's gateway is asked before it is cancelled.
+   * Detects orphaned runs: a crashed gateway cannot cancel its runs, and a cancellation
+   * may be lost. Both leave a run without a request in the cell. A run whose request is
+   * at another owner of the pool looks the same for a short time, so the run's gateway
+   * is asked before the run is cancelled.
    */
   async #readHeld(pool: string, runner: RunnerSettings, cell: Cell): Promise<void> {
     const now = Date.now();
     const held = await this.#options.runners.held(runner.url);
-    const strange = held.filter((runId) => !cell.requests.has(requestOf(runId)));
-    this.#forgetOthers(runner.id, new Set(strange));
-    for (const runId of strange) {
+    const unaccounted = held.filter((runId) => !cell.requests.has(requestOf(runId)));
+    this.#dropOtherCandidates(runner.id, new Set(unaccounted));
+    for (const runId of unaccounted) {
       const key = `${runner.id}/${runId}`;
-      const stranger = this.#strangers.get(key) ?? { since: now, unknown: 0 };
-      this.#strangers.set(key, stranger);
-      if (now - stranger.since >= STRANGER_MS) await this.#lookInto(runner, runId, stranger);
+      const candidate = this.#candidates.get(key) ?? { since: now, unknown: 0 };
+      this.#candidates.set(key, candidate);
+      if (now - candidate.since >= ORPHAN_CHECK_MS) await this.#checkRun(runner, runId, candidate);
     }
   }
 
-  #forgetOthers(runner: string, strange: ReadonlySet<string>): void {
-    for (const key of this.#strangers.keys()) {
+  #dropOtherCandidates(runner: string, unaccounted: ReadonlySet<string>): void {
+    for (const key of this.#candidates.keys()) {
       const [owner, runId] = [key.slice(0, runner.length), key.slice(runner.length + 1)];
-      if (owner === runner && !strange.has(runId)) this.#strangers.delete(key);
+      if (owner === runner && !unaccounted.has(runId)) this.#candidates.delete(key);
     }
   }
 
-  async #lookInto(runner: RunnerSettings, runId: string, stranger: Stranger): Promise<void> {
+  async #checkRun(runner: RunnerSettings, runId: string, candidate: Candidate): Promise<void> {
     const holder = await this.#options.holder(requestOf(runId));
     if (holder === 'held') return;
-    Object.assign(stranger, { unknown: stranger.unknown + 1 });
-    if (holder === 'unknown' && stranger.unknown < UNKNOWN_LIMIT) return;
+    Object.assign(candidate, { unknown: candidate.unknown + 1 });
+    if (holder === 'unknown' && candidate.unknown < MAX_UNKNOWN_ANSWERS) return;
     await this.#options.runners.cancel(runner.url, runId);
     this.#options.metrics.count('runner.strangers_cancelled');
-    this.#options.log.warn(
-      { request: runId },
-      `Cancelled a run on ${runner.id} that nobody asks for.`,
-    );
+    this.#options.log.warn({ request: runId }, `Cancelled an orphaned run on ${runner.id}.`);
   }
 }
--- a/src/node/scheduler/settings.ts
+++ b/src/node/scheduler/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Brings settings into force: a few schedulers in each failure domain watch the
- * store, all others learn from rumours and fetch from whoever had the news.
+ * Distribution of settings: a few schedulers in each failure domain watch the store;
+ * the others receive gossip updates and fetch the changed documents from the sender.
  */
 
 import type { Logger } from 'pino';
@@ -17,7 +17,7 @@
 import type { Platform } from '../platform/client';
 import type { SchedulerLinks } from './links';
 
-/** What the controller works with. */
+/** Dependencies of a `SettingsController`. */
 export interface SettingsControllerOptions {
   readonly vm: string;
   readonly domain: string;
@@ -26,118 +26,122 @@
   readonly log: Logger;
   readonly metrics: Metrics;
   readonly members: () => readonly Member[];
+  /** Receives the documents that came into force. */
   readonly onApplied: (documents: readonly StoredDocument[]) => void;
 }
 
-/** Schedulers in each failure domain that watch the store. */
+/** Number of schedulers in each failure domain that watch the store. */
 const READERS_PER_DOMAIN = 2;
-/** How long one watch waits, in milliseconds. */
+/** Longest wait of one watch call, in milliseconds. */
 const WATCH_MS = 10_000;
-/** Pause after a failed watch, in milliseconds. */
-const RETRY_MS = 500;
-/** How long settings may differ from a peer's before all revisions are compared, in milliseconds. */
-const DIFFERS_MS = 1500;
+/** Delay after a failed watch, and between checks whether this scheduler is a reader, in milliseconds. */
+const RETRY_DELAY_MS = 500;
+/** How long digests may differ from those of peers before all revisions are compared, in milliseconds. */
+const MISMATCH_LIMIT_MS = 1500;
 
 const documentsSchema = z.array(
   z.object({ path: z.string(), revision: z.int(), text: z.string().nullable() }),
 );
 
-/** The only writer of the settings section of the blackboard. */
+/** Keeps the settings of this scheduler up to date. No other class changes them. */
 export class SettingsController {
   readonly #options: SettingsControllerOptions;
 
-  readonly #book = new SettingsDocuments();
+  readonly #current = new SettingsDocuments();
 
-  readonly #stop = new AbortController();
+  readonly #abort = new AbortController();
 
   #index = 0;
 
-  #differsSince: number | undefined;
+  #mismatchSince: number | undefined;
 
-  #fetching = false;
+  #isFetching = false;
 
-  /** Revisions that are being fetched, by path. */
-  readonly #coming = new Map<string, number>();
+  /** Revisions whose fetch is in progress, by path. */
+  readonly #fetches = new Map<string, number>();
 
-  /** Whether the store was ever read, or a peer's settings taken. */
-  #loaded = false;
+  /** Whether settings were read at least once from the store or from a peer. */
+  #isLoaded = false;
 
   constructor(options: SettingsControllerOptions) {
     this.#options = options;
   }
 
+  /** The settings in force. */
   get settings(): Settings {
-    return this.#book;
+    return this.#current;
   }
 
+  /** Whether settings were read at least once from the store or from a peer. */
   get loaded(): boolean {
-    return this.#loaded;
+    return this.#isLoaded;
   }
 
+  /** Starts to watch the store: until settings are loaded, and while this scheduler is a reader of its domain. */
   start(): void {
     this.#watchForever().catch((error) => this.#options.log.error(toFailure(error).line));
   }
 
   stop(): void {
-    this.#stop.abort();
+    this.#abort.abort();
   }
 
-  /** Fetches the one document that the rumour is of, unless it is known or already being fetched. */
+  /** Fetches the announced document from the sender, unless this revision is known or its fetch is in progress. */
   async onRumour({ path, revision }: Rumour, address: string): Promise<void> {
-    if (revision <= Math.max(this.#book.revisionOf(path), this.#coming.get(path) ?? 0)) return;
-    this.#coming.set(path, revision);
+    if (revision <= Math.max(this.#current.revisionOf(path), this.#fetches.get(path) ?? 0)) return;
+    this.#fetches.set(path, revision);
     try {
       const result = await this.#options.links.call(address, 'settings.get', { path });
       this.apply(documentsSchema.parse(result), 'peer');
     } catch (error) {
       this.#options.log.debug(`Could not fetch ${path} from ${address}. ${toFailure(error).line}.`);
     } finally {
-      this.#coming.delete(path);
+      this.#fetches.delete(path);
     }
   }
 
-  /** Digests differ for a moment after each change; only a lasting difference is looked into. */
+  /** Compares all revisions with a member whose digest differs. Digests differ briefly after each change, so only a persistent difference is handled. */
   async onDiffers(now: number, address: string): Promise<void> {
-    this.#differsSince ??= now;
-    const lasting = !this.#loaded || now - this.#differsSince >= DIFFERS_MS;
-    if (!lasting || this.#fetching) return;
-    this.#differsSince = undefined;
-    await this.fetch(address, this.#book.revisions);
+    this.#mismatchSince ??= now;
+    const isPersistent = !this.#isLoaded || now - this.#mismatchSince >= MISMATCH_LIMIT_MS;
+    if (!isPersistent || this.#isFetching) return;
+    this.#mismatchSince = undefined;
+    await this.fetch(address, this.#current.revisions);
   }
 
-  /** Fetches what a peer has newer. */
+  /** Fetches the documents of which a peer has newer revisions than `known`. */
   async fetch(address: string, known: Readonly<Record<string, number>>): Promise<void> {
-    if (this.#fetching) return;
-    this.#fetching = true;
+    if (this.#isFetching) return;
+    this.#isFetching = true;
     try {
       const result = await this.#options.links.call(address, 'settings.newer', known);
       const documents = documentsSchema.parse(result);
       if (documents.length > 0) this.apply(documents, 'peer');
-      this.#loaded = true;
+      this.#isLoaded = true;
     } catch (error) {
       this.#options.log.debug(
         `Could not fetch settings from ${address}. ${toFailure(error).line}.`,
       );
     } finally {
-      this.#fetching = false;
+      this.#isFetching = false;
     }
   }
 
-  /** Puts documents in force, highest revision only, and passes on what was new. */
+  /** Applies documents with a higher revision than the one in force and reports them to `onApplied`; malformed ones are logged and ignored. */
   apply(documents: readonly StoredDocument[], source: 'store' | 'peer'): void {
     const { log, metrics, onApplied } = this.#options;
     const applied = documents.filter((document) => {
-      const result = this.#book.apply(document);
+      const result = this.#current.apply(document);
       if (result.kind === 'older' && source === 'store') {
         metrics.count('settings.store_older');
         log.error(
-          `The store has ${document.path} at revision ${document.revision}, older than ${result.inForce} in force. Keeping ${result.inForce}.`,
+          `The store has ${document.path} at revision ${document.revision}, older than revision ${result.inForce} in force. Keeping revision ${result.inForce}.`,
         );
       }
       if (result.kind === 'malformed') {
         metrics.count('settings.malformed');
         log.error(
-          `Revision ${document.revision} of ${document.path} is malformed. Keeping the last good one. ${result.detail}.`,
+          `Revision ${document.revision} of ${document.path} is malformed. Keeping the last valid revision. ${result.detail}.`,
         );
       }
       return result.kind === 'applied';
@@ -145,53 +149,58 @@
     if (applied.length > 0) onApplied(applied);
   }
 
-  /** The store is asked by the first schedulers of a domain, and by all until settings are there. */
+  /** Whether this scheduler watches the store at all times; others do so only until settings are loaded. */
   #isReader(): boolean {
     const { vm, domain, members } = this.#options;
-    const near = members().filter((member) => member.domain === domain && mayOwn(member));
-    const readers = ownersOfKey('settings-readers', near).slice(0, READERS_PER_DOMAIN);
+    const domainMembers = members().filter((member) => member.domain === domain && mayOwn(member));
+    const readers = ownersOfKey('settings-readers', domainMembers).slice(0, READERS_PER_DOMAIN);
     return readers.length < READERS_PER_DOMAIN || readers.some((reader) => reader.vm === vm);
   }
 
   async #watchForever(): Promise<void> {
-    while (!this.#stop.signal.aborted) {
-      if (this.#isReader() || !this.#loaded) await this.#watchOnce();
-      else await this.#pause(RETRY_MS);
+    while (!this.#abort.signal.aborted) {
+      if (this.#isReader() || !this.#isLoaded) await this.#watchOnce();
+      else await this.#pause(RETRY_DELAY_MS);
     }
   }
 
   async #watchOnce(): Promise<void> {
     const { platform, log } = this.#options;
     try {
-      const state = await platform.watch(SETTINGS_PREFIX, this.#index, WATCH_MS, this.#stop.signal);
-      // A store that was set back counts from a lower index: begin again, or the watch would wait for ever.
+      const state = await platform.watch(
+        SETTINGS_PREFIX,
+        this.#index,
+        WATCH_MS,
+        this.#abort.signal,
+      );
+      // A store restored from an older copy has a lower index. Start again from 0, or the watch would wait forever.
       this.#index = state.index < this.#index ? 0 : state.index;
       const documents = state.values.flatMap(({ key, value }) => {
         const envelope = parseEnvelope(value);
-        if (!envelope) this.#alarm(key);
+        if (!envelope) this.#reportInvalid(key);
         return envelope ? [toDocument(key, envelope)] : [];
       });
-      this.#loaded = true;
+      this.#isLoaded = true;
       this.apply(documents, 'store');
     } catch (error) {
-      if (this.#stop.signal.aborted) return;
+      if (this.#abort.signal.aborted) return;
       this.#options.metrics.count('settings.watch_failed');
       log.debug(`The settings watch failed. ${toFailure(error).line}.`);
-      await this.#pause(RETRY_MS);
+      await this.#pause(RETRY_DELAY_MS);
     }
   }
 
-  #alarm(key: string): void {
+  #reportInvalid(key: string): void {
     this.#options.metrics.count('settings.malformed');
     this.#options.log.error(
-      `The value under ${key} was not written by goldcrestdock. Keeping the last good settings.`,
+      `The value under ${key} was not written by goldcrestdock. Keeping the last valid settings.`,
     );
   }
 
   #pause(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, ms);
-      this.#stop.signal.addEventListener(
+      this.#abort.signal.addEventListener(
         'abort',
         () => {
           clearTimeout(timer);
