--- a/src/node/peer/link.ts
+++ b/src/node/peer/link.ts
@@ -45,7 +45,7 @@
 
   #socket: WebSocket | undefined;
 
-  #isUp = false;
+  #up = false;
 
   #closed = false;
 
@@ -57,11 +57,11 @@
 
   #lastReceivedAt = 0;
 
-  #resolveOpened: (() => void) | undefined;
+  #resolveAttempted: (() => void) | undefined;
 
   /** Resolves when the first connection attempt has succeeded or failed. */
   readonly opened = new Promise<void>((resolve) => {
-    this.#resolveOpened = resolve;
+    this.#resolveAttempted = resolve;
   });
 
   /** Bytes of messages sent and received, for measurements; `hello` is not counted. */
@@ -75,12 +75,12 @@
 
   /** Whether the handshake is complete and the connection is open. */
   get up(): boolean {
-    return this.#isUp;
+    return this.#up;
   }
 
   /** Sends a message if the link is up; returns false if it is not. */
   send(message: ToScheduler): boolean {
-    if (!this.#isUp || !this.#socket) return false;
+    if (!this.#up || !this.#socket) return false;
     const data = encode(message);
     this.bytes += data.length;
     this.#socket.send(data);
@@ -124,7 +124,7 @@
     socket.on('error', () => {});
     socket.on('close', () => {
       if (this.#socket !== socket) return;
-      this.#resolveOpened?.();
+      this.#resolveAttempted?.();
       this.#onDisconnect();
       if (!this.#closed) this.#scheduleReconnect();
     });
@@ -162,8 +162,8 @@
   }
 
   #onWelcome(): void {
-    this.#isUp = true;
-    this.#resolveOpened?.();
+    this.#up = true;
+    this.#resolveAttempted?.();
     this.#reconnectMs = INITIAL_RECONNECT_MS;
     this.#pingTimer = setInterval(() => this.#ping(), PING_INTERVAL_MS);
     this.#options.onUp?.();
@@ -182,8 +182,8 @@
   #onDisconnect(): void {
     clearInterval(this.#pingTimer);
     this.#calls.failAll(`the link to ${this.address} was lost`);
-    if (!this.#isUp) return;
-    this.#isUp = false;
+    if (!this.#up) return;
+    this.#up = false;
     this.#options.onDown?.();
   }
 }
