--- a/src/node/log.ts
+++ b/src/node/log.ts
@@ -4,7 +4,7 @@
 import pino from 'pino';
 
 /** Components that write log lines; the name is the prefix of their messages. */
-export type Part =
+export type Component =
   | 'gateway'
   | 'scheduler'
   | 'cell'
@@ -69,6 +69,6 @@
 }
 
 /** Creates the logger of one component: each message starts with `<component>: `. */
-export function logOf(root: Logger, component: Part): Logger {
+export function logOf(root: Logger, component: Component): Logger {
   return root.child({}, { msgPrefix: `${component}: ` });
 }
--- a/src/node/budget.ts
+++ b/src/node/loglimiter.ts
@@ -3,7 +3,7 @@
 const WINDOW_MS = 1000;
 
 /** Allows the first lines of each one-second window and counts the lines that are suppressed. */
-export class LineBudget {
+export class LogRateLimiter {
   readonly #maxLines: number;
 
   readonly #onSuppressed: (lines: number) => void;
@@ -22,7 +22,7 @@
   }
 
   /** Counts a line and returns whether it may be written; `now` is in milliseconds. */
-  allows(now: number): boolean {
+  tryAcquire(now: number): boolean {
     if (now - this.#windowStart >= WINDOW_MS) this.#openWindow(now);
     this.#lines += 1;
     return this.#lines <= this.#maxLines;
--- a/src/node/peer/link.ts
+++ b/src/node/peer/link.ts
@@ -60,7 +60,7 @@
   #resolveAttempted: (() => void) | undefined;
 
   /** Resolves when the first connection attempt has succeeded or failed. */
-  readonly opened = new Promise<void>((resolve) => {
+  readonly attempted = new Promise<void>((resolve) => {
     this.#resolveAttempted = resolve;
   });
 
--- a/src/node/platform/client.ts
+++ b/src/node/platform/client.ts
@@ -44,7 +44,7 @@
   endLease(lease: string): Promise<void>;
   /** Locks a key with a lease and sets its value; false if another lease holds it. */
   acquire(key: string, value: string, lease: string): Promise<boolean>;
-  vms(): Promise<readonly ListedVm[]>;
+  listVms(): Promise<readonly ListedVm[]>;
 }
 
 /** Values under a prefix, as of one index of the store. */
@@ -146,7 +146,7 @@
     return answer.body.trim() === 'true';
   }
 
-  async vms(): Promise<readonly ListedVm[]> {
+  async listVms(): Promise<readonly ListedVm[]> {
     const answer = await this.#call('GET', '/v1/catalog/nodes');
     const nodes = nodesSchema.parse(JSON.parse(answer.body));
     return nodes.map(({ Node: id, Address: address, Meta }) => ({
--- a/src/node/router/front.ts
+++ b/src/node/router/front.ts
@@ -15,7 +15,7 @@
 import { bootNow } from '../../utils/clock';
 import { OpenAnswers } from '../../utils/answers';
 import { listenOn, readBody } from '../../utils/http';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { Exchange, sendRefusal } from './exchange';
 import type { Gate } from './gate';
@@ -52,7 +52,7 @@
 
   readonly #server: Server;
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   readonly #answers = new OpenAnswers();
 
@@ -62,7 +62,7 @@
 
   constructor(context: FrontContext) {
     this.#context = context;
-    this.#lines = new LineBudget(REFUSAL_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(REFUSAL_LINES, (lines) =>
       context.log.info({ lines }, 'Refused more at the door.'),
     );
     this.#server = createServer(
@@ -158,7 +158,7 @@
   #logRefusal(now: number, request: string | undefined, { codeName, message }: Failure): void {
     const { knowledge, metrics, log } = this.#context;
     metrics.count(`refused.${codeName}`);
-    if (!this.#lines.allows(now)) return;
+    if (!this.#lines.tryAcquire(now)) return;
     const { configVersion, freshness } = knowledge;
     const ageMs = Math.round(freshness.ageMs(bootNow()));
     log.info(
--- a/src/node/router/knowledge.ts
+++ b/src/node/router/knowledge.ts
@@ -15,8 +15,8 @@
 import { Failure } from '../../core/failure';
 import type { Runner, RunnerRole, RoutingConfig } from '../../core/routing/types';
 import { bootNow } from '../../utils/clock';
-import { LineBudget } from '../budget';
-import type { ProofExchange } from '../scheduler/members';
+import { LogRateLimiter } from '../loglimiter';
+import type { FreshnessExchange } from '../scheduler/members';
 
 /** How long after trouble with the store a vanished entry may be one that lapsed meanwhile, in milliseconds. */
 const LAPSE_MS = 3000;
@@ -76,13 +76,13 @@
 
   readonly #listener: KnowledgeListener;
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   constructor(history: History, log: Logger, listener: KnowledgeListener) {
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
-    this.#lines = new LineBudget(RUNNER_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(RUNNER_LINES, (lines) =>
       log.info({ lines, ...this.runnersPosition }, 'More runners changed.'),
     );
   }
@@ -97,11 +97,11 @@
   }
 
   /** The proof as members exchange it with their probes. */
-  get proofExchange(): ProofExchange {
+  get proofExchange(): FreshnessExchange {
     return {
-      tell: () => this.freshness.tell(bootNow(), this.configVersion),
-      ask: (seq) => this.freshness.ask(bootNow(), seq),
-      answer: (seq, proof) => this.freshness.answer(seq, proof, this.configVersion),
+      currentProof: () => this.freshness.tell(bootNow(), this.configVersion),
+      onPingSent: (seq) => this.freshness.ask(bootNow(), seq),
+      onAckReceived: (seq, proof) => this.freshness.answer(seq, proof, this.configVersion),
     };
   }
 
@@ -225,7 +225,7 @@
         changed.push(gone ? { ...fact, graceMs } : fact);
         this.#checkService(fact);
         const leaving = runner?.leaving;
-        if (this.#lines.allows(now)) {
+        if (this.#lines.tryAcquire(now)) {
           this.#log.info(
             { runner: id, ...position, gone: !runner, leaving, graceMs, source },
             'Runner changed.',
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -10,7 +10,7 @@
 import type { QuotaBounds, QuotaVerdict } from '../../core/quotas/account';
 import type { QuotaKey } from '../../core/quotas/accounts';
 import { QuotaAccounts } from '../../core/quotas/accounts';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { AccountOwners } from './accountowners';
 import type { Exchange } from './exchange';
@@ -65,7 +65,7 @@
 
   readonly #owners: AccountOwners;
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   constructor(context: QuotaContext) {
     const { vm, bounds, fleet, metrics, log } = context;
@@ -80,7 +80,7 @@
       metrics,
       log,
     });
-    this.#lines = new LineBudget(REFUSAL_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(REFUSAL_LINES, (lines) =>
       log.info({ lines }, 'Refused more over a quota.'),
     );
   }
@@ -166,7 +166,7 @@
     const { configVersion } = knowledge;
     const { customer } = request;
     metrics.count('quotas.refused');
-    if (this.#lines.allows(performance.now())) {
+    if (this.#lines.tryAcquire(performance.now())) {
       log.info(
         { request: request.id, customer, configVersion, size, retryAfterMs },
         'Over the quota.',
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -9,7 +9,7 @@
 import { RunnerRates, digestOf } from '../../core/ratelimits/rates';
 import type { RunnerRate } from '../../core/ratelimits/types';
 import type { Runner } from '../../core/routing/types';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import type { Knowledge } from './knowledge';
 import type { Reply } from './types';
@@ -49,9 +49,9 @@
 
   readonly #rates = new RunnerRates();
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
-  readonly #unreadable: LineBudget;
+  readonly #unreadable: LogRateLimiter;
 
   readonly #timer: NodeJS.Timeout;
 
@@ -61,10 +61,10 @@
   constructor(context: RateLimitContext) {
     this.#context = context;
     const { log } = context;
-    this.#lines = new LineBudget(RATE_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(RATE_LINES, (lines) =>
       log.info({ lines }, 'More rate limits changed.'),
     );
-    this.#unreadable = new LineBudget(UNREADABLE_LINES, (lines) =>
+    this.#unreadable = new LogRateLimiter(UNREADABLE_LINES, (lines) =>
       log.warn({ lines }, 'More rate limits were unreadable.'),
     );
     this.#timer = setInterval(() => this.#prune(performance.now()), PRUNE_MS).unref();
@@ -128,7 +128,7 @@
     if (this.#fresh.size === 0) setTimeout(() => this.#tellAll(), GATHER_MS).unref();
     this.#fresh.set(rate.runner, { rate, isOwn: source === OWN });
     metrics.gauge('ratelimits.runners', this.#rates.limited.length);
-    if (!this.#lines.allows(now)) return;
+    if (!this.#lines.tryAcquire(now)) return;
     const holds = rate.ratePerS !== undefined;
     const what = holds ? 'A runner has a rate limit.' : 'A runner has no rate limit any more.';
     log.info({ ...rate, source }, what);
@@ -142,7 +142,7 @@
 
   #noteUnreadable(now: number, { id: runner, service }: Runner, text: string): void {
     this.#context.metrics.count('ratelimits.unreadable');
-    if (!this.#unreadable.allows(now)) return;
+    if (!this.#unreadable.tryAcquire(now)) return;
     const detail = `found ${JSON.stringify(text)} as a rate limit, expected a decimal number`;
     const { line } = new Failure('factUnreadable', detail);
     this.#context.log.warn({ runner, service, keptPerS: this.#rates.ratePerS(runner) }, line);
--- a/src/node/runner/client.ts
+++ b/src/node/runner/client.ts
@@ -71,25 +71,20 @@
   /** Runs the prefill only; rejects with `RunnerFailure`. */
   prefill(url: string, job: EngineJob, signal: AbortSignal): Promise<PrefillResult>;
   /** Fetches the KV cache from `source` and streams the output tokens; throws `RunnerFailure`. */
-  decode(
-    url: string,
-    job: EngineJob,
-    source: DecodeSource,
-    signal: AbortSignal,
-  ): AsyncIterable<Token>;
+  decode(url: string, job: EngineJob, source: KvSource, signal: AbortSignal): AsyncIterable<Token>;
   /** Streams the tokens of a run that another gateway started, from position `offset`. */
   resume(url: string, runId: string, offset: number, signal: AbortSignal): AsyncIterable<Token>;
   /** Cancels a run; resolves to true once the runner holds nothing for it. */
   cancel(url: string, runId: string): Promise<boolean>;
   /** Ids of the runs that the runner holds. */
-  held(url: string): Promise<readonly string[]>;
+  heldRuns(url: string): Promise<readonly string[]>;
   load(url: string): Promise<RunnerLoad>;
   /** Cache events after sequence number `since`. */
   cacheEvents(url: string, since: number): Promise<readonly CacheEvent[]>;
 }
 
 /** Runner and run that the KV cache is fetched from. */
-export interface DecodeSource {
+export interface KvSource {
   readonly url: string;
   readonly runId: string;
 }
@@ -164,12 +159,7 @@
     return { cachedTokens, keptMs };
   }
 
-  decode(
-    url: string,
-    job: EngineJob,
-    source: DecodeSource,
-    signal: AbortSignal,
-  ): AsyncIterable<Token> {
+  decode(url: string, job: EngineJob, source: KvSource, signal: AbortSignal): AsyncIterable<Token> {
     const transfer = {
       do_remote_prefill: true,
       remote_url: source.url,
@@ -192,7 +182,7 @@
     return answer.status === 200;
   }
 
-  async held(url: string): Promise<readonly string[]> {
+  async heldRuns(url: string): Promise<readonly string[]> {
     const answer = await this.#callBriefly('GET', `${url}/v1/requests`);
     return heldSchema.parse(JSON.parse(answer.body)).held;
   }
--- a/src/node/scheduler/cells.ts
+++ b/src/node/scheduler/cells.ts
@@ -18,12 +18,12 @@
 >;
 
 /** Rank of this scheduler among the owners of a pool: 0 is the owner, 1 its successor, and so on; Infinity if it cannot own the pool. */
-export type Claims = (pool: string) => number;
+export type OwnerRank = (pool: string) => number;
 
 /** Dependencies of a `CellHost`. */
 export interface CellHostOptions {
   readonly settings: () => Settings;
-  readonly claim: Claims;
+  readonly rankIn: OwnerRank;
   readonly log: Logger;
   readonly metrics: Metrics;
 }
@@ -100,7 +100,7 @@
   }
 
   /** The oldest requests of each cell for the status, so that operators can find the cause of a slow one. */
-  oldest(now: number): readonly unknown[] {
+  oldestRequests(now: number): readonly unknown[] {
     return [...this.#hosted].flatMap(([pool, { cell, peers }]) =>
       [...cell.requests.values()].slice(0, MAX_OLDEST).map(({ arrival, stage, since }) => ({
         pool,
@@ -150,7 +150,7 @@
   }
 
   /** Drops the requests of a disconnected gateway after a delay. A gateway that reconnects in time has them adopted again. */
-  lose(peer: Peer): void {
+  onGatewayDisconnect(peer: Peer): void {
     setTimeout(() => {
       for (const [pool, { peers }] of this.#hosted) {
         const orphans = [...peers].filter(([, owner]) => owner === peer).map(([id]) => id);
@@ -168,12 +168,12 @@
   }
 
   /** Closes cells that other schedulers own now, and applies the current settings to the others. */
-  review(): void {
+  reconcile(): void {
     const settings = this.#options.settings();
     for (const [pool, hosted] of this.#hosted) {
       const spec = settings.pool(pool);
-      const isLost = !spec || this.#options.claim(pool) >= MAX_PLANNERS;
-      const isIdle = this.#options.claim(pool) > 0 && hosted.cell.requests.size === 0;
+      const isLost = !spec || this.#options.rankIn(pool) >= MAX_PLANNERS;
+      const isIdle = this.#options.rankIn(pool) > 0 && hosted.cell.requests.size === 0;
       if (isLost || isIdle) this.#close(pool, hosted);
       else this.#configure(pool);
     }
@@ -189,7 +189,7 @@
   }
 
   /** Checks the invariants of all cells and publishes their counters and gauges. */
-  inspect(): void {
+  publishMetrics(): void {
     const { metrics, log } = this.#options;
     for (const [pool, { cell }] of this.#hosted) {
       for (const violation of cell.violations()) {
@@ -213,7 +213,7 @@
   #open(pool: string): HostedCell | undefined {
     const settings = this.#options.settings();
     const spec = settings.pool(pool);
-    if (!spec || !settings.consortium || this.#options.claim(pool) >= MAX_PLANNERS) {
+    if (!spec || !settings.consortium || this.#options.rankIn(pool) >= MAX_PLANNERS) {
       return undefined;
     }
     const cell = new Cell({
--- a/src/node/scheduler/members.ts
+++ b/src/node/scheduler/members.ts
@@ -24,19 +24,19 @@
 export interface MembershipListener {
   onChange(member: Member): void;
   /** The member at the address announced a new revision. */
-  onRumour(rumour: Rumour, address: string): void;
+  onUpdate(rumour: Rumour, address: string): void;
   /** The digest of the member at the address differs, so it may have newer settings. */
-  onDiffers(address: string): void;
+  onDigestDiffers(address: string): void;
 }
 
 /** Exchange of freshness proofs over pings and acknowledgements; see `Freshness`. */
-export interface ProofExchange {
+export interface FreshnessExchange {
   /** Proof to send with a packet; undefined if this member has none. */
-  tell(): Proof | undefined;
+  currentProof(): Proof | undefined;
   /** Called when this member sends the ping `seq`, which asks for a proof. */
-  ask(seq: number): void;
+  onPingSent(seq: number): void;
   /** Called when the acknowledgement of the ping `seq` carries a proof. */
-  answer(seq: number, proof: Proof): void;
+  onAckReceived(seq: number, proof: Proof): void;
 }
 
 /** Options of a `MembershipDriver`. */
@@ -49,7 +49,7 @@
   readonly metrics: Metrics;
   readonly listener: MembershipListener;
   /** Without it, no freshness proofs are exchanged. */
-  readonly proofs?: ProofExchange;
+  readonly proofs?: FreshnessExchange;
 }
 
 /** Length of the authentication tag before each packet, in bytes. */
@@ -117,7 +117,7 @@
     return new Promise((resolve, reject) => {
       this.#socket.once('error', reject);
       this.#socket.bind(port, host, () => {
-        this.tell({ kind: 'woke' });
+        this.handle({ kind: 'woke' });
         resolve();
       });
     });
@@ -130,28 +130,28 @@
   }
 
   /** Passes an event to the membership protocol and performs the resulting actions. Does nothing after `stop`. */
-  tell(event: MembershipEvent): void {
+  handle(event: MembershipEvent): void {
     if (this.#stopped) return;
     const actions = this.members.handle(performance.now(), event);
     for (const action of actions) this.#perform(action);
     clearTimeout(this.#timer);
     const wait = Math.max(1, this.members.nextWake() - performance.now());
-    this.#timer = setTimeout(() => this.tell({ kind: 'woke' }), wait);
+    this.#timer = setTimeout(() => this.handle({ kind: 'woke' }), wait);
   }
 
   #perform(action: MembershipAction): void {
     const { listener } = this.#options;
     if (action.kind === 'send') this.#send(action.to, action.packet);
     else if (action.kind === 'changed') listener.onChange(action.member);
-    else if (action.kind === 'heard') listener.onRumour(action.rumour, action.address);
-    else listener.onDiffers(action.address);
+    else if (action.kind === 'heard') listener.onUpdate(action.rumour, action.address);
+    else listener.onDigestDiffers(action.address);
   }
 
   #send(to: string, packet: Packet): void {
     const [host = '', port = '0'] = to.split(':');
     const { proofs } = this.#options;
-    if (packet.kind === 'ping') proofs?.ask(packet.seq);
-    const proof = proofs?.tell();
+    if (packet.kind === 'ping') proofs?.onPingSent(packet.seq);
+    const proof = proofs?.currentProof();
     const body = packr.pack(proof ? { ...packet, proof } : packet);
     const data = Buffer.concat([this.#tag(body), body]);
     this.#options.metrics.count('members.packets');
@@ -173,8 +173,8 @@
   }
 
   #accept({ proof, ...packet }: z.infer<typeof packetSchema>): void {
-    if (proof && packet.kind === 'ack') this.#options.proofs?.answer(packet.seq, proof);
-    this.tell({ kind: 'packet', packet });
+    if (proof && packet.kind === 'ack') this.#options.proofs?.onAckReceived(packet.seq, proof);
+    this.handle({ kind: 'packet', packet });
   }
 
   /** Authentication tag of a packet. Without it, any host on the network could report members as dead. */
--- a/src/node/scheduler/methods.ts
+++ b/src/node/scheduler/methods.ts
@@ -134,7 +134,7 @@
 }
 
 /** Dispatches calls by method name. Rejects with `peerRejected` for an unknown method or malformed parameters. */
-export class Methods {
+export class MethodDispatcher {
   readonly #methods: ReadonlyMap<string, Method>;
 
   constructor(context: MethodContext) {
@@ -148,7 +148,7 @@
   }
 
   /** Runs a method; resolves to its result, or to null if it has none. */
-  async answer(method: string, params: unknown): Promise<unknown> {
+  async dispatch(method: string, params: unknown): Promise<unknown> {
     const known = this.#methods.get(method);
     if (!known) throw new Failure('peerRejected', `found method '${method}', expected a known one`);
     try {
--- a/src/node/scheduler/monitor.ts
+++ b/src/node/scheduler/monitor.ts
@@ -14,14 +14,14 @@
 import type { CellHost } from './cells';
 
 /** Returns whether the request's gateway still holds it: `unknown` if the gateway does not answer. */
-export type Holder = (id: string) => Promise<'held' | 'gone' | 'unknown'>;
+export type HolderLookup = (id: string) => Promise<'held' | 'gone' | 'unknown'>;
 
 /** Dependencies of a `RunnerMonitor`. */
 export interface RunnerMonitorOptions {
   readonly settings: () => Settings;
   readonly cells: CellHost;
   readonly runners: RunnerClient;
-  readonly holder: Holder;
+  readonly findHolder: HolderLookup;
   readonly log: Logger;
   readonly metrics: Metrics;
 }
@@ -117,7 +117,7 @@
    */
   async #readHeld(pool: string, runner: RunnerSettings, cell: Cell): Promise<void> {
     const now = Date.now();
-    const held = await this.#options.runners.held(runner.url);
+    const held = await this.#options.runners.heldRuns(runner.url);
     const unaccounted = held.filter((runId) => !cell.requests.has(requestOf(runId)));
     this.#dropOtherCandidates(runner.id, new Set(unaccounted));
     for (const runId of unaccounted) {
@@ -136,7 +136,7 @@
   }
 
   async #checkRun(runner: RunnerSettings, runId: string, candidate: Candidate): Promise<void> {
-    const holder = await this.#options.holder(requestOf(runId));
+    const holder = await this.#options.findHolder(requestOf(runId));
     if (holder === 'held') return;
     Object.assign(candidate, { unknown: candidate.unknown + 1 });
     if (holder === 'unknown' && candidate.unknown < MAX_UNKNOWN_ANSWERS) return;
--- a/src/node/scheduler/settings.ts
+++ b/src/node/scheduler/settings.ts
@@ -73,7 +73,7 @@
   }
 
   /** Whether settings were read at least once from the store or from a peer. */
-  get loaded(): boolean {
+  get isLoaded(): boolean {
     return this.#isLoaded;
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Fetches the announced document from the sender, unless this revision is known or its fetch is in progress. */
-  async onRumour({ path, revision }: Rumour, address: string): Promise<void> {
+  async onUpdate({ path, revision }: Rumour, address: string): Promise<void> {
     if (revision <= Math.max(this.#current.revisionOf(path), this.#fetches.get(path) ?? 0)) return;
     this.#fetches.set(path, revision);
     try {
@@ -101,7 +101,7 @@
   }
 
   /** Compares all revisions with a member whose digest differs. Digests differ briefly after each change, so only a persistent difference is handled. */
-  async onDiffers(now: number, address: string): Promise<void> {
+  async onDigestDiffers(now: number, address: string): Promise<void> {
     this.#mismatchSince ??= now;
     const isPersistent = !this.#isLoaded || now - this.#mismatchSince >= MISMATCH_LIMIT_MS;
     if (!isPersistent || this.#isFetching) return;
