--- a/src/node/metrics.ts
+++ b/src/node/metrics.ts
@@ -4,8 +4,10 @@
 
 /** Counters, gauges and timings by name. */
 export interface Metrics {
+  /** Increments a counter, by 1 by default. */
   count(name: string, by?: number): void;
   gauge(name: string, value: number): void;
+  /** Sends a duration in milliseconds; timings are not kept in `values`. */
   timing(name: string, ms: number): void;
   /** Current values of all counters and gauges since the process started. */
   readonly values: Readonly<Record<string, number>>;
--- a/src/node/runner/client.ts
+++ b/src/node/runner/client.ts
@@ -54,13 +54,17 @@
 export interface RunnerLoad {
   /** Age of the figures when the runner answered, in milliseconds; relative because the clocks of VMs differ. */
   readonly ageMs: number;
+  /** Number of requests in execution. */
   readonly running: number;
+  /** Number of requests in the runner's queue. */
   readonly waiting: number;
+  /** Whether the runner shuts down and accepts no new requests. */
   readonly leaving: boolean;
 }
 
 /** Blocks added to or removed from a runner's prefix cache. */
 export interface CacheEvent {
+  /** Sequence number of the event at its runner. */
   readonly seq: number;
   readonly added: readonly number[];
   readonly removed: readonly number[];
--- a/src/node/scheduler/ledger.ts
+++ b/src/node/scheduler/ledger.ts
@@ -23,6 +23,7 @@
   readonly pending: Pending[];
   /** Withdrawals of claims whose write was not confirmed, to be written once the store answers again. */
   readonly withdrawals: ShardChange[];
+  /** Whether a drain of this queue is in progress. */
   busy: boolean;
 }
 
--- a/src/node/scheduler/members.ts
+++ b/src/node/scheduler/members.ts
@@ -22,6 +22,7 @@
 
 /** Callbacks for changes that the membership protocol detects. */
 export interface MembershipListener {
+  /** A member was added or its state or description changed. */
   onChange(member: Member): void;
   /** The member at the address announced a new revision. */
   onUpdate(rumour: Rumour, address: string): void;
@@ -43,7 +44,9 @@
 export interface MembershipDriverOptions {
   readonly membership: MembershipOptions;
   readonly host: string;
+  /** UDP port. */
   readonly port: number;
+  /** Key that authenticates packets; the same in the whole fleet. */
   readonly key: string;
   readonly log: Logger;
   readonly metrics: Metrics;
@@ -91,6 +94,7 @@
 
 /** Runs the membership protocol with its UDP socket and timer. Times are in milliseconds of `performance.now()`. */
 export class MembershipDriver {
+  /** The protocol's state: all known members. */
   readonly members: Membership;
 
   readonly #options: MembershipDriverOptions;
@@ -123,6 +127,7 @@
     });
   }
 
+  /** Stops the timer and closes the socket. */
   stop(): void {
     this.#stopped = true;
     clearTimeout(this.#timer);
--- a/src/node/scheduler/monitor.ts
+++ b/src/node/scheduler/monitor.ts
@@ -60,6 +60,7 @@
     this.#options = options;
   }
 
+  /** Starts polling. */
   start(): void {
     this.#loadTimer = setInterval(
       () => this.#pollAll('load', (pool, runner) => this.#readLoad(pool, runner)),
@@ -71,6 +72,7 @@
     }, LIST_INTERVAL_MS);
   }
 
+  /** Stops polling; polls in progress still complete. */
   stop(): void {
     clearInterval(this.#loadTimer);
     clearInterval(this.#listTimer);
--- a/src/node/scheduler/settings.ts
+++ b/src/node/scheduler/settings.ts
@@ -82,6 +82,7 @@
     this.#watchForever().catch((error) => this.#options.log.error(toFailure(error).line));
   }
 
+  /** Stops watching and ends a watch call in progress. */
   stop(): void {
     this.#abort.abort();
   }
