--- a/src/core/cell/lifecycle.ts
+++ b/src/core/cell/lifecycle.ts
@@ -5,7 +5,7 @@
 import type { Entry } from './entry';
 import { newEntry } from './entry';
 import { estimateOutputTokens } from './forecast';
-import { isTelling } from '../quarantine/quarantine';
+import { isAttributable } from '../quarantine/quarantine';
 import type { Adoption, CellEvent } from './types';
 
 type Failed = Extract<CellEvent, { kind: 'failed' }>;
@@ -39,7 +39,7 @@
     }
     state.counters.finished += 1;
     const { fingerprint } = entry.arrival;
-    if (fingerprint !== undefined) state.quarantine.completed(now, fingerprint);
+    if (fingerprint !== undefined) state.quarantine.recordCompletion(now, fingerprint);
     state.remove(now, entry);
   }
 
@@ -151,8 +151,8 @@
   #recordCrash(now: number, { arrival, stage, since }: Entry, runner: string): void {
     const { fingerprint } = arrival;
     const answeredAt = stage === 'decoding' ? since : undefined;
-    if (fingerprint === undefined || !isTelling(now, answeredAt)) return;
-    this.#state.quarantine.ended(now, fingerprint, `${runner}@${now}`);
+    if (fingerprint === undefined || !isAttributable(now, answeredAt)) return;
+    this.#state.quarantine.recordCrash(now, fingerprint, `${runner}@${now}`);
   }
 
   /** Returns a request to the stage `prefilled` after it lost its decode slot, so that the prefill result is reused while it is kept. */
--- a/src/core/customers/identity.ts
+++ b/src/core/customers/identity.ts
@@ -33,7 +33,7 @@
 const RETRY_MS = 300;
 
 /** What the VM that decides cannot know. */
-export function tooOld(ageMs: number, detail: string): Failure {
+export function staleConfigFailure(ageMs: number, detail: string): Failure {
   const age = Number.isFinite(ageMs) ? `${Math.round(ageMs)} ms old` : 'of unknown age';
   return new Failure('configOld', `${detail}, by a configuration ${age}`, {
     retryAfterMs: RETRY_MS,
@@ -56,13 +56,13 @@
   if (credential.kind === 'none' && anonymous) return undefined;
   const customer = credential.kind === 'key' ? keyRing.holderOf(credential.digest) : undefined;
   if (!customer) throw refusalOf(credential, ageMs, finalMs);
-  if (ageMs > keyMs) throw tooOld(ageMs, `found a key of ${customer.name}`);
+  if (ageMs > keyMs) throw staleConfigFailure(ageMs, `found a key of ${customer.name}`);
   return customer;
 }
 
 function refusalOf(credential: Credential, ageMs: number, finalMs: number): Failure {
   const detail = detailOf(credential);
-  return ageMs > finalMs ? tooOld(ageMs, detail) : new Failure('unauthorized', detail);
+  return ageMs > finalMs ? staleConfigFailure(ageMs, detail) : new Failure('unauthorized', detail);
 }
 
 function detailOf(credential: Credential): string {
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -9,7 +9,7 @@
  * Newest news for each key. What was never sent goes first, the rest by turns, so
  * that a packet costs no more where the whole of a fleet is news.
  */
-export class Gossip<T> {
+export class GossipQueue<T> {
   readonly #fresh = new Map<string, Item<T>>();
 
   readonly #sent = new Map<string, Item<T>>();
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -7,10 +7,10 @@
 
 import { match } from 'ts-pattern';
 
-import { Gossip } from './gossip';
-import { ProbeOrder, pickSome } from './order';
+import { GossipQueue } from './gossip';
+import { ProbeOrder, sample } from './order';
 import type {
-  Description,
+  MemberStatus,
   ListedMember,
   Member,
   Members,
@@ -18,7 +18,7 @@
   MembershipEvent,
   MembershipOptions,
   Packet,
-  Rumour,
+  GossipUpdate,
 } from './types';
 import { isPresent, overrides } from './types';
 
@@ -60,7 +60,7 @@
   readonly until: number;
 }
 
-function charactersOf({ text = '' }: Rumour): number {
+function charactersOf({ text = '' }: GossipUpdate): number {
   return text.length;
 }
 
@@ -75,9 +75,9 @@
 
   readonly #known = new Map<string, Known>();
 
-  readonly #news = new Gossip<Member>();
+  readonly #news = new GossipQueue<Member>();
 
-  readonly #rumours = new Gossip<Rumour>();
+  readonly #rumours = new GossipQueue<GossipUpdate>();
 
   readonly #relays = new Map<number, Relay>();
 
@@ -116,7 +116,7 @@
     };
   }
 
-  get heardAt(): number | undefined {
+  get lastPacketAt(): number | undefined {
     return this.#heardAt;
   }
 
@@ -217,7 +217,7 @@
     const pool = [...this.#known.values()]
       .map(({ member }) => member)
       .filter((m) => m.state === 'alive' && m.vm !== except);
-    return pickSome(pool, count, this.#options.random);
+    return sample(pool, count, this.#options.random);
   }
 
   #isProbed(vm: string): boolean {
@@ -308,7 +308,7 @@
     this.#describe({ incarnation: Math.max(news.incarnation, this.#self.incarnation) });
   }
 
-  #describe(change: Partial<Description & Member>): void {
+  #describe(change: Partial<MemberStatus & Member>): void {
     const incarnation = (change.incarnation ?? this.#self.incarnation) + 1;
     this.#self = { ...this.#self, ...change, incarnation };
     this.#news.add(this.#self.vm, this.#self, this.#times());
@@ -353,7 +353,7 @@
   }
 
   /** Tells a few members at once and more with the probes; as many packets as the texts need. */
-  #spread(rumours: readonly Rumour[]): void {
+  #spread(rumours: readonly GossipUpdate[]): void {
     for (const rumour of rumours) this.#rumours.add(rumour.path, rumour, this.#times());
     const characters = rumours.reduce((sum, { text = '' }) => sum + text.length, 0);
     const packets = 1 + Math.floor(characters / RUMOUR_CHARACTERS);
--- a/src/core/membership/order.ts
+++ b/src/core/membership/order.ts
@@ -21,13 +21,13 @@
       if (vm !== undefined && isProbed(vm)) return vm;
     }
     const probed = all.filter(isProbed);
-    this.#round = [...pickSome(probed, probed.length, this.#random)];
+    this.#round = [...sample(probed, probed.length, this.#random)];
     return this.#round.pop();
   }
 }
 
 /** Some of a list, in random order. */
-export function pickSome<T>(from: readonly T[], count: number, random: () => number): readonly T[] {
+export function sample<T>(from: readonly T[], count: number, random: () => number): readonly T[] {
   const pool = [...from];
   const most = Math.min(count, pool.length);
   for (let i = 0; i < most; i += 1) {
--- a/src/core/membership/readers.ts
+++ b/src/core/membership/readers.ts
@@ -27,9 +27,9 @@
 /** Who reads in one failure domain. */
 export interface ReaderPlan {
   /** Readers as long as the store answers them. */
-  readonly chosen: readonly Member[];
+  readonly primaries: readonly Member[];
   /** Read as well while the store does not answer all of the chosen. */
-  readonly deputies: readonly Member[];
+  readonly standbys: readonly Member[];
 }
 
 /** The readers of a failure domain, decided alike by all who know the same members. */
@@ -38,11 +38,15 @@
   const ranked = rankByCores('store', present);
   const chosen = ranked.slice(0, READERS);
   const answered = ranked.filter(({ storeLost }) => !storeLost).slice(0, READERS);
-  return { chosen, deputies: answered.filter((member) => !chosen.includes(member)) };
+  return { primaries: chosen, standbys: answered.filter((member) => !chosen.includes(member)) };
 }
 
 /** Whether a VM hears nothing of others, as far back as its start. */
-export function isIsolated(now: number, startedAt: number, { heardAt }: Members): boolean {
+export function isIsolated(
+  now: number,
+  startedAt: number,
+  { lastPacketAt: heardAt }: Members,
+): boolean {
   return now - Math.max(startedAt, heardAt ?? startedAt) > ISOLATED_MS;
 }
 
@@ -55,7 +59,7 @@
 ): boolean {
   const isAlone = !members.some((member) => member.vm !== self.vm && isPresent(member));
   if (isAlone && now - startedAt < JOIN_MS) return false;
-  const { chosen, deputies } = readersOf(self.domain, members);
+  const { primaries: chosen, standbys: deputies } = readersOf(self.domain, members);
   return [...chosen, ...deputies].some(({ vm }) => vm === self.vm);
 }
 
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -46,11 +46,11 @@
   readonly all: readonly Member[];
   get(vm: string): Member | undefined;
   /** When any other member was heard last. Default: none was. */
-  readonly heardAt: number | undefined;
+  readonly lastPacketAt: number | undefined;
 }
 
 /** News that something has a new revision. */
-export interface Rumour {
+export interface GossipUpdate {
   readonly path: string;
   readonly revision: number;
   /** The news itself where it is small. Default: it has to be fetched from whoever tells. */
@@ -58,7 +58,7 @@
 }
 
 /** What a member tells of its VM. */
-export type Description = Pick<Member, 'gateways' | 'draining' | 'storeLost'>;
+export type MemberStatus = Pick<Member, 'gateways' | 'draining' | 'storeLost'>;
 
 /** What goes over UDP. */
 export interface Packet {
@@ -71,7 +71,7 @@
   /** Digest of the sender's settings. */
   readonly digest: string;
   readonly members: readonly Member[];
-  readonly rumours: readonly Rumour[];
+  readonly rumours: readonly GossipUpdate[];
 }
 
 /** What happened. */
@@ -82,8 +82,8 @@
   | { readonly kind: 'listed'; readonly vms: readonly ListedMember[] }
   /** Members as another one knows them, taken over without telling of them. */
   | { readonly kind: 'synced'; readonly members: readonly Member[] }
-  | { readonly kind: 'described'; readonly description: Description }
-  | { readonly kind: 'rumours'; readonly rumours: readonly Rumour[] }
+  | { readonly kind: 'described'; readonly description: MemberStatus }
+  | { readonly kind: 'rumours'; readonly rumours: readonly GossipUpdate[] }
   | { readonly kind: 'leaving' }
   | { readonly kind: 'woke' };
 
@@ -98,7 +98,7 @@
 export type MembershipAction =
   | { readonly kind: 'send'; readonly to: string; readonly packet: Packet }
   | { readonly kind: 'changed'; readonly member: Member }
-  | { readonly kind: 'heard'; readonly rumour: Rumour; readonly address: string }
+  | { readonly kind: 'heard'; readonly rumour: GossipUpdate; readonly address: string }
   /** The settings of that member differ and it may have newer ones. */
   | { readonly kind: 'differs'; readonly address: string };
 
@@ -116,6 +116,6 @@
 }
 
 /** Whether a member may own cells, keys and ledger shards. */
-export function mayOwn(member: Member): boolean {
+export function canOwn(member: Member): boolean {
   return isPresent(member) && !member.draining;
 }
--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -3,7 +3,7 @@
 import { createHash } from 'node:crypto';
 
 import type { Member } from './membership/types';
-import { mayOwn } from './membership/types';
+import { canOwn } from './membership/types';
 import { rank } from './rendezvous';
 import type { Pool } from './settings/schema';
 
@@ -15,7 +15,7 @@
 ): readonly Member[] {
   const runners = new Map<string, number>();
   for (const { domain } of pool.runners) runners.set(domain, (runners.get(domain) ?? 0) + 1);
-  const candidates = members.filter(mayOwn).map((member) => ({
+  const candidates = members.filter(canOwn).map((member) => ({
     id: member.vm,
     weight: 1 + (runners.get(member.domain) ?? 0),
     member,
@@ -56,14 +56,14 @@
 
 /** Owners of a key by falling claim. */
 export function ownersOfKey(key: string, members: readonly Member[]): readonly Member[] {
-  return rankAlike(key, members.filter(mayOwn));
+  return rankAlike(key, members.filter(canOwn));
 }
 
 /** Parts into which request keys are grouped, so that owners are worked out for parts and not for each key. */
 const KEY_PARTS = 1024;
 
 /** Owners worked out once for each membership and kept until it changes. */
-export class Owners {
+export class OwnerCache {
   #members: readonly Member[] = [];
 
   readonly #cached = new Map<string, readonly Member[]>();
@@ -75,7 +75,7 @@
   }
 
   /** Forgets what was worked out from older settings. */
-  settingsChanged(): void {
+  invalidate(): void {
     this.#cached.clear();
   }
 
--- a/src/core/pause.ts
+++ b/src/core/pause.ts
@@ -4,7 +4,7 @@
 const PAUSE_MS = 700;
 
 /** Watches a periodic tick. */
-export class PauseWatch {
+export class PauseDetector {
   readonly #periodMs: number;
 
   #steadyMs: number | undefined;
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -15,12 +15,12 @@
 
 import { textHash } from '../hash';
 import { Completions } from './completions';
-import type { RunnerEnd, Suspect } from './types';
+import type { RunnerCrash, Suspect } from './types';
 
 /** Runners that end under one request before it is refused: two can be chance where runners crash by themselves and callers repeat, three were never seen so. */
-export const ENDS = 3;
+export const CRASH_LIMIT = 3;
 /** Time for which ends count, in milliseconds: long beside the return of a caller, and in it operators can look. */
-export const KEPT_MS = 600_000;
+export const TTL_MS = 600_000;
 /** Time from the first part of an answer within which the end of its runner is held against the request, in milliseconds: such a request ends runners as soon as they begin it. */
 const YOUNG_MS = 2000;
 /** Time after a completion in which ends do not count, in milliseconds: a request that is sent often has runs at several runners that crash together. */
@@ -40,7 +40,7 @@
 }
 
 /** Whether the end of a runner is held against a run of it. */
-export function isTelling(now: number, answeredAt: number | undefined): boolean {
+export function isAttributable(now: number, answeredAt: number | undefined): boolean {
   return answeredAt === undefined || now - answeredAt < YOUNG_MS;
 }
 
@@ -51,19 +51,19 @@
   readonly #completions = new Completions(PROVEN_MS);
 
   /** A runner ended under a request. Gives what is to be told to others, if that is news. */
-  ended(now: number, fingerprint: string, runner: string): Suspect | undefined {
+  recordCrash(now: number, fingerprint: string, runner: string): Suspect | undefined {
     return this.#takeOver(now, { fingerprint, ends: [{ runner, agoMs: 0 }] }, 0);
   }
 
   /** A runner ran a request to a whole answer. Gives what is to be told to others, if that is news. */
-  completed(now: number, fingerprint: string): Suspect | undefined {
+  recordCompletion(now: number, fingerprint: string): Suspect | undefined {
     this.#completions.add(now, fingerprint);
     if (!this.#entries.has(fingerprint)) return undefined;
     return this.#takeOver(now, { fingerprint, ends: [], completedAgoMs: 0 }, 0);
   }
 
   /** Takes over what another VM or the store tells. Gives what is to be told on, if that was news. */
-  learn(now: number, suspect: Suspect): Suspect | undefined {
+  apply(now: number, suspect: Suspect): Suspect | undefined {
     return this.#takeOver(now, suspect, suspect.ends.length > 1 ? 0 : YIELD_MS);
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Runners that are known to have ended under a request. */
-  endsOf(fingerprint: string): number {
+  crashCount(fingerprint: string): number {
     return this.#entries.get(fingerprint)?.ends.size ?? 0;
   }
 
@@ -111,7 +111,7 @@
 
   #expire(now: number): void {
     for (const [fingerprint, { ends }] of this.#entries) {
-      if ([...ends.values()].every((at) => now - at >= KEPT_MS)) this.#entries.delete(fingerprint);
+      if ([...ends.values()].every((at) => now - at >= TTL_MS)) this.#entries.delete(fingerprint);
     }
   }
 
@@ -144,11 +144,11 @@
   completedHereAt: number,
 ): Entry {
   const fresh = ends
-    .filter(({ agoMs }) => agoMs < KEPT_MS)
+    .filter(({ agoMs }) => agoMs < TTL_MS)
     .map(({ runner, agoMs }): [string, number] => [runner, now - agoMs]);
   // What is known goes last and stands: an end that comes back by another way is a little younger each time.
   const all = new Map([...fresh, ...(before?.ends ?? [])]);
-  const latest = [...all].sort(([, a], [, b]) => b - a).slice(0, ENDS);
+  const latest = [...all].sort(([, a], [, b]) => b - a).slice(0, CRASH_LIMIT);
   const completedAt = Math.max(
     before?.completedAt ?? -Infinity,
     completedHereAt,
@@ -166,14 +166,14 @@
 /** Undefined if it is not refused now. */
 function refusedUntil(now: number, { ends, completedAt }: Entry): number | undefined {
   const telling = [...ends.values()].filter((at) => at - completedAt > PROVEN_MS);
-  if (telling.length < ENDS) return undefined;
-  const until = Math.min(...telling) + KEPT_MS;
+  if (telling.length < CRASH_LIMIT) return undefined;
+  const until = Math.min(...telling) + TTL_MS;
   return until > now ? until : undefined;
 }
 
 function toSuspect(now: number, fingerprint: string, { ends, completedAt }: Entry): Suspect {
   const ago = (at: number): number => Math.max(0, Math.round(now - at));
-  const told = [...ends].map(([runner, at]): RunnerEnd => ({ runner, agoMs: ago(at) }));
+  const told = [...ends].map(([runner, at]): RunnerCrash => ({ runner, agoMs: ago(at) }));
   return {
     fingerprint,
     ends: told,
--- a/src/core/quotas/account.ts
+++ b/src/core/quotas/account.ts
@@ -32,7 +32,7 @@
 }
 
 /** What an owner says to one run: that it may begin after a wait, or when to ask again. */
-export type QuotaVerdict =
+export type QuotaDecision =
   | { readonly granted: true; readonly waitMs: number }
   | { readonly granted: false; readonly retryAfterMs: number };
 
@@ -70,7 +70,7 @@
    * @param part of the quota that belongs to the VMs that go by this owner, from 0 to 1
    * @param mostWaitMs longest time that the run may wait for its turn
    */
-  take(now: number, quota: Rate, part: number, size: number, mostWaitMs = 0): QuotaVerdict {
+  take(now: number, quota: Rate, part: number, size: number, mostWaitMs = 0): QuotaDecision {
     const { rate, need, waitMs } = this.#turn(now, quota, part, size);
     if (waitMs <= mostWaitMs) {
       this.#level -= size;
@@ -85,7 +85,7 @@
   }
 
   /** Takes back what was taken for a run that did not take place. */
-  giveBack(size: number): void {
+  refund(size: number): void {
     this.#level += size;
   }
 
--- a/src/core/quotas/accounts.ts
+++ b/src/core/quotas/accounts.ts
@@ -1,6 +1,6 @@
 /** The accounts that one VM owns, or is taken for the owner of, in groups that have one owner each. */
 
-import type { QuotaBounds, QuotaVerdict, Rate } from './account';
+import type { QuotaBounds, QuotaDecision, Rate } from './account';
 import { QuotaAccount } from './account';
 import type { QuotaMembers } from './share';
 import { QuotaShare } from './share';
@@ -38,7 +38,7 @@
   }
 
   /** Takes over which groups this VM owns by the members that it knows. */
-  own(now: number, owned: ReadonlySet<string>): void {
+  setOwned(now: number, owned: ReadonlySet<string>): void {
     for (const group of owned) this.#of(now, group);
     for (const [group, { askedAt }] of this.#groups) {
       if (!owned.has(group) && now - askedAt > FORGET_MS) this.#groups.delete(group);
@@ -69,7 +69,7 @@
     members: QuotaMembers,
     size: number,
     mostWaitMs = 0,
-  ): QuotaVerdict {
+  ): QuotaDecision {
     this.join(now, key.group, vm);
     const { share, account } = this.#accountOf(now, key);
     return account.take(now, quota, share.part(now, members), size, mostWaitMs);
@@ -88,8 +88,8 @@
     }
   }
 
-  giveBack({ group, subject }: QuotaKey, size: number): void {
-    this.#groups.get(group)?.accounts.get(subject)?.giveBack(size);
+  refund({ group, subject }: QuotaKey, size: number): void {
+    this.#groups.get(group)?.accounts.get(subject)?.refund(size);
   }
 
   /** This VM stood still: others owned its groups meanwhile, and what they gave out is unknown. */
--- a/src/core/quotas/share.ts
+++ b/src/core/quotas/share.ts
@@ -17,7 +17,7 @@
 const TRAVEL_MS = 100;
 
 /** Time after which a VM says again by whom it goes, in milliseconds. */
-export function renewMs({ known }: QuotaMembers): number {
+export function renewIntervalMs({ known }: QuotaMembers): number {
   return Math.max(RENEW_LEAST_MS, RENEW_VM_MS * known);
 }
 
@@ -59,7 +59,7 @@
   #partOf(now: number, members: QuotaMembers): number {
     const { known, present } = members;
     // Where only the way between a VM and its owner is cut, the word that it leaves is lost.
-    const leaseMs = renewMs(members) * RENEWALS + TRAVEL_MS;
+    const leaseMs = renewIntervalMs(members) * RENEWALS + TRAVEL_MS;
     let own = 0;
     for (const [vm, at] of this.#joined) {
       if (now - at > leaseMs) this.#joined.delete(vm);
--- a/src/core/ratelimits/rates.ts
+++ b/src/core/ratelimits/rates.ts
@@ -11,7 +11,7 @@
 import type { RateNotice, RunnerRate } from './types';
 
 /** What an answer tells of the limit of its runner. */
-export interface RateSighting {
+export interface RateObservation {
   /** When its request was sent. */
   readonly sentAt: number;
   readonly notice: RateNotice;
@@ -68,10 +68,10 @@
   }
 
   /** Takes an answer's word. Gives what is to be told to others, if that is news. */
-  saw(
+  observe(
     now: number,
     { id: runner, service }: Runner,
-    { sentAt, notice, provesEnd }: RateSighting,
+    { sentAt, notice, provesEnd }: RateObservation,
   ): RunnerRate | undefined {
     const entry = this.#entries.get(runner);
     const known = entry?.rate.ratePerS;
@@ -88,7 +88,7 @@
   }
 
   /** Takes over what another VM tells; whether that was news. */
-  learn(now: number, told: RunnerRate): boolean {
+  apply(now: number, told: RunnerRate): boolean {
     const known = this.#entries.get(told.runner)?.rate;
     if (known && !isLater(told, known)) return false;
     return this.#set(now, told) !== undefined;
--- a/src/core/ratelimits/types.ts
+++ b/src/core/ratelimits/types.ts
@@ -20,7 +20,7 @@
 }
 
 /** What the limited runners of one service may still be sent. */
-export interface Ration {
+export interface RateAllowance {
   /** Requests a second that a runner takes from all VMs together. Default: it names no limit. */
   ratePerS(runner: string): number | undefined;
   /** Time until one more request may go to a runner, in milliseconds; 0 where it names no limit. */
@@ -30,7 +30,7 @@
 }
 
 /** Runners that name no limits. */
-export const unlimited: Ration = {
+export const unlimited: RateAllowance = {
   ratePerS: () => undefined,
   waitMs: () => 0,
   take: () => {},
--- a/src/core/retries.ts
+++ b/src/core/retries.ts
@@ -29,13 +29,13 @@
     this.#bounds = bounds;
   }
 
-  first(now: number): void {
+  recordFirst(now: number): void {
     this.#expire(now);
     this.#firsts.push(now);
   }
 
   /** Takes one repeat, or says that none is left. */
-  spend(now: number, vms: number): boolean {
+  trySpend(now: number, vms: number): boolean {
     this.#expire(now);
     const { ratio, extra } = this.#bounds;
     const allowed = SAFETY * (ratio * this.#firsts.length + extra / Math.max(1, vms));
--- a/src/core/routing/digest.ts
+++ b/src/core/routing/digest.ts
@@ -14,7 +14,7 @@
 }
 
 /** Digest that is kept up with each change; the order of changes does not matter. */
-export class FactDigest {
+export class RecordDigest {
   readonly #parts = new Uint32Array(DIGEST_PARTS);
 
   readonly #hashes = new Map<string, number>();
@@ -43,7 +43,7 @@
   }
 
   /** The parts in which another digest differs. */
-  differing(theirs: readonly number[]): ReadonlySet<number> {
+  differingParts(theirs: readonly number[]): ReadonlySet<number> {
     const own = this.parts;
     return new Set(own.map((_, part) => part).filter((part) => own[part] !== theirs[part]));
   }
--- a/src/core/routing/directory.ts
+++ b/src/core/routing/directory.ts
@@ -8,13 +8,13 @@
  * end. A start that leaves never stays after all.
  */
 
-import { FactDigest, partOf } from './digest';
+import { RecordDigest, partOf } from './digest';
 import type { Position } from './position';
 import { START, isLater } from './position';
 import type { Runner } from './types';
 
 /** One fact: a runner as of a position, or that it is gone. */
-export interface RunnerFact {
+export interface RunnerRecord {
   /** Listing of the runner. */
   readonly id: string;
   readonly position: Position;
@@ -26,7 +26,7 @@
 }
 
 interface Known {
-  fact: RunnerFact;
+  fact: RunnerRecord;
   /** The last listed form of a runner whose entry vanished, kept while its return is likely. */
   last: Runner | undefined;
   goneAt: number;
@@ -48,7 +48,7 @@
 export class RunnerDirectory {
   readonly #known = new Map<string, Known>();
 
-  readonly #digest = new FactDigest();
+  readonly #digest = new RecordDigest();
 
   #position = START;
 
@@ -64,17 +64,17 @@
     return this.#changes;
   }
 
-  get digest(): FactDigest {
+  get digest(): RecordDigest {
     return this.#digest;
   }
 
-  get facts(): readonly RunnerFact[] {
+  get facts(): readonly RunnerRecord[] {
     return [...this.#known.values()].map(({ fact }) => fact);
   }
 
   /** Facts of some parts of the digest as another VM should take them over; no more parts than hold about `most` facts. */
-  factsIn(now: number, parts: ReadonlySet<number>, most: number): readonly RunnerFact[] {
-    const byPart = new Map<number, RunnerFact[]>();
+  factsIn(now: number, parts: ReadonlySet<number>, most: number): readonly RunnerRecord[] {
+    const byPart = new Map<number, RunnerRecord[]>();
     for (const { fact, goneAt } of this.#known.values()) {
       const part = partOf(fact.id);
       if (parts.has(part)) {
@@ -84,7 +84,7 @@
         byPart.set(part, found);
       }
     }
-    const chosen: RunnerFact[] = [];
+    const chosen: RunnerRecord[] = [];
     for (const facts of byPart.values()) if (chosen.length < most) chosen.push(...facts);
     return chosen;
   }
@@ -94,7 +94,7 @@
    * @param graceMs how long the runner stays in use if its entry vanished, in milliseconds
    * @returns whether anything that matters changed
    */
-  learn(now: number, told: RunnerFact, graceMs: number): boolean {
+  apply(now: number, told: RunnerRecord, graceMs: number): boolean {
     const known = this.#known.get(told.id);
     const { bornAt = known?.bornAt ?? 0 } = told.runner ?? {};
     if (known && bornAt < known.bornAt) return false;
@@ -120,7 +120,7 @@
    * its entry stays as it was until the new start has written its own.
    * @returns whether a start that was known is over by it
    */
-  learnStart(listing: string, bornAt: number): boolean {
+  applyInstanceStart(listing: string, bornAt: number): boolean {
     const known = this.#known.get(listing);
     // An entry that does not tell its start names no start that could be over.
     if (!known || known.bornAt === 0 || bornAt <= known.bornAt) return false;
@@ -130,12 +130,12 @@
   }
 
   /** The latest start that is known of a listing, in Unix milliseconds; 0 if none is. */
-  latestStart(listing: string): number {
+  latestInstanceStart(listing: string): number {
     return this.#known.get(listing)?.bornAt ?? 0;
   }
 
   /** Whether a fact was taken in before, or is older than what was. */
-  isKnown({ id, position }: RunnerFact): boolean {
+  isKnown({ id, position }: RunnerRecord): boolean {
     const known = this.#known.get(id);
     return known !== undefined && !isLater(position, known.fact.position);
   }
@@ -165,7 +165,7 @@
  * goes into either: an older copy of the store shows it as it was before it said so,
  * and work that it gets by that is lost with it.
  */
-function join(known: Known | undefined, told: RunnerFact): RunnerFact | undefined {
+function join(known: Known | undefined, told: RunnerRecord): RunnerRecord | undefined {
   if (!known) return told;
   const { fact, last } = known;
   if (isLater(told.position, fact.position)) {
--- a/src/core/routing/freshness.ts
+++ b/src/core/routing/freshness.ts
@@ -10,7 +10,7 @@
  */
 
 /** What a VM tells of its own proof. */
-export interface Proof {
+export interface FreshnessProof {
   /** Its configuration, to which the proof belongs. */
   readonly version: number;
   readonly ageMs: number;
@@ -45,13 +45,13 @@
 const ALONE_WAIT_MS = { first: 500, limit: 4000 };
 
 /** Paces the questions of one VM to the store. */
-export class ProofPace {
+export class ProofBackoff {
   #at = -Infinity;
 
   #waitMs = 0;
 
   /** Whether the store may be asked now; counts as a question. */
-  asks(now: number, isReader: boolean): boolean {
+  tryQuery(now: number, isReader: boolean): boolean {
     if (now < this.#at) return false;
     const { first, limit } = isReader ? READER_WAIT_MS : ALONE_WAIT_MS;
     this.#waitMs = Math.min(limit, Math.max(first, this.#waitMs * 2));
@@ -83,43 +83,43 @@
   }
 
   /** Takes over that nothing newer than the own configuration was in force at a time. */
-  prove(asOf: number): void {
+  confirm(asOf: number): void {
     this.#asOf = Math.max(this.#asOf, asOf);
   }
 
   /** The store answered what it was asked at a time. */
-  storeAnswered(askedAt: number): void {
-    if (askedAt >= this.#storeProvesFrom) this.prove(askedAt);
+  recordStoreAnswer(askedAt: number): void {
+    if (askedAt >= this.#storeProvesFrom) this.confirm(askedAt);
   }
 
   /** The store came back from an older copy. */
-  storeCameBack(now: number): void {
+  recordStoreRestore(now: number): void {
     this.#storeProvesFrom = now + RETURN_MS;
   }
 
   /** This VM asks another one. */
-  ask(now: number, seq: number): void {
+  recordQuery(now: number, seq: number): void {
     this.#asked.set(seq, now);
     const [oldest] = this.#asked.keys();
     if (this.#asked.size > ASKED_MOST && oldest !== undefined) this.#asked.delete(oldest);
   }
 
   /** Another VM answers a question; see `ask`. */
-  answer(seq: number, proof: Proof, version: number): void {
+  recordReply(seq: number, proof: FreshnessProof, version: number): void {
     const askedAt = this.#asked.get(seq);
-    if (askedAt !== undefined) this.told(askedAt, proof, version);
+    if (askedAt !== undefined) this.acceptProof(askedAt, proof, version);
   }
 
   /**
    * Another VM told its proof after it was asked for it.
    * @param version the own configuration; a proof for a later one says nothing of it
    */
-  told(askedAt: number, { version: proven, ageMs }: Proof, version: number): void {
-    if (proven <= version) this.prove(askedAt - ageMs);
+  acceptProof(askedAt: number, { version: proven, ageMs }: FreshnessProof, version: number): void {
+    if (proven <= version) this.confirm(askedAt - ageMs);
   }
 
   /** What this VM tells others; undefined if it has no proof. */
-  tell(now: number, version: number): Proof | undefined {
+  proofAt(now: number, version: number): FreshnessProof | undefined {
     const ageMs = this.ageMs(now);
     return Number.isFinite(ageMs) ? { version, ageMs } : undefined;
   }
--- a/src/core/routing/position.ts
+++ b/src/core/routing/position.ts
@@ -45,7 +45,7 @@
  * up to the first revision seen of an era counts as of eras before; what is living
  * writes again within a heartbeat, and that is of the new era beyond doubt.
  */
-export class History {
+export class StoreHistory {
   /** Latest era first. */
   #starts: readonly Position[] = [];
 
@@ -62,7 +62,7 @@
    * Takes over starts of eras: of those that are new, and earlier ones of those known.
    * @returns whether the latest era was known as another one before
    */
-  learn(starts: readonly Position[]): boolean {
+  apply(starts: readonly Position[]): boolean {
     const before = this.era;
     const first = new Map<number, number>();
     for (const { era, revision } of [...this.#starts, ...starts]) {
--- a/src/core/routing/spread.ts
+++ b/src/core/routing/propagation.ts
@@ -5,8 +5,8 @@
  * was lost on the way shows in the digests that probes carry.
  */
 
-import type { Rumour } from '../membership/types';
-import type { RunnerFact } from './directory';
+import type { GossipUpdate } from '../membership/types';
+import type { RunnerRecord } from './directory';
 import type { Position } from './position';
 import { latest, ordinalOf } from './position';
 
@@ -37,7 +37,7 @@
 }
 
 /** Decides what one VM tells on and from whom it fetches. */
-export class NewsSpread {
+export class UpdatePropagation {
   /** VM to fetch from as soon as the pace allows. */
   #bearer: string | undefined;
 
@@ -46,16 +46,16 @@
   #differsSince: number | undefined;
 
   /** What to tell others of a new configuration. */
-  configRumours(version: number): readonly Rumour[] {
+  configUpdates(version: number): readonly GossipUpdate[] {
     this.#differsSince = undefined;
     return [{ path: CONFIG_PATH, revision: version }];
   }
 
   /** What to tell others of changed runners. */
-  runnerRumours(
-    facts: readonly RunnerFact[],
-    encode: (fact: RunnerFact) => string,
-  ): readonly Rumour[] {
+  runnerUpdates(
+    facts: readonly RunnerRecord[],
+    encode: (fact: RunnerRecord) => string,
+  ): readonly GossipUpdate[] {
     this.#differsSince = undefined;
     const revision = ordinalOf(latest(facts.map(({ position }) => position)));
     if (facts.length > TOLD_MOST) return [{ path: RUNNERS_PATH, revision }];
@@ -67,26 +67,26 @@
   }
 
   /** What to tell others of the store's eras, the latest first. */
-  eraRumours(starts: readonly Position[]): readonly Rumour[] {
+  eraUpdates(starts: readonly Position[]): readonly GossipUpdate[] {
     this.#differsSince = undefined;
     return [{ path: ERA_PATH, revision: starts[0]?.era ?? 0, text: JSON.stringify(starts) }];
   }
 
   /** A member told that it has something newer which is not in the message. */
-  heard({ path, revision }: Rumour, address: string, known: KnownState): void {
+  receive({ path, revision }: GossipUpdate, address: string, known: KnownState): void {
     const own = path === CONFIG_PATH ? known.configVersion : ordinalOf(known.runnersPosition);
     if ((path === CONFIG_PATH || path === RUNNERS_PATH) && revision > own) this.#bearer = address;
   }
 
   /** A member's digest is another one. */
-  differs(now: number, address: string): void {
+  reportMismatch(now: number, address: string): void {
     this.#differsSince ??= now;
     if (now - this.#differsSince >= DIFFERS_MS) this.#bearer ??= address;
   }
 
   /** The address to fetch from now, if there is one and the pace allows it. */
-  takeDue(now: number): string | undefined {
-    if (this.#bearer === undefined || now < this.dueAt) return undefined;
+  takeFetchTarget(now: number): string | undefined {
+    if (this.#bearer === undefined || now < this.nextFetchAt) return undefined;
     const address = this.#bearer;
     this.#bearer = undefined;
     this.#differsSince = undefined;
@@ -95,7 +95,7 @@
   }
 
   /** When something is to be fetched; infinite if nothing is. */
-  get dueAt(): number {
+  get nextFetchAt(): number {
     return this.#bearer === undefined ? Infinity : this.#fetchedAt + FETCH_PACE_MS;
   }
 }
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -101,6 +101,6 @@
  * distrust and the orders of a process that is gone. Under an id of its own
  * nothing of the earlier start can be mistaken for its own.
  */
-export function startId(listing: string, bornAt: number): string {
+export function instanceId(listing: string, bornAt: number): string {
   return bornAt === 0 ? listing : `${listing}@${bornAt}`;
 }
--- a/src/node/platform/client.ts
+++ b/src/node/platform/client.ts
@@ -8,7 +8,7 @@
 import { z } from 'zod';
 
 import { Failure, toFailure } from '../../core/failure';
-import type { Answer } from '../../utils/http';
+import type { HttpResponse } from '../../utils/http';
 import { call } from '../../utils/http';
 
 /** A value with the index of its last modification. */
@@ -167,7 +167,7 @@
     body?: string,
     timeoutMs = CALL_TIMEOUT_MS,
     signal?: AbortSignal,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     try {
       const answer = await call({
         method,
@@ -185,7 +185,7 @@
   }
 }
 
-function parseEntries(answer: Answer): readonly StoredValue[] {
+function parseEntries(answer: HttpResponse): readonly StoredValue[] {
   const entries = entriesSchema.parse(JSON.parse(answer.body));
   return entries.map(({ Key: key, Value, ModifyIndex: index }) => ({
     key,
--- a/src/node/router/endline.ts
+++ b/src/node/router/accesslog.ts
@@ -3,7 +3,7 @@
 import type { Exchange } from './exchange';
 
 /** @param ms time from the whole request to the end of its answer */
-export function endLineOf(
+export function accessLogFields(
   exchange: Exchange,
   ms: number,
   configVersion: number,
--- a/src/node/router/gate.ts
+++ b/src/node/router/authorizer.ts
@@ -1,7 +1,7 @@
 /** Whether a request may run, by its key: asked when it arrives and again before each send to a runner. */
 
 import type { AgeBounds, Credential } from '../../core/customers/identity';
-import { identify, tooOld } from '../../core/customers/identity';
+import { identify, staleConfigFailure } from '../../core/customers/identity';
 import type { Customer } from '../../core/customers/types';
 import { Failure, toFailure } from '../../core/failure';
 import type { ProofSource } from '../../core/routing/freshness';
@@ -9,18 +9,18 @@
 import type { RouteTable } from '../../core/routing/table';
 import type { Route } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 
 /** When a caller may come back whose key has changed hands on the way, in milliseconds. */
 const CHANGED_RETRY_MS = 100;
 
 /** The keys of this VM's configuration, and how far they can be relied on. */
-export class Gate {
-  readonly #knowledge: Knowledge;
+export class Authorizer {
+  readonly #knowledge: RoutingState;
 
   readonly #bounds: () => AgeBounds;
 
-  constructor(knowledge: Knowledge, bounds: () => AgeBounds) {
+  constructor(knowledge: RoutingState, bounds: () => AgeBounds) {
     this.#knowledge = knowledge;
     this.#bounds = bounds;
   }
@@ -44,11 +44,11 @@
    * it can. Where no keys are needed, VMs do not ask how old their configuration is, and all
    * that is not there would look as if it were news.
    */
-  doubt(now: number, detail: string): Failure | undefined {
+  staleRefusal(now: number, detail: string): Failure | undefined {
     const { table, freshness } = this.#knowledge;
     const ageMs = freshness.ageMs(now);
     const isNews = table?.keyRing !== undefined && ageMs > this.#bounds().finalMs;
-    return isNews ? tooOld(ageMs, detail) : undefined;
+    return isNews ? staleConfigFailure(ageMs, detail) : undefined;
   }
 
   /** Whom this VM is to ask how old its configuration is. */
@@ -59,7 +59,7 @@
   }
 
   /** Whether keys can be relied on; always where none are needed. */
-  isSure(now: number): boolean {
+  isConfigFresh(now: number): boolean {
     const { table, freshness } = this.#knowledge;
     return !table?.keyRing || freshness.ageMs(now) <= this.#bounds().keyMs;
   }
--- a/src/node/router/charge.ts
+++ b/src/node/router/charge.ts
@@ -1,5 +1,5 @@
 /** What was taken of a customer's quota for one request: once for each run that there may have been. */
-export class Charge {
+export class QuotaCharge {
   #taken = 0;
 
   #runs = 0;
@@ -7,7 +7,7 @@
   #size = 0;
 
   /** Whether one more run is paid for. */
-  get covered(): boolean {
+  get isCovered(): boolean {
     return this.#taken > this.#runs;
   }
 
--- a/src/node/router/daemon.ts
+++ b/src/node/router/daemon.ts
@@ -8,25 +8,25 @@
 import { RunnerHealth } from '../../core/cell/health';
 import { toFailure } from '../../core/failure';
 import { RetryWindow } from '../../core/retries';
-import type { History } from '../../core/routing/position';
+import type { StoreHistory } from '../../core/routing/position';
 import { bootNow } from '../../utils/clock';
 import { LazyMap } from '../../utils/lazymap';
 import { logOf } from '../log';
 import { Control } from './control';
-import { Desks } from './desks';
-import { endLineOf } from './endline';
+import { Controllers } from './controllers';
+import { accessLogFields } from './accesslog';
 import type { Exchange } from './exchange';
 import { RouterFleet } from './fleet';
-import { Front } from './front';
-import { Gate } from './gate';
+import { FrontEnd } from './frontend';
+import { Authorizer } from './authorizer';
 import { InflightClient } from './inflight';
-import type { News } from './knowledge';
-import { Knowledge } from './knowledge';
+import type { StateChange } from './routingstate';
+import { RoutingState } from './routingstate';
 import { RouterMetrics } from './metrics';
-import { ModelCaller } from './model';
-import { OrderDesk } from './orders';
-import { PlanHost } from './owner';
-import { PlainCaller } from './plain';
+import { ModelHandler } from './model';
+import { OrderController } from './orders';
+import { PlannerHost } from './plannerhost';
+import { PlainHandler } from './plain';
 import { Runs } from './runs';
 import type {
   ControlCodec,
@@ -41,7 +41,7 @@
 /** The system around the router. */
 export interface RouterPorts {
   /** The store's history, which the feed writes and reads too. */
-  readonly history: History;
+  readonly history: StoreHistory;
   readonly feed: Feed;
   readonly runners: RunnerClient;
   readonly ingress: IngressCodec;
@@ -65,23 +65,23 @@
 
   readonly #log: Logger;
 
-  readonly #knowledge: Knowledge;
+  readonly #knowledge: RoutingState;
 
   readonly #fleet: RouterFleet;
 
-  readonly #gate: Gate;
+  readonly #gate: Authorizer;
 
   readonly #runners: InflightClient;
 
-  readonly #host: PlanHost;
+  readonly #host: PlannerHost;
 
-  readonly #desks: Desks;
+  readonly #desks: Controllers;
 
-  readonly #front: Front;
+  readonly #front: FrontEnd;
 
-  readonly #plain: PlainCaller;
+  readonly #plain: PlainHandler;
 
-  readonly #model: ModelCaller;
+  readonly #model: ModelHandler;
 
   readonly #runs: Runs;
 
@@ -95,7 +95,7 @@
 
   readonly #health = new LazyMap<string, RunnerHealth>(() => new RunnerHealth());
 
-  #orders: OrderDesk | undefined;
+  #orders: OrderController | undefined;
 
   #leaving = false;
 
@@ -103,32 +103,32 @@
     this.#settings = settings;
     this.#ports = ports;
     this.#log = logOf(log, 'router');
-    this.#knowledge = new Knowledge(ports.history, logOf(log, 'knowledge'), {
-      onNews: (news) => this.#onNews(news),
-      onUnfitEntry: () => this.#metrics.count('entries.unfit'),
+    this.#knowledge = new RoutingState(ports.history, logOf(log, 'knowledge'), {
+      onChange: (news) => this.#onNews(news),
+      onInvalidEntry: () => this.#metrics.count('entries.unfit'),
     });
     this.#runners = new InflightClient(
       ports.runners,
       (listing) => this.#knowledge.latestStart(listing),
       logOf(log, 'runner'),
     );
-    this.#host = new PlanHost(this.#knowledge, this.#runners, logOf(log, 'cell'), {
-      onUnsure: (service) => this.#desks.calls.gather(service),
-      rationOf: (service) => this.#desks.permits.rationOf(service),
+    this.#host = new PlannerHost(this.#knowledge, this.#runners, logOf(log, 'cell'), {
+      onIncompleteState: (service) => this.#desks.calls.collectHoldings(service),
+      rateAllowanceOf: (service) => this.#desks.permits.allowanceOf(service),
     });
-    this.#gate = new Gate(this.#knowledge, () => this.#settings.ages);
-    const proofs = this.#knowledge.proofExchange;
+    this.#gate = new Authorizer(this.#knowledge, () => this.#settings.ages);
+    const proofs = this.#knowledge.freshnessExchange;
     this.#fleet = new RouterFleet(settings, proofs, this.#metrics, logOf(log, 'members'), {
       onCall: (vm, method, params, push) => this.#desks.calls.answer(vm, method, params, push),
-      onLost: (vm) => this.#host.vmLost(performance.now(), vm),
-      onMembers: () => {
+      onVmLost: (vm) => this.#host.onVmLost(performance.now(), vm),
+      onMembersChange: () => {
         this.#warmLinks();
         this.#desks.membersChanged(performance.now());
       },
-      onDiffers: (address) => this.#desks.news.differs(address),
-      onRumour: (rumour, address) => this.#desks.news.heard(rumour, address),
+      onDigestDiffers: (address) => this.#desks.stateSync.digestDiffers(address),
+      onUpdate: (rumour, address) => this.#desks.stateSync.receive(rumour, address),
     });
-    this.#desks = new Desks({
+    this.#desks = new Controllers({
       settings,
       knowledge: this.#knowledge,
       gate: this.#gate,
@@ -141,33 +141,33 @@
       onDescription: () => this.#describe(),
     });
     const mayRepeat = (now: number, service: string): boolean =>
-      this.#retries.get(service).spend(now, this.#fleet.alive.length);
+      this.#retries.get(service).trySpend(now, this.#fleet.alive.length);
     const { quarantine, rateLimits, permits, quotas, places } = this.#desks;
     this.#runs = new Runs({
       quarantine,
-      gate: this.#gate,
+      authorizer: this.#gate,
       rateLimits,
       metrics: this.#metrics,
       log: logOf(log, 'runner'),
     });
-    this.#plain = new PlainCaller({
+    this.#plain = new PlainHandler({
       knowledge: this.#knowledge,
       runners: this.#runners,
       health: (service) => this.#health.get(service),
       runs: this.#runs,
       quotas,
       permits,
-      mayRepeat,
+      takeRetry: mayRepeat,
       domain: settings.domain,
     });
-    this.#model = new ModelCaller({
+    this.#model = new ModelHandler({
       knowledge: this.#knowledge,
       runners: this.#runners,
-      places,
+      reservations: places,
       runs: this.#runs,
       quotas,
       permits,
-      mayRepeat,
+      takeRetry: mayRepeat,
     });
     this.#control = new Control({
       codec: ports.control,
@@ -175,9 +175,9 @@
       callerAddresses: (domain) => this.#callerAddresses(domain),
       addressTtlMs: () => this.#settings.addressTtlMs,
     });
-    this.#front = new Front({
+    this.#front = new FrontEnd({
       knowledge: this.#knowledge,
-      gate: this.#gate,
+      authorizer: this.#gate,
       codec: ports.ingress,
       metrics: this.#metrics,
       log: logOf(log, 'front'),
@@ -196,17 +196,17 @@
       onRunners: (facts) => this.#knowledge.learnRunners(performance.now(), facts, 'store'),
       onEra: (start) => this.#knowledge.learnEras(performance.now(), [start], 'store'),
       onListed: (ids, position) => this.#knowledge.learnList(performance.now(), ids, position),
-      onVms: (vms) => this.#fleet.list(vms.filter((entry) => entry.vm !== vm)),
+      onVms: (vms) => this.#fleet.addListed(vms.filter((entry) => entry.vm !== vm)),
       onSuspects: (suspects, isAll) =>
-        this.#desks.quarantine.stored(performance.now(), suspects, isAll),
-      onProof: (askedAt) => this.#knowledge.freshness.storeAnswered(askedAt),
-      onStore: (up, detail) => this.#desks.news.storeAnswered(performance.now(), up, detail),
+        this.#desks.quarantine.learnStored(performance.now(), suspects, isAll),
+      onConfirmed: (askedAt) => this.#knowledge.freshness.recordStoreAnswer(askedAt),
+      onStore: (up, detail) => this.#desks.stateSync.storeCallEnded(performance.now(), up, detail),
     });
-    this.#desks.news.start();
-    this.#orders = new OrderDesk({
+    this.#desks.stateSync.start();
+    this.#orders = new OrderController({
       vm,
       knowledge: this.#knowledge,
-      host: this.#host,
+      planners: this.#host,
       runners: this.#runners,
       lock: this.#ports.lock,
       owns: (service) => this.#owns(service),
@@ -238,17 +238,17 @@
     const { graceMs } = this.#settings;
     const endAt = performance.now() + graceMs - LAST_MS;
     const leaveUntil = performance.now() + graceMs * LEAVE_PART;
-    this.#log.info({ active: this.#front.active }, 'Leaving.');
+    this.#log.info({ active: this.#front.activeRequests }, 'Leaving.');
     this.#leaving = true;
     this.#orders?.stop();
-    this.#host.leave();
-    this.#front.leave();
+    this.#host.startDraining();
+    this.#front.startDraining();
     this.#fleet.leave();
     this.#describe();
     while (performance.now() < leaveUntil) await pause(DRAIN_CHECK_MS);
     this.#front.close();
-    while (this.#front.active > 0 && performance.now() < endAt) await pause(DRAIN_CHECK_MS);
-    this.#log.info({ active: this.#front.active }, 'Stopped.');
+    while (this.#front.activeRequests > 0 && performance.now() < endAt) await pause(DRAIN_CHECK_MS);
+    this.#log.info({ active: this.#front.activeRequests }, 'Stopped.');
     this.#front.cutOff();
     this.#desks.stop();
     this.#host.stop();
@@ -264,14 +264,14 @@
     return {
       vm: this.#settings.vm,
       ready: this.#ready,
-      active: this.#front.active,
-      ...this.#desks.beliefs(now),
-      ...this.#knowledge.beliefs(now),
+      active: this.#front.activeRequests,
+      ...this.#desks.snapshot(now),
+      ...this.#knowledge.snapshot(now),
       vms: this.#fleet.all.map(({ vm, state, draining }) => ({ vm, state, draining })),
       owners: Object.fromEntries(
         models.map((name) => [name, this.#fleet.ownersOf(now, name)[0]?.vm ?? null]),
       ),
-      plans: this.#host.beliefs(now),
+      plans: this.#host.snapshot(now),
     };
   }
 
@@ -285,7 +285,7 @@
   #warmLinks(): void {
     const services = this.#knowledge.table?.config.services ?? [];
     const now = performance.now();
-    this.#fleet.cool();
+    this.#fleet.clearWarm();
     for (const { name, engine } of services) if (engine) this.#fleet.warm(now, name);
   }
 
@@ -297,7 +297,7 @@
   async #serve(exchange: Exchange): Promise<void> {
     const { service } = exchange;
     const now = performance.now();
-    this.#retries.get(service).first(now);
+    this.#retries.get(service).recordFirst(now);
     const refusal = this.#runs.refusal(now, exchange);
     if (refusal) {
       exchange.fail(now, refusal);
@@ -311,8 +311,8 @@
 
   #done(exchange: Exchange, ms: number): void {
     const { service, status, code } = exchange;
-    this.#metrics.ended(service, status, code, ms);
-    this.#log.info(endLineOf(exchange, ms, this.#knowledge.configVersion), 'Request ended.');
+    this.#metrics.recordRequest(service, status, code, ms);
+    this.#log.info(accessLogFields(exchange, ms, this.#knowledge.configVersion), 'Request ended.');
   }
 
   /** Whether this VM takes callers; see `#serves` for whether it can serve them now. */
@@ -322,29 +322,29 @@
 
   /** A VM that cannot rely on its keys refuses all that come with one; callers do better elsewhere. */
   get #serves(): boolean {
-    return this.#ready && this.#gate.isSure(bootNow());
+    return this.#ready && this.#gate.isConfigFresh(bootNow());
   }
 
   #describe(): void {
     if (this.#leaving) return;
     const { front } = this.#settings.listen;
-    const { storeLost } = this.#desks.news;
+    const { isStoreLost: storeLost } = this.#desks.stateSync;
     this.#fleet.describe({ gateways: [front], draining: !this.#ready, storeLost });
   }
 
-  #onNews(news: News): void {
+  #onNews(news: StateChange): void {
     match(news)
       .with({ kind: 'config' }, () => {
         this.#describe();
         this.#warmLinks();
-        this.#desks.quotas.changed(performance.now());
+        this.#desks.quotas.refresh(performance.now());
       })
-      .with({ kind: 'runners' }, () => this.#runners.endLost())
+      .with({ kind: 'runners' }, () => this.#runners.abortLost())
       .with({ kind: 'era' }, ({ cameBack }) => {
-        this.#knowledge.freshness.storeCameBack(bootNow());
-        if (cameBack) this.#orders?.storeCameBack(performance.now());
+        this.#knowledge.freshness.recordStoreRestore(bootNow());
+        if (cameBack) this.#orders?.onStoreRestored(performance.now());
       })
       .exhaustive();
-    this.#desks.news.learnt(news);
+    this.#desks.stateSync.announce(news);
   }
 }
--- a/src/node/router/exchange.ts
+++ b/src/node/router/exchange.ts
@@ -6,8 +6,8 @@
 import { Failure } from '../../core/failure';
 import { contentIdOf } from '../../core/fingerprint';
 import type { Route } from '../../core/routing/types';
-import { cutOff, errorBody } from '../../utils/http';
-import { Charge } from './charge';
+import { abortResponse, errorBody } from '../../utils/http';
+import { QuotaCharge } from './charge';
 import type { CallRequest, IngressCodec } from './types';
 
 /** Largest part of the time left that a caller may be told to stay away. */
@@ -29,10 +29,10 @@
   readonly arrivedAt: number;
 
   /** What it took of its customer's quota. */
-  readonly charge = new Charge();
+  readonly charge = new QuotaCharge();
 
   /** When the request must have its final answer. */
-  readonly endAt: number;
+  readonly deadlineAt: number;
 
   readonly #res: ServerResponse;
 
@@ -78,7 +78,7 @@
     this.rank = rank;
     this.arrivedAt = now;
     const limitMs = Math.min(route.timeoutMs, request.deadlineMs ?? route.timeoutMs);
-    this.endAt = now + limitMs - TIMEOUT_MARGIN_MS;
+    this.deadlineAt = now + limitMs - TIMEOUT_MARGIN_MS;
     this.#res = res;
     this.#codec = codec;
     this.#timer = setTimeout(() => this.#abort.abort(), Math.max(1, limitMs - TIMEOUT_MARGIN_MS));
@@ -116,12 +116,12 @@
   }
 
   /** Time left, in milliseconds. */
-  leftMs(now: number): number {
-    return Math.max(0, this.endAt - now);
+  remainingMs(now: number): number {
+    return Math.max(0, this.deadlineAt - now);
   }
 
   /** Starts an answer with a runner's status and headers. */
-  head(status: number, headers: readonly string[]): void {
+  writeHead(status: number, headers: readonly string[]): void {
     this.status = status;
     this.#res.writeHead(status, headers as string[]);
   }
@@ -151,7 +151,7 @@
   fail(now: number, failure: Failure): void {
     this.code = failure.codeName;
     if (this.#res.headersSent) {
-      cutOff(this.#res);
+      abortResponse(this.#res);
       return;
     }
     const { retryAfterMs } = failure;
--- a/src/node/router/fleet.ts
+++ b/src/node/router/fleet.ts
@@ -4,8 +4,8 @@
 
 import { setTimeout as pause } from 'node:timers/promises';
 
-import type { Description, Member, Members, Rumour } from '../../core/membership/types';
-import { isPresent, mayOwn } from '../../core/membership/types';
+import type { MemberStatus, Member, Members, GossipUpdate } from '../../core/membership/types';
+import { isPresent, canOwn } from '../../core/membership/types';
 import { addressesNear, rankByCores } from '../../core/ownership';
 import { toFailure } from '../../core/failure';
 import { LogRateLimiter } from '../loglimiter';
@@ -28,13 +28,13 @@
     push: (method: string, params: unknown) => void,
   ): Promise<unknown>;
   /** A VM is gone and its requests with it. */
-  onLost(vm: string): void;
+  onVmLost(vm: string): void;
   /** The membership changed. */
-  onMembers(): void;
+  onMembersChange(): void;
   /** Another VM knows other things than this one. */
-  onDiffers(address: string): void;
+  onDigestDiffers(address: string): void;
   /** Another VM tells news. */
-  onRumour(rumour: Rumour, address: string): void;
+  onUpdate(rumour: GossipUpdate, address: string): void;
 }
 
 /** Period of membership probes, in milliseconds: a dead VM is found in about a second and a half. */
@@ -128,8 +128,8 @@
       proofs,
       listener: {
         onChange: (member) => this.#changed(member),
-        onUpdate: (rumour, address) => listener.onRumour(rumour, address),
-        onDigestDiffers: (address) => listener.onDiffers(address),
+        onUpdate: (rumour, address) => listener.onUpdate(rumour, address),
+        onDigestDiffers: (address) => listener.onDigestDiffers(address),
       },
     });
     this.#server = new PeerServer({
@@ -191,7 +191,7 @@
   }
 
   /** VMs that the store names; what probes say of them goes first. */
-  list(vms: readonly { readonly vm: string; readonly address: string }[]): void {
+  addListed(vms: readonly { readonly vm: string; readonly address: string }[]): void {
     const known = new Set(this.all.map(({ address }) => address));
     const fresh = vms.filter(({ address }) => !known.has(address));
     if (fresh.length === 0) return;
@@ -202,7 +202,7 @@
   }
 
   /** Tells the others of this VM. */
-  describe(description: Description): void {
+  describe(description: MemberStatus): void {
     this.#members.handle({ kind: 'described', description });
   }
 
@@ -215,7 +215,7 @@
     this.#members.handle({ kind: 'leaving' });
   }
 
-  spread(rumours: readonly Rumour[]): void {
+  gossip(rumours: readonly GossipUpdate[]): void {
     if (rumours.length > 0) this.#members.handle({ kind: 'rumours', rumours });
   }
 
@@ -246,7 +246,7 @@
   }
 
   /** Forgets to which VMs links are kept; they are named anew. */
-  cool(): void {
+  clearWarm(): void {
     this.#warm.clear();
   }
 
@@ -254,12 +254,12 @@
   #ranked(key: string): readonly Member[] {
     const known = this.#ranking.get(key);
     if (known) return known;
-    const owners = rankByCores(key, this.all.filter(mayOwn));
+    const owners = rankByCores(key, this.all.filter(canOwn));
     this.#ranking.set(key, owners);
     return owners;
   }
 
-  shun(now: number, vm: string): void {
+  deprioritize(now: number, vm: string): void {
     this.#shunned.set(vm, now + SHUNNED_MS);
   }
 
@@ -271,7 +271,7 @@
   }
 
   /** Calls all VMs that have a link to this one, over those links. */
-  callBack(method: string, params: unknown): void {
+  callClients(method: string, params: unknown): void {
     for (const peer of this.#callers.values()) this.#push(peer, method, params);
   }
 
@@ -285,7 +285,7 @@
     const { vm } = peer;
     if (this.#callers.get(vm) === peer) this.#callers.delete(vm);
     const state = this.#members.members.get(vm)?.state;
-    if (state === 'left' || state === 'dead') this.#listener.onLost(vm);
+    if (state === 'left' || state === 'dead') this.#listener.onVmLost(vm);
   }
 
   #reap(now: number): void {
@@ -326,7 +326,7 @@
       this.#links.delete(address);
     }
     // A VM that has left still serves what it has; it is lost when its link closes.
-    if (state === 'dead') this.#listener.onLost(vm);
+    if (state === 'dead') this.#listener.onVmLost(vm);
     this.#ranking.clear();
     this.#addresses.clear();
     this.#gather();
@@ -338,7 +338,7 @@
     this.#gathering = true;
     setTimeout(() => {
       this.#gathering = false;
-      this.#listener.onMembers();
+      this.#listener.onMembersChange();
     }, GATHER_MS).unref();
   }
 }
--- a/src/node/router/front.ts
+++ b/src/node/router/frontend.ts
@@ -13,19 +13,19 @@
 import type { Route } from '../../core/routing/types';
 
 import { bootNow } from '../../utils/clock';
-import { OpenAnswers } from '../../utils/answers';
+import { OpenResponses } from '../../utils/responses';
 import { listenOn, readBody } from '../../utils/http';
 import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { Exchange, sendRefusal } from './exchange';
-import type { Gate } from './gate';
-import type { Knowledge } from './knowledge';
+import type { Authorizer } from './authorizer';
+import type { RoutingState } from './routingstate';
 import type { CallRequest, IngressCodec } from './types';
 
 /** What the front works with. */
-export interface FrontContext {
-  readonly knowledge: Knowledge;
-  readonly gate: Gate;
+export interface FrontEndContext {
+  readonly knowledge: RoutingState;
+  readonly authorizer: Authorizer;
   readonly codec: IngressCodec;
   readonly metrics: Metrics;
   readonly log: Logger;
@@ -47,20 +47,20 @@
 const NO_CONFIG_RETRY_MS = 300;
 
 /** The callers' address. */
-export class Front {
-  readonly #context: FrontContext;
+export class FrontEnd {
+  readonly #context: FrontEndContext;
 
   readonly #server: Server;
 
   readonly #lines: LogRateLimiter;
 
-  readonly #answers = new OpenAnswers();
+  readonly #answers = new OpenResponses();
 
   #active = 0;
 
   #leaving = false;
 
-  constructor(context: FrontContext) {
+  constructor(context: FrontEndContext) {
     this.#context = context;
     this.#lines = new LogRateLimiter(REFUSAL_LINES, (lines) =>
       context.log.info({ lines }, 'Refused more at the door.'),
@@ -75,13 +75,13 @@
     this.#server.headersTimeout = HEADER_MS;
     this.#server.on('connection', (socket) => socket.setNoDelay(true));
     this.#server.on('clientError', (error, socket) => {
-      if (this.#answers.cutOn(socket)) socket.destroy();
+      if (this.#answers.abortOn(socket)) socket.destroy();
       else rejectMalformed(error, socket as Socket);
     });
   }
 
   /** Requests that have no final answer yet. */
-  get active(): number {
+  get activeRequests(): number {
     return this.#active;
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** Goes on serving, but asks callers to take another address for their next request. */
-  leave(): void {
+  startDraining(): void {
     this.#leaving = true;
   }
 
@@ -101,7 +101,7 @@
 
   /** Cuts off all answers in progress. */
   cutOff(): void {
-    this.#answers.cutAll();
+    this.#answers.abortAll();
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -125,7 +125,7 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<Exchange | undefined> {
-    const { codec, knowledge, gate } = this.#context;
+    const { codec, knowledge, authorizer: gate } = this.#context;
     try {
       const limit = knowledge.table?.config.limits.bodyBytes ?? BODY_BYTES;
       const body = await readBody(req, limit);
@@ -179,7 +179,7 @@
     if (route) return route;
     const detail = `version ${table.config.version}: ${host}${path}`;
     // Callers do not come back after a 404, so a VM that may be behind does not say it.
-    const refused = this.#context.gate.doubt(bootNow(), detail);
+    const refused = this.#context.authorizer.staleRefusal(bootNow(), detail);
     throw refused ?? new Failure('unknownRoute', detail);
   }
 
--- a/src/node/router/inflight.ts
+++ b/src/node/router/inflight.ts
@@ -28,7 +28,7 @@
 const SILENT_MS = 250;
 
 /** Whether a request was surely sent to a start before the one born then. */
-export function precedes(sentAt: number, bornAt: number): boolean {
+export function wasSentBefore(sentAt: number, bornAt: number): boolean {
   return sentAt + CLOCK_SKEW_MS < bornAt;
 }
 
@@ -88,7 +88,7 @@
   }
 
   /** Ends what was sent to starts that are over. To be called when another start became known. */
-  endLost(): void {
+  abortLost(): void {
     for (const entry of this.#inflight) {
       const { runner } = entry.dispatch;
       const bornAt = this.#latestStart(runner.listing);
@@ -97,7 +97,7 @@
   }
 
   #endIfLost(entry: Inflight, bornAt: number): void {
-    if (precedes(entry.sentAt, bornAt)) {
+    if (wasSentBefore(entry.sentAt, bornAt)) {
       this.#end(entry);
       return;
     }
--- a/src/node/router/plans.ts
+++ b/src/node/router/messages.ts
@@ -60,7 +60,7 @@
 /** Asks a VM to tell all places of a service that it holds. */
 export const gatherSchema = z.object({ service });
 /** The planner's word on a request. */
-export const verdictSchema = z.discriminatedUnion('state', [
+export const decisionSchema = z.discriminatedUnion('state', [
   z.object({ state: z.literal('granted'), id, prefill: id.optional(), decode: id }),
   z.object({ state: z.literal('bound'), id, decode: id }),
   z.object({ state: z.literal('refused'), id, retryAfterMs: ms }),
@@ -68,21 +68,21 @@
 ]);
 
 /** A verdict that comes after a wait. */
-export const pushSchema = z.object({ service: z.string(), verdict: verdictSchema });
+export const delayedDecisionSchema = z.object({ service: z.string(), verdict: decisionSchema });
 
-export type Ask = Readonly<z.infer<typeof askSchema>>;
-export type Note = Readonly<z.infer<typeof noteSchema>>;
-export type Ready = Readonly<z.infer<typeof readySchema>>;
-export type Hold = Readonly<z.infer<typeof holdSchema>>;
-export type Verdict = Readonly<z.infer<typeof verdictSchema>>;
+export type ReservationRequest = Readonly<z.infer<typeof askSchema>>;
+export type ProgressReport = Readonly<z.infer<typeof noteSchema>>;
+export type PrefillReport = Readonly<z.infer<typeof readySchema>>;
+export type HoldingsReport = Readonly<z.infer<typeof holdSchema>>;
+export type Decision = Readonly<z.infer<typeof decisionSchema>>;
 
-type DemandMessage = Omit<Ask, 'service'>;
+type DemandMessage = Omit<ReservationRequest, 'service'>;
 
 /** What a VM knows of a request that it asks a place for; the owner knows whether its caller came back. */
-export type OwnDemand = Omit<Demand, 'vm' | 'returned'>;
+export type LocalDemand = Omit<Demand, 'vm' | 'returned'>;
 
 /** From this VM's clock to the wire. */
-export function toMessage(now: number, demand: OwnDemand): DemandMessage {
+export function toWireDemand(now: number, demand: LocalDemand): DemandMessage {
   const { dueAt, lostAt, hintTokens, promptId, avoid, ...same } = demand;
   return {
     id: same.id,
@@ -101,7 +101,7 @@
 }
 
 /** From the wire to this VM's clock. */
-export function toDemand(now: number, vm: string, message: DemandMessage): Demand {
+export function fromWireDemand(now: number, vm: string, message: DemandMessage): Demand {
   return {
     id: message.id,
     vm,
@@ -121,14 +121,14 @@
 }
 
 /** A place that this VM holds, for the wire. */
-export function toHolding(
+export function toWireHolding(
   now: number,
-  demand: OwnDemand,
+  demand: LocalDemand,
   grant: Grant,
   startedAt: number | undefined,
-): Hold['holdings'][number] {
+): HoldingsReport['holdings'][number] {
   return {
-    ...toMessage(now, demand),
+    ...toWireDemand(now, demand),
     decode: grant.decode,
     ...(grant.prefill === undefined ? {} : { prefill: grant.prefill }),
     ...(startedAt === undefined ? {} : { startedAgoMs: now - startedAt }),
@@ -136,10 +136,14 @@
 }
 
 /** A place that another VM holds. */
-export function fromHolding(now: number, vm: string, entry: Hold['holdings'][number]): Holding {
+export function fromWireHolding(
+  now: number,
+  vm: string,
+  entry: HoldingsReport['holdings'][number],
+): Holding {
   const { startedAgoMs } = entry;
   return {
-    demand: toDemand(now, vm, entry),
+    demand: fromWireDemand(now, vm, entry),
     grant: { prefill: entry.prefill, decode: entry.decode },
     startedAt: startedAgoMs === undefined ? undefined : now - startedAgoMs,
   };
--- a/src/node/router/model.ts
+++ b/src/node/router/model.ts
@@ -4,12 +4,19 @@
 import { Failure, toFailure } from '../../core/failure';
 import type { Engine, Runner } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
-import type { PermitDesk } from './permits';
-import type { Places } from './places';
+import type { RoutingState } from './routingstate';
+import type { PermitController } from './permits';
+import type { ReservationClient } from './reservations';
 import type { Progress } from './progress';
-import { demandOf, mayGoOn, newProgress, refusal, timeUp, verdictOf } from './progress';
-import type { QuotaDesk } from './quotas';
+import {
+  demandOf,
+  canResume,
+  newProgress,
+  runnerFullFailure,
+  timeoutFailure,
+  callerFailure,
+} from './progress';
+import type { QuotaController } from './quotas';
 import type { Answer, RelayOutcome } from './relay';
 import { Relay } from './relay';
 import type { Runs } from './runs';
@@ -17,14 +24,14 @@
 
 /** What model requests work with. */
 export interface ModelContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly runners: RunnerClient;
-  readonly places: Places;
+  readonly reservations: ReservationClient;
   readonly runs: Runs;
-  readonly quotas: Pick<QuotaDesk, 'cover'>;
-  readonly permits: Pick<PermitDesk, 'isLimited'>;
+  readonly quotas: Pick<QuotaController, 'cover'>;
+  readonly permits: Pick<PermitController, 'isLimited'>;
   /** Takes one repeat from the budget of the service. */
-  readonly mayRepeat: (now: number, service: string) => boolean;
+  readonly takeRetry: (now: number, service: string) => boolean;
 }
 
 /** A prefill that takes longer than this is given up and done elsewhere, in milliseconds. */
@@ -41,7 +48,7 @@
 type Outcome = RelayOutcome | 'rejected' | 'unreachable';
 
 /** Drives model requests. */
-export class ModelCaller {
+export class ModelHandler {
   readonly #context: ModelContext;
 
   constructor(context: ModelContext) {
@@ -56,10 +63,10 @@
         more = await this.#attempt(exchange, engine, progress);
       }
       if (exchange.signal.aborted && !exchange.callerGone) {
-        exchange.fail(performance.now(), timeUp(progress));
+        exchange.fail(performance.now(), timeoutFailure(progress));
       }
     } catch (error) {
-      const failure = verdictOf(exchange, progress, toFailure(error));
+      const failure = callerFailure(exchange, progress, toFailure(error));
       exchange.trail.push(failure.codeName);
       exchange.fail(performance.now(), failure);
     }
@@ -67,12 +74,12 @@
 
   /** One place and what comes of it; tells whether to try again. */
   async #attempt(exchange: Exchange, engine: Engine, progress: Progress): Promise<boolean> {
-    const { places, quotas } = this.#context;
+    const { reservations: places, quotas } = this.#context;
     const { service, signal } = exchange;
     const over = await quotas.cover(exchange);
     if (over) throw over;
     const demand = demandOf(exchange, progress);
-    const grant = await places.ask(service, demand, signal);
+    const grant = await places.reserve(service, demand, signal);
     exchange.trail.push(`place ${Math.round(performance.now() - exchange.arrivedAt)}`);
     let blame: string | undefined;
     try {
@@ -85,11 +92,11 @@
         blame = prefill;
         return this.#again(exchange, progress, prefill);
       }
-      let decode = cache ? await places.bind(service, demand.id, cache.ms, signal) : grant.decode;
+      let decode = cache ? await places.assign(service, demand.id, cache.ms, signal) : grant.decode;
       let outcome = await this.#decode(exchange, engine, progress, demand.id, decode, cache);
       if (outcome === 'unreachable' && cache) {
         // Nothing was sent, and what was read still lies at the prefill runner.
-        decode = await places.bind(service, demand.id, cache.ms, signal, {
+        decode = await places.assign(service, demand.id, cache.ms, signal, {
           ...(decode === undefined ? {} : { unreachable: decode }),
         });
         outcome = await this.#decode(exchange, engine, progress, demand.id, decode, cache);
@@ -100,7 +107,11 @@
       if (outcome === 'failed') return false;
       return this.#afterDecode(exchange, progress, decode ?? '', outcome);
     } finally {
-      places.note(service, { id: demand.id, kind: 'released', ...(blame ? { blame } : {}) });
+      places.reportProgress(service, {
+        id: demand.id,
+        kind: 'released',
+        ...(blame ? { blame } : {}),
+      });
     }
   }
 
@@ -115,7 +126,7 @@
     progress: Progress,
     id: string,
   ): Promise<KeptPrompt | undefined> {
-    const { knowledge, mayRepeat, permits } = this.#context;
+    const { knowledge, takeRetry: mayRepeat, permits } = this.#context;
     const { service, signal } = exchange;
     const startedAt = performance.now();
     const runner = find(knowledge.runnersOf(startedAt, service, 'prefill'), id);
@@ -144,7 +155,7 @@
     progress.prefills += 1;
     const run = this.#context.runs.begin(now, exchange, runner);
     const limit = AbortSignal.timeout(PREFILL_LIMIT_MS);
-    const deadlineMs = exchange.leftMs(now);
+    const deadlineMs = exchange.remainingMs(now);
     try {
       const cache = await this.#context.runners.prefill({
         runner,
@@ -158,7 +169,7 @@
     } catch (error) {
       const { codeName } = toFailure(error);
       exchange.trail.push(`prefill ${runner.id} ${codeName}`);
-      if (codeName === 'answerLost') run.broke(performance.now());
+      if (codeName === 'answerLost') run.interrupted(performance.now());
       return codeName;
     }
   }
@@ -174,9 +185,9 @@
     progress.avoid.push(failed);
     const refused = this.#refused(exchange);
     if (refused) throw refused;
-    const may = progress.prefills < PREFILL_TRIES && this.#context.mayRepeat(now, exchange.service);
+    const may = progress.prefills < PREFILL_TRIES && this.#context.takeRetry(now, exchange.service);
     if (may || exchange.signal.aborted) return may;
-    throw refusal('the prefill failed');
+    throw runnerFullFailure('the prefill failed');
   }
 
   async #decode(
@@ -189,7 +200,7 @@
   ): Promise<Outcome> {
     if (decode === undefined) {
       if (cache) this.#free(cache);
-      throw refusal('no decode runner had room while the prefill was kept');
+      throw runnerFullFailure('no decode runner had room while the prefill was kept');
     }
     const { knowledge } = this.#context;
     const { service } = exchange;
@@ -207,24 +218,24 @@
     progress.sentTo.add(runner.id);
     let answer = await this.#send(exchange, progress, runner, cache);
     if (answer === 'rejected' && cache) {
-      const { places, mayRepeat } = this.#context;
+      const { reservations: places, takeRetry: mayRepeat } = this.#context;
       const failed = { shedBy: runner.id };
-      const again = await places.bind(service, id, cache.ms, exchange.signal, failed);
+      const again = await places.assign(service, id, cache.ms, exchange.signal, failed);
       if (again === runner.id && mayRepeat(performance.now(), service)) {
         // What was read has probably lapsed; the same runner can still read the prompt itself.
         answer = await this.#send(exchange, progress, runner, undefined);
       }
     }
     if (typeof answer === 'string') return answer;
-    const { places } = this.#context;
+    const { reservations: places } = this.#context;
     const relay = new Relay({
       exchange,
       engine,
       stream: progress.stream,
-      mayGoOn: () => mayGoOn(exchange, progress),
-      onNote: (note) => places.note(service, { id, ...note }),
+      canResume: () => canResume(exchange, progress),
+      onProgress: (note) => places.reportProgress(service, { id, ...note }),
     });
-    return relay.pass(answer);
+    return relay.forward(answer);
   }
 
   async #send(
@@ -236,7 +247,7 @@
     const { request, signal } = exchange;
     const now = performance.now();
     const run = this.#context.runs.begin(now, exchange, runner);
-    const deadlineMs = exchange.leftMs(now);
+    const deadlineMs = exchange.remainingMs(now);
     const afterEvent = progress.stream.lastId;
     try {
       const reply = await this.#context.runners.decode({
@@ -255,7 +266,7 @@
       // A runner that was started anew, or changed its stage, is still listed as it was. What was
       // read for it lies where it lay, so that another decode runner can take it.
       const elsewhere =
-        reply.misdirected && this.#context.mayRepeat(performance.now(), exchange.service);
+        reply.misdirected && this.#context.takeRetry(performance.now(), exchange.service);
       if (!elsewhere) return 'rejected';
       progress.sentTo.delete(runner.id);
       return 'unreachable';
@@ -263,7 +274,7 @@
       const { codeName } = toFailure(error);
       exchange.trail.push(`decode ${runner.id} ${codeName}`);
       if (codeName !== 'runnerUnreachable') {
-        run.broke(performance.now());
+        run.interrupted(performance.now());
         return 'broken';
       }
       run.notRun();
@@ -283,13 +294,13 @@
     if (signal.aborted) return false;
     progress.avoid.push(decode);
     const ran = outcome === 'broken';
-    progress.ran ||= ran;
+    progress.mayHaveRun ||= ran;
     const allowed = ran ? route.resumable && progress.stream.canContinue : true;
     const left = progress.sentTo.size < route.attempts;
     const again = allowed && left && !this.#refused(exchange);
-    if (again && this.#context.mayRepeat(performance.now(), service)) return true;
+    if (again && this.#context.takeRetry(performance.now(), service)) return true;
     if (ran) throw new Failure('runnerFailed', `${decode} broke the answer off`);
-    throw refusal(`${decode} turned it away`);
+    throw runnerFullFailure(`${decode} turned it away`);
   }
 }
 
--- a/src/node/router/orders.ts
+++ b/src/node/router/orders.ts
@@ -4,15 +4,15 @@
 
 import { toFailure } from '../../core/failure';
 import type { StageChange } from '../../core/memory/balance';
-import type { Knowledge } from './knowledge';
-import type { PlanHost } from './owner';
-import type { OrderLock, OrderRight, RunnerClient } from './types';
+import type { RoutingState } from './routingstate';
+import type { PlannerHost } from './plannerhost';
+import type { OrderLock, OrderLease, RunnerClient } from './types';
 
 /** What orders work with. */
 export interface OrderContext {
   readonly vm: string;
-  readonly knowledge: Knowledge;
-  readonly host: PlanHost;
+  readonly knowledge: RoutingState;
+  readonly planners: PlannerHost;
   readonly runners: RunnerClient;
   readonly lock: OrderLock;
   /** Whether this VM plans the service. */
@@ -32,14 +32,14 @@
 const TURN_LEASES = 2;
 
 /** Gives orders. */
-export class OrderDesk {
+export class OrderController {
   readonly #context: OrderContext;
 
   readonly #timer: NodeJS.Timeout;
 
   readonly #startedAt = performance.now();
 
-  #right: OrderRight | undefined;
+  #right: OrderLease | undefined;
 
   #busy = false;
 
@@ -57,7 +57,7 @@
   }
 
   /** The right may be lost with the copy, and another VM may have it already; its last order may be as late as any. */
-  storeCameBack(now: number): void {
+  onStoreRestored(now: number): void {
     const { fence } = this.#right ?? {};
     if (fence !== undefined) this.#context.log.warn({ fence }, 'Gave up the right to orders.');
     this.#right = undefined;
@@ -72,7 +72,7 @@
   #tick(): void {
     const now = performance.now();
     if (this.#busy || now < this.#notBefore || now - this.#startedAt < SETTLE_MS) return;
-    const { host, owns } = this.#context;
+    const { planners: host, owns } = this.#context;
     const changes = host.stageChanges(now, owns);
     if (changes.length === 0) {
       this.#giveUp();
@@ -111,10 +111,10 @@
    * does not see by its own clock that its lease has lapsed.
    */
   async #order(
-    right: OrderRight,
+    right: OrderLease,
     change: StageChange & { readonly service: string },
   ): Promise<void> {
-    const { host, runners, vm, knowledge, log } = this.#context;
+    const { planners: host, runners, vm, knowledge, log } = this.#context;
     const now = performance.now();
     const runner = knowledge.runnersOf(now, change.service).find(({ id }) => id === change.runner);
     if (!runner || this.#right !== right) return;
@@ -125,7 +125,7 @@
       return;
     }
     const outcome = await runners.order(runner, change.role, vm, right.fence);
-    host.ordered(performance.now(), change.service, change.runner, outcome);
+    host.onOrderOutcome(performance.now(), change.service, change.runner, outcome);
     log.info({ ...change, fence: right.fence, outcome }, 'Ordered a change of stage.');
   }
 
--- a/src/node/router/pace.ts
+++ b/src/node/router/pace.ts
@@ -8,7 +8,7 @@
 const PAUSE_MS = 500;
 
 /** Pace of one stream. */
-export class Pace {
+export class PaceMonitor {
   readonly #limitMs: number;
 
   #from: { readonly at: number; readonly events: number } | undefined;
@@ -21,7 +21,7 @@
   }
 
   /** Takes note of the events so far; true once, when they are slow. */
-  next(now: number, events: number): boolean {
+  observe(now: number, events: number): boolean {
     this.#from ??= { at: now, events };
     const count = events - this.#from.events;
     if (this.#told || count < EVENTS) return false;
--- a/src/node/router/plain.ts
+++ b/src/node/router/plain.ts
@@ -4,19 +4,19 @@
 import type { Runner } from '../../core/routing/types';
 import { readBody } from '../../utils/http';
 import type { Exchange } from './exchange';
-import type { ChoiceContext } from './plainchoice';
-import { PlainChoice } from './plainchoice';
-import type { QuotaDesk } from './quotas';
+import type { BalancerContext } from './plainbalancer';
+import { PlainBalancer } from './plainbalancer';
+import type { QuotaController } from './quotas';
 import type { Run, Runs } from './runs';
 import type { Reply, RunnerClient } from './types';
 
 /** What plain requests work with. */
-export interface PlainContext extends ChoiceContext {
+export interface PlainContext extends BalancerContext {
   readonly runners: RunnerClient;
   readonly runs: Runs;
-  readonly quotas: Pick<QuotaDesk, 'cover'>;
+  readonly quotas: Pick<QuotaController, 'cover'>;
   /** Takes one repeat from the budget of the service. */
-  readonly mayRepeat: (now: number, service: string) => boolean;
+  readonly takeRetry: (now: number, service: string) => boolean;
 }
 
 /** Largest answer that is read whole before it is passed on, in bytes. */
@@ -33,14 +33,14 @@
 }
 
 /** Drives plain requests. */
-export class PlainCaller {
+export class PlainHandler {
   readonly #context: PlainContext;
 
-  readonly #choice: PlainChoice;
+  readonly #choice: PlainBalancer;
 
   constructor(context: PlainContext) {
     this.#context = context;
-    this.#choice = new PlainChoice(context);
+    this.#choice = new PlainBalancer(context);
   }
 
   async run(exchange: Exchange): Promise<void> {
@@ -58,7 +58,7 @@
       const runner = await this.#choice.choose(now, exchange, tried);
       if (runner instanceof Failure) last = runner;
       if (!runner || runner instanceof Failure || exchange.signal.aborted) break;
-      if (sent > 0 && !this.#context.mayRepeat(now, service)) break;
+      if (sent > 0 && !this.#context.takeRetry(now, service)) break;
       tried.push(runner.id);
       try {
         const answer = await this.#send(exchange, runner);
@@ -66,7 +66,7 @@
         const again =
           reply.status >= SERVER_ERROR && route.kind === 'repeatable' && sent + 1 < route.attempts;
         exchange.trail.push(`${runner.id} ${reply.status}`);
-        if (!again || !this.#choice.hasAnother(performance.now(), service, tried)) {
+        if (!again || !this.#choice.hasAlternative(performance.now(), service, tried)) {
           pass(exchange, answer);
           return;
         }
@@ -98,7 +98,7 @@
     const records = health(exchange.service);
     const now = performance.now();
     records.recordDispatch(now, runner.id);
-    this.#choice.begin(runner);
+    this.#choice.requestStarted(runner);
     try {
       const run = runs.begin(now, exchange, runner);
       const answer = await exchangeWith(exchange, runner, runners, run);
@@ -110,13 +110,13 @@
       else records.recordFailure(performance.now(), runner.id);
       throw error;
     } finally {
-      this.#choice.end(runner);
+      this.#choice.requestEnded(runner);
     }
   }
 }
 
 function pass(exchange: Exchange, { reply, body }: Answer): void {
-  exchange.head(reply.status, withLength(reply.headers, body.length));
+  exchange.writeHead(reply.status, withLength(reply.headers, body.length));
   exchange.end(body);
 }
 
@@ -133,7 +133,7 @@
     const { retryAfterMs = RETRY_MS } = last;
     return new Failure(last.codeName, last.message, { retryAfterMs });
   }
-  const timedOut = exchange.leftMs(performance.now()) <= 0;
+  const timedOut = exchange.remainingMs(performance.now()) <= 0;
   if (timedOut) return new Failure('timedOut', 'the runner did not answer in time');
   return last.code.notRun ? new Failure('runnerFailed', last.message) : last;
 }
@@ -144,18 +144,18 @@
   runners: RunnerClient,
   run: Run,
 ): Promise<Answer> {
-  const deadlineMs = exchange.leftMs(performance.now());
+  const deadlineMs = exchange.remainingMs(performance.now());
   const { request, signal } = exchange;
   const onReply = (reply: Reply): void => run.replied(performance.now(), reply);
   const dispatch = { runner, request, deadlineMs, signal, onReply };
   const reply = await runners.send(dispatch).catch((error) => {
     const { codeName } = toFailure(error);
-    if (codeName === 'runnerFailed') run.broke(performance.now());
+    if (codeName === 'runnerFailed') run.interrupted(performance.now());
     if (codeName === 'runnerUnreachable') run.notRun();
     throw error;
   });
   const body = await readBody(reply.body, ANSWER_BYTES).catch((error: Error) => {
-    if (reply.body.errored) run.broke(performance.now());
+    if (reply.body.errored) run.interrupted(performance.now());
     throw new Failure('runnerFailed', `${runner.id}: ${error.message}`);
   });
   if (reply.notRun) run.notRun();
--- a/src/node/router/plainchoice.ts
+++ b/src/node/router/plainbalancer.ts
@@ -6,14 +6,17 @@
 import { Failure } from '../../core/failure';
 import type { Runner } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
-import type { PermitDesk } from './permits';
+import type { RoutingState } from './routingstate';
+import type { PermitController } from './permits';
 
 /** What a choice works with. */
-export interface ChoiceContext {
-  readonly knowledge: Knowledge;
+export interface BalancerContext {
+  readonly knowledge: RoutingState;
   readonly health: (service: string) => RunnerHealth;
-  readonly permits: Pick<PermitDesk, 'isLimited' | 'mayTake' | 'isTrialDue' | 'ask' | 'askTrial'>;
+  readonly permits: Pick<
+    PermitController,
+    'isLimited' | 'mayTake' | 'isTrialDue' | 'ask' | 'askTrial'
+  >;
   readonly domain: string;
 }
 
@@ -25,27 +28,27 @@
 const WAIT_PART = 0.5;
 
 /** Requests in flight by runner, and the choice by them. */
-export class PlainChoice {
-  readonly #context: ChoiceContext;
+export class PlainBalancer {
+  readonly #context: BalancerContext;
 
   readonly #busy = new Map<string, number>();
 
-  constructor(context: ChoiceContext) {
+  constructor(context: BalancerContext) {
     this.#context = context;
   }
 
-  begin({ id }: Runner): void {
+  requestStarted({ id }: Runner): void {
     this.#busy.set(id, (this.#busy.get(id) ?? 0) + 1);
   }
 
-  end({ id }: Runner): void {
+  requestEnded({ id }: Runner): void {
     const left = (this.#busy.get(id) ?? 1) - 1;
     if (left > 0) this.#busy.set(id, left);
     else this.#busy.delete(id);
   }
 
   /** Whether a runner is left that may get a request, as far as this VM knows. */
-  hasAnother(now: number, service: string, tried: readonly string[]): boolean {
+  hasAlternative(now: number, service: string, tried: readonly string[]): boolean {
     return this.#able(now, service, tried).some((runner) => this.#mayTake(now, runner));
   }
 
--- a/src/node/router/owner.ts
+++ b/src/node/router/plannerhost.ts
@@ -8,29 +8,35 @@
 import { planPolicy } from '../../core/memory/policy';
 import type { PlanAction, PlanEvent } from '../../core/memory/types';
 import { Failure, toFailure } from '../../core/failure';
-import { PauseWatch } from '../../core/pause';
-import type { Ration } from '../../core/ratelimits/types';
+import { PauseDetector } from '../../core/pause';
+import type { RateAllowance } from '../../core/ratelimits/types';
 import type { Engine } from '../../core/routing/types';
-import type { Knowledge } from './knowledge';
-import type { Ask, Hold, Note, Ready, Verdict } from './plans';
-import { fromHolding, toDemand } from './plans';
+import type { RoutingState } from './routingstate';
+import type {
+  ReservationRequest,
+  HoldingsReport,
+  ProgressReport,
+  PrefillReport,
+  Decision,
+} from './messages';
+import { fromWireHolding, fromWireDemand } from './messages';
 import type { OrderOutcome, RunnerClient } from './types';
 
 /** How a verdict gets back to the VM that asked. */
-export type VerdictSink = (service: string, verdict: Verdict) => void;
+export type DecisionCallback = (service: string, verdict: Decision) => void;
 
 /** What planners need of the rest of their VM. */
-export interface PlanSurroundings {
+export interface PlannerHostContext {
   /** Called when what is in place of a service is unknown, to have all VMs tell what they hold. */
-  onUnsure(service: string): void;
+  onIncompleteState(service: string): void;
   /** What the limited runners of a service may still be sent. */
-  rationOf(service: string): Ration;
+  rateAllowanceOf(service: string): RateAllowance;
 }
 
 interface Plan {
   readonly planner: Planner;
   /** Where verdicts of waiting requests go, by request. */
-  readonly sinks: Map<string, VerdictSink>;
+  readonly sinks: Map<string, DecisionCallback>;
   /** When each VM was last heard of about this service. */
   readonly heard: Map<string, number>;
   /** When any VM was last heard of about it. */
@@ -53,28 +59,28 @@
 const SILENT_MS = 7000;
 
 /** All planners of this VM. */
-export class PlanHost {
-  readonly #knowledge: Knowledge;
+export class PlannerHost {
+  readonly #knowledge: RoutingState;
 
   readonly #runners: RunnerClient;
 
   readonly #log: Logger;
 
-  readonly #surroundings: PlanSurroundings;
+  readonly #surroundings: PlannerHostContext;
 
   readonly #plans = new Map<string, Plan>();
 
   readonly #timer: NodeJS.Timeout;
 
-  readonly #pauses = new PauseWatch(WAKE_MS);
+  readonly #pauses = new PauseDetector(WAKE_MS);
 
   #leaving = false;
 
   constructor(
-    knowledge: Knowledge,
+    knowledge: RoutingState,
     runners: RunnerClient,
     log: Logger,
-    surroundings: PlanSurroundings,
+    surroundings: PlannerHostContext,
   ) {
     this.#knowledge = knowledge;
     this.#runners = runners;
@@ -84,7 +90,7 @@
   }
 
   /** Takes no more requests; those that wait are told to ask again, which brings them to the next owner. */
-  leave(): void {
+  startDraining(): void {
     this.#leaving = true;
     for (const [service, { sinks }] of this.#plans) {
       for (const [id, sink] of sinks) sink(service, { state: 'waiting', id });
@@ -96,20 +102,20 @@
     clearInterval(this.#timer);
   }
 
-  ask(now: number, vm: string, ask: Ask, sink: VerdictSink): Verdict {
+  reserve(now: number, vm: string, ask: ReservationRequest, sink: DecisionCallback): Decision {
     if (this.#leaving) throw new Failure('noOwner', 'this VM is leaving');
     const plan = this.#planOf(now, ask.service);
     this.#hear(now, ask.service, plan, vm);
     plan.sinks.set(ask.id, sink);
     const verdicts = this.#handle(now, ask.service, plan, {
       kind: 'asked',
-      demand: toDemand(now, vm, ask),
+      demand: fromWireDemand(now, vm, ask),
     });
     return verdicts.get(ask.id) ?? { state: 'waiting', id: ask.id };
   }
 
   /** A prefill is done: binds its request to a decode runner, now or when one has room. */
-  ready(now: number, vm: string, ready: Ready, sink: VerdictSink): Verdict {
+  onPrefilled(now: number, vm: string, ready: PrefillReport, sink: DecisionCallback): Decision {
     const { service, id, ms, unreachable, shedBy } = ready;
     const plan = this.#planOf(now, service);
     this.#hear(now, service, plan, vm);
@@ -124,7 +130,7 @@
     return verdicts.get(id) ?? { state: 'waiting', id };
   }
 
-  note(now: number, vm: string, note: Note): void {
+  onProgress(now: number, vm: string, note: ProgressReport): void {
     const plan = this.#planOf(now, note.service);
     this.#hear(now, note.service, plan, vm);
     const { id } = note;
@@ -143,24 +149,24 @@
     this.#handle(now, note.service, plan, event);
   }
 
-  hold(now: number, vm: string, { service, holdings }: Hold): void {
+  onHoldings(now: number, vm: string, { service, holdings }: HoldingsReport): void {
     const plan = this.#planOf(now, service);
     this.#hear(now, service, plan, vm);
     this.#handle(now, service, plan, {
       kind: 'told',
       vm,
-      holdings: holdings.map((entry) => fromHolding(now, vm, entry)),
+      holdings: holdings.map((entry) => fromWireHolding(now, vm, entry)),
     });
   }
 
   /** What the planners of this VM go by, for operators. */
-  beliefs(now: number): readonly unknown[] {
+  snapshot(now: number): readonly unknown[] {
     return [...this.#plans].map(([service, { planner, heard }]) => ({
       service,
       waiting: planner.waiting,
       placed: planner.placed,
       ...planner.load(now),
-      distrusted: planner.distrusted(now),
+      distrusted: planner.ejected(now),
       heardAgoMs: Object.fromEntries(
         [...heard].map(([vm, at]) => [vm, Math.round(now - at)] as const),
       ),
@@ -183,12 +189,12 @@
   }
 
   /** How an order was taken. */
-  ordered(now: number, service: string, runner: string, outcome: OrderOutcome): void {
-    this.#plans.get(service)?.planner.ordered(now, runner, outcome === 'accepted');
+  onOrderOutcome(now: number, service: string, runner: string, outcome: OrderOutcome): void {
+    this.#plans.get(service)?.planner.recordOrder(now, runner, outcome === 'accepted');
   }
 
   /** A VM that is dead took its requests with it. */
-  vmLost(now: number, vm: string): void {
+  onVmLost(now: number, vm: string): void {
     for (const [service, plan] of this.#plans) {
       if (plan.heard.delete(vm)) this.#handle(now, service, plan, { kind: 'vmLost', vm });
     }
@@ -213,15 +219,15 @@
 
   /** Holds back for a moment, and has the VMs tell at once: left to their period they took two seconds, in which full runners looked free or free ones full. */
   #beCautious(now: number, service: string, { planner }: Plan): void {
-    planner.startCautiously(now);
-    this.#surroundings.onUnsure(service);
+    planner.startWarmUp(now);
+    this.#surroundings.onIncompleteState(service);
   }
 
   #planOf(now: number, service: string): Plan {
     const known = this.#plans.get(service);
     if (known) return known;
     const plan: Plan = {
-      planner: new Planner(planPolicy, undefined, this.#surroundings.rationOf(service)),
+      planner: new Planner(planPolicy, undefined, this.#surroundings.rateAllowanceOf(service)),
       sinks: new Map(),
       heard: new Map(),
       heardAt: now,
@@ -241,9 +247,9 @@
     service: string,
     plan: Plan,
     event: PlanEvent,
-  ): ReadonlyMap<string, Verdict> {
+  ): ReadonlyMap<string, Decision> {
     const engine = this.#knowledge.table?.service(service)?.engine;
-    const verdicts = new Map<string, Verdict>();
+    const verdicts = new Map<string, Decision>();
     if (!engine) return verdicts;
     const fresh = this.#refreshRunners(now, service, engine, plan);
     fresh.forEach((action) => {
@@ -264,7 +270,7 @@
 
   /** A runner gets no work for a while: one line with the event that was held against it. */
   #logDistrust(service: string, { planner }: Plan, event: PlanEvent): void {
-    for (const runner of planner.takeDistrusted()) {
+    for (const runner of planner.takeEjected()) {
       const request = 'id' in event ? event.id : undefined;
       this.#log.info({ request, service, runner, event: event.kind }, 'Distrusted a runner.');
     }
@@ -286,12 +292,12 @@
     return record.planner.handle(now, { kind: 'runners', engine, runners });
   }
 
-  #decide(now: number, service: string, { planner }: Plan, action: PlanAction): Verdict {
+  #decide(now: number, service: string, { planner }: Plan, action: PlanAction): Decision {
     const { id } = action;
     const load = planner.load(now);
     const seen = { waiting: planner.waiting, placed: planner.placed, load };
     return match(action)
-      .returnType<Verdict>()
+      .returnType<Decision>()
       .with({ kind: 'grant' }, ({ grant }) => {
         this.#log.info({ request: id, service, ...grant, ...seen }, 'Gave a place.');
         const { prefill, decode } = grant;
--- a/src/node/router/progress.ts
+++ b/src/node/router/progress.ts
@@ -2,7 +2,7 @@
 
 import { Failure } from '../../core/failure';
 import type { Exchange } from './exchange';
-import type { OwnDemand } from './plans';
+import type { LocalDemand } from './messages';
 import { AnswerStream } from '../../core/stream/answer';
 
 /** Size assumed of a request that tells none, in tokens. */
@@ -18,9 +18,9 @@
   readonly sentTo: Set<string>;
   readonly avoid: string[];
   prefills: number;
-  places: number;
+  reservations: number;
   /** Whether a decode runner may have run it. */
-  ran: boolean;
+  mayHaveRun: boolean;
 }
 
 /** State of a request that has just come in. */
@@ -30,20 +30,20 @@
     sentTo: new Set(),
     avoid: [],
     prefills: 0,
-    places: 0,
-    ran: false,
+    reservations: 0,
+    mayHaveRun: false,
   };
 }
 
 /** What the owner is asked for; each place has an id of its own. */
-export function demandOf(exchange: Exchange, progress: Progress): OwnDemand {
+export function demandOf(exchange: Exchange, progress: Progress): LocalDemand {
   const { request, route, arrivedAt } = exchange;
   const { usage } = request;
   const resuming = progress.stream.events > 0;
-  progress.places += 1;
+  progress.reservations += 1;
   const patience = resuming ? performance.now() : arrivedAt;
   return {
-    id: `${request.id}/${progress.places}`,
+    id: `${request.id}/${progress.reservations}`,
     customer: request.customer,
     rank: exchange.rank,
     promptId: usage?.promptId,
@@ -52,31 +52,31 @@
     hintTokens: usage?.hintTokens,
     dueAt: resuming ? performance.now() : arrivedAt + route.aimMs,
     gapMs: route.gapMs,
-    lostAt: Math.min(patience + route.patienceMs, exchange.endAt),
+    lostAt: Math.min(patience + route.patienceMs, exchange.deadlineAt),
     resuming,
     avoid: [...progress.avoid],
   };
 }
 
 /** A request that no decode runner took. */
-export function refusal(detail: string): Failure {
+export function runnerFullFailure(detail: string): Failure {
   return new Failure('runnerFull', detail, { retryAfterMs: RETRY_MS });
 }
 
 /** What the caller is told. A refusal of a later attempt says that nothing ran, which an earlier one may have. */
-export function verdictOf({ signal }: Exchange, progress: Progress, failure: Failure): Failure {
-  if (signal.aborted) return timeUp(progress);
-  const untrue = progress.ran && failure.code.notRun;
+export function callerFailure({ signal }: Exchange, progress: Progress, failure: Failure): Failure {
+  if (signal.aborted) return timeoutFailure(progress);
+  const untrue = progress.mayHaveRun && failure.code.notRun;
   return untrue ? new Failure('runnerFailed', failure.message) : failure;
 }
 
 /** Whether a request that may run again has another decode runner left. */
-export function mayGoOn({ route }: Exchange, { sentTo, stream }: Progress): boolean {
+export function canResume({ route }: Exchange, { sentTo, stream }: Progress): boolean {
   return route.resumable && stream.canContinue && sentTo.size < route.attempts;
 }
 
 /** What a caller is told whose time is up. */
-export function timeUp({ sentTo }: Progress): Failure {
+export function timeoutFailure({ sentTo }: Progress): Failure {
   return sentTo.size === 0
     ? new Failure('deadlineUnreachable', 'no place in time', { retryAfterMs: RETRY_MS })
     : new Failure('timedOut', 'the answer is not complete in time');
--- a/src/node/router/quarantine.ts
+++ b/src/node/router/quarantine.ts
@@ -7,7 +7,7 @@
 import type { Logger } from 'pino';
 
 import { Failure, toFailure } from '../../core/failure';
-import { KEPT_MS, Quarantine } from '../../core/quarantine/quarantine';
+import { TTL_MS, Quarantine } from '../../core/quarantine/quarantine';
 import type { Suspect } from '../../core/quarantine/types';
 import type { Metrics } from '../metrics';
 import type { SuspectArchive } from './types';
@@ -20,9 +20,9 @@
   readonly metrics: Metrics;
   readonly log: Logger;
   /** To be told to other VMs. */
-  readonly onNews: (suspects: readonly Suspect[]) => void;
+  readonly onChanges: (suspects: readonly Suspect[]) => void;
   /** What is refused has changed. */
-  readonly onRefused: () => void;
+  readonly onRefusedChange: () => void;
 }
 
 /** Period of looking at what has run out and what is to be saved, in milliseconds. */
@@ -35,7 +35,7 @@
 const SAVE_AGAIN_MS = 1000;
 
 /** Requests that are kept from the runners, at one VM. */
-export class QuarantineDesk {
+export class QuarantineController {
   readonly #context: QuarantineContext;
 
   readonly #quarantine = new Quarantine();
@@ -67,25 +67,25 @@
   refusal(now: number, fingerprint: string): Failure | undefined {
     const retryAfterMs = this.#quarantine.refusedForMs(now, fingerprint);
     if (retryAfterMs === undefined) return undefined;
-    const ends = this.#quarantine.endsOf(fingerprint);
+    const ends = this.#quarantine.crashCount(fingerprint);
     return new Failure('quarantined', `${ends} runners ended under this request`, { retryAfterMs });
   }
 
   /** A runner ended under a request. Gives the runners that are known to have. */
-  ended(now: number, fingerprint: string, runner: string): number {
-    this.#changed(now, this.#quarantine.ended(now, fingerprint, runner), 'own');
-    return this.#quarantine.endsOf(fingerprint);
+  crashed(now: number, fingerprint: string, runner: string): number {
+    this.#changed(now, this.#quarantine.recordCrash(now, fingerprint, runner), 'own');
+    return this.#quarantine.crashCount(fingerprint);
   }
 
   /** A runner ran a request to a whole answer. */
   completed(now: number, fingerprint: string): void {
-    this.#changed(now, this.#quarantine.completed(now, fingerprint), 'own');
+    this.#changed(now, this.#quarantine.recordCompletion(now, fingerprint), 'own');
   }
 
   /** @param source address of the VM that tells, or `store` */
   learn(now: number, suspects: readonly Suspect[], source: string): void {
     for (const suspect of suspects) {
-      this.#changed(now, this.#quarantine.learn(now, suspect), source);
+      this.#changed(now, this.#quarantine.apply(now, suspect), source);
     }
   }
 
@@ -93,7 +93,7 @@
    * The store tells of requests.
    * @param isAll whether it holds no others: what is missing was lost with it, and is saved again
    */
-  stored(now: number, suspects: readonly Suspect[], isAll: boolean): void {
+  learnStored(now: number, suspects: readonly Suspect[], isAll: boolean): void {
     if (isAll) this.#stored = new Set();
     for (const { fingerprint } of suspects) this.#stored.add(fingerprint);
     this.learn(now, suspects, 'store');
@@ -110,7 +110,7 @@
   }
 
   /** What is refused, for operators. */
-  beliefs(now: number): readonly unknown[] {
+  snapshot(now: number): readonly unknown[] {
     return this.#quarantine.refused(now).map(({ fingerprint, ends }) => ({
       fingerprint,
       runners: ends.map(({ runner }) => runner),
@@ -136,7 +136,7 @@
   #tellAll(): void {
     const suspects = [...this.#fresh.values()];
     this.#fresh.clear();
-    this.#context.onNews(suspects);
+    this.#context.onChanges(suspects);
   }
 
   #look(now: number): void {
@@ -150,12 +150,12 @@
     const refused = this.#quarantine.refused(now);
     const before = this.#refused;
     this.#refused = new Set(refused.map(({ fingerprint }) => fingerprint));
-    const { log, metrics, onRefused } = this.#context;
+    const { log, metrics, onRefusedChange: onRefused } = this.#context;
     const begun = refused.filter(({ fingerprint }) => !before.has(fingerprint));
     const over = [...before].filter((fingerprint) => !this.#refused.has(fingerprint));
     for (const { fingerprint, ends } of begun) {
       const runners = ends.map(({ runner }) => runner);
-      log.warn({ fingerprint, runners, source, forMs: KEPT_MS }, 'Refuses a request.');
+      log.warn({ fingerprint, runners, source, forMs: TTL_MS }, 'Refuses a request.');
     }
     for (const fingerprint of over) log.info({ fingerprint, source }, 'Takes a request again.');
     if (begun.length + over.length === 0) return;
@@ -181,7 +181,7 @@
     this.#saveAt.set(fingerprint, now + SAVE_AGAIN_MS);
     const { archive, log } = this.#context;
     archive
-      .save(suspect, KEPT_MS)
+      .save(suspect, TTL_MS)
       .then(() => {
         log.info({ fingerprint }, 'Saved a request that is refused.');
         this.#stored.add(fingerprint);
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -7,7 +7,7 @@
 import { sizeOf } from '../../core/customers/size';
 import type { Quota } from '../../core/customers/types';
 import { Failure } from '../../core/failure';
-import type { QuotaBounds, QuotaVerdict } from '../../core/quotas/account';
+import type { QuotaBounds, QuotaDecision } from '../../core/quotas/account';
 import type { QuotaKey } from '../../core/quotas/accounts';
 import { QuotaAccounts } from '../../core/quotas/accounts';
 import { LogRateLimiter } from '../loglimiter';
@@ -15,13 +15,13 @@
 import { AccountOwners } from './accountowners';
 import type { Exchange } from './exchange';
 import type { RouterFleet } from './fleet';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 
 /** What quotas work with. */
 export interface QuotaContext {
   readonly vm: string;
   readonly bounds: QuotaBounds;
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly fleet: RouterFleet;
   readonly metrics: Metrics;
   readonly log: Logger;
@@ -58,7 +58,7 @@
 }
 
 /** Quotas at one VM. */
-export class QuotaDesk {
+export class QuotaController {
   readonly #context: QuotaContext;
 
   readonly #accounts: QuotaAccounts;
@@ -93,7 +93,7 @@
   async cover(exchange: Exchange): Promise<Failure | undefined> {
     const { request, charge } = exchange;
     const quota = this.#quotaOf(request.customer);
-    if (request.customer === undefined || !quota || charge.covered) return undefined;
+    if (request.customer === undefined || !quota || charge.isCovered) return undefined;
     const size = sizeOf(quota, request.usage);
     const version = this.#context.knowledge.configVersion;
     const verdict = await this.#ask({ customer: request.customer, quota, version, size });
@@ -107,12 +107,12 @@
     const { customer } = request;
     const size = charge.settle();
     if (customer === undefined || size === 0) return;
-    const isTold = this.#owners.tell(groupOf(customer), 'quotaBack', { customer, size });
-    if (!isTold) this.#accounts.giveBack(keyOf(customer), size);
+    const isTold = this.#owners.notify(groupOf(customer), 'quotaBack', { customer, size });
+    if (!isTold) this.#accounts.refund(keyOf(customer), size);
   }
 
   /** A VM asks for a run. */
-  onAsk(now: number, vm: string, params: unknown): QuotaVerdict {
+  onAsk(now: number, vm: string, params: unknown): QuotaDecision {
     return this.#take(now, vm, askSchema.parse(params));
   }
 
@@ -120,19 +120,19 @@
     this.#owners.onJoin(now, vm, params);
   }
 
-  onBack(params: unknown): void {
+  onRefund(params: unknown): void {
     const { customer, size } = backSchema.parse(params);
-    this.#accounts.giveBack(keyOf(customer), size);
+    this.#accounts.refund(keyOf(customer), size);
   }
 
   /** Members or customers changed. */
-  changed(now: number): void {
-    this.#owners.changed(now);
+  refresh(now: number): void {
+    this.#owners.refresh(now);
   }
 
   /** What this VM goes by, for operators. */
-  beliefs(): Readonly<Record<string, unknown>> {
-    return { accounts: this.#accounts.size, owners: this.#owners.beliefs() };
+  snapshot(): Readonly<Record<string, unknown>> {
+    return { accounts: this.#accounts.size, owners: this.#owners.snapshot() };
   }
 
   get #hasQuotas(): boolean {
@@ -146,7 +146,7 @@
   }
 
   /** The word of the first owner that answers; with none, this VM gives out its own part. */
-  async #ask(ask: Ask): Promise<QuotaVerdict> {
+  async #ask(ask: Ask): Promise<QuotaDecision> {
     const verdict = await this.#owners.ask(groupOf(ask.customer), 'quota', ask, (answer) =>
       verdictSchema.parse(answer),
     );
@@ -154,7 +154,7 @@
   }
 
   /** The quota is that of the newer configuration of the two VMs. */
-  #take(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaVerdict {
+  #take(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaDecision {
     const isBehind = version > this.#context.knowledge.configVersion;
     const valid = isBehind ? quota : this.#quotaOf(customer);
     if (!valid) return { granted: true, waitMs: 0 };
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -11,7 +11,7 @@
 import type { Runner } from '../../core/routing/types';
 import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { Reply } from './types';
 
 /** A limit that changed as this VM sees it. */
@@ -23,11 +23,11 @@
 
 /** What rate limits work with. */
 export interface RateLimitContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly metrics: Metrics;
   readonly log: Logger;
   /** To be told to other VMs and acted upon; with none where a limit may be over with its runner. */
-  readonly onNews: (changes: readonly RateChange[]) => void;
+  readonly onChanges: (changes: readonly RateChange[]) => void;
 }
 
 /** Answers below this status are what a runner in good order gives. */
@@ -44,7 +44,7 @@
 const GATHER_MS = 20;
 
 /** Rate limits at one VM. */
-export class RateLimitDesk {
+export class RateLimitController {
   readonly #context: RateLimitContext;
 
   readonly #rates = new RunnerRates();
@@ -93,7 +93,7 @@
    * The limits in force and those that ended a while ago, of the runners that are listed, for
    * another VM. VMs forget the others one after the other; told of them, none ever would.
    */
-  told(now: number): readonly RunnerRate[] {
+  shared(now: number): readonly RunnerRate[] {
     return this.#listedOf(now, this.#rates.all);
   }
 
@@ -114,13 +114,13 @@
     const { rateNotice: notice } = reply;
     if (notice.kind === 'unreadable') this.#noteUnreadable(now, runner, notice.text);
     const provesEnd = notice.kind === 'none' && isInOrder(runner, reply);
-    const news = this.#rates.saw(now, runner, { sentAt, notice, provesEnd });
+    const news = this.#rates.observe(now, runner, { sentAt, notice, provesEnd });
     if (news) this.#changed(now, news, OWN);
   }
 
   /** @param source address or name of the VM that tells */
   learn(now: number, rates: readonly RunnerRate[], source: string): void {
-    for (const rate of rates) if (this.#rates.learn(now, rate)) this.#changed(now, rate, source);
+    for (const rate of rates) if (this.#rates.apply(now, rate)) this.#changed(now, rate, source);
   }
 
   #changed(now: number, rate: RunnerRate, source: string): void {
@@ -137,7 +137,7 @@
   #tellAll(): void {
     const changes = [...this.#fresh.values()];
     this.#fresh.clear();
-    this.#context.onNews(changes);
+    this.#context.onChanges(changes);
   }
 
   #noteUnreadable(now: number, { id: runner, service }: Runner, text: string): void {
@@ -160,7 +160,7 @@
   }
 
   #prune(now: number): void {
-    const { metrics, onNews } = this.#context;
+    const { metrics, onChanges: onNews } = this.#context;
     if (this.#rates.all.length === 0) return;
     this.#rates.prune(now, this.#listed(now));
     metrics.gauge('ratelimits.runners', this.#rates.limited.length);
--- a/src/node/router/relay.ts
+++ b/src/node/router/relay.ts
@@ -4,7 +4,7 @@
 import type { AnswerStream } from '../../core/stream/answer';
 import { readBody } from '../../utils/http';
 import type { Exchange } from './exchange';
-import { Pace } from './pace';
+import { PaceMonitor } from './pace';
 import type { Run, StreamPart } from './runs';
 import type { Reply } from './types';
 
@@ -21,7 +21,7 @@
 }
 
 /** How far a run has come. */
-export type RelayNote =
+export type RelayProgress =
   | { readonly kind: 'started' }
   | { readonly kind: 'slow' }
   | { readonly kind: 'finished'; readonly outputTokens: number };
@@ -35,8 +35,8 @@
   readonly engine: Engine;
   readonly stream: AnswerStream;
   /** Whether another run may follow one that failed. */
-  readonly mayGoOn: () => boolean;
-  readonly onNote: (note: RelayNote) => void;
+  readonly canResume: () => boolean;
+  readonly onProgress: (note: RelayProgress) => void;
 }
 
 /** Relays the runs of one request. */
@@ -47,7 +47,7 @@
     this.#context = context;
   }
 
-  async pass(answer: Answer): Promise<RelayOutcome> {
+  async forward(answer: Answer): Promise<RelayOutcome> {
     const { reply } = answer;
     if (!reply.genuine) {
       reply.body.destroy();
@@ -62,26 +62,26 @@
 
   /** Handles an answer that cannot be part of the stream; it is passed on only if nothing was before. */
   async #passWhole({ reply, run }: Answer, afterEvent: string | undefined): Promise<RelayOutcome> {
-    const { exchange, stream, mayGoOn } = this.#context;
+    const { exchange, stream, canResume: mayGoOn } = this.#context;
     const body = await readBody(reply.body, ANSWER_BYTES).catch(() => undefined);
     const part = partOf(reply, afterEvent, stream);
     if (!body || !reply.body.complete) {
-      run.broke(performance.now(), part);
+      run.interrupted(performance.now(), part);
       return 'broken';
     }
     run.completed(performance.now());
-    if (stream.fault) run.strayed(part, stream.fault);
+    if (stream.fault) run.diverged(part, stream.fault);
     const failed = reply.status >= SERVER_ERROR;
     if (exchange.headSent || (failed && mayGoOn())) return 'broken';
-    exchange.head(reply.status, reply.headers);
+    exchange.writeHead(reply.status, reply.headers);
     exchange.end(body);
     return failed ? 'failed' : 'done';
   }
 
   /** Passes on whole events only, so that another run can continue after a break within one. */
   async #passEvents({ reply, run }: Answer, afterEvent: string | undefined): Promise<RelayOutcome> {
-    const { exchange, engine, stream, onNote } = this.#context;
-    const pace = new Pace(exchange.route.gapMs);
+    const { exchange, engine, stream, onProgress: onNote } = this.#context;
+    const pace = new PaceMonitor(exchange.route.gapMs);
     let started = false;
     let broke = false;
     const chunks = untilBreak(reply.body, () => {
@@ -93,7 +93,7 @@
         if (!started) onNote({ kind: 'started' });
         started = true;
         run.answered(performance.now());
-        if (pace.next(performance.now(), stream.events)) onNote({ kind: 'slow' });
+        if (pace.observe(performance.now(), stream.events)) onNote({ kind: 'slow' });
         this.#beginStream(reply);
         await exchange.write(events);
       }
@@ -101,8 +101,8 @@
     }
     stream.end(!broke && reply.body.complete);
     const part = partOf(reply, afterEvent, stream);
-    if (stream.fault === 'cut' || stream.fault === 'torn') run.broke(performance.now(), part);
-    else if (stream.fault) run.strayed(part, stream.fault);
+    if (stream.fault === 'cut' || stream.fault === 'torn') run.interrupted(performance.now(), part);
+    else if (stream.fault) run.diverged(part, stream.fault);
     if (stream.fault) return 'broken';
     run.completed(performance.now(), part);
     this.#beginStream(reply);
@@ -115,7 +115,7 @@
   #beginStream({ status, headers }: Reply): void {
     const { exchange } = this.#context;
     if (exchange.headSent) return;
-    exchange.head(status, exchange.route.resumable ? withoutLength(headers) : headers);
+    exchange.writeHead(status, exchange.route.resumable ? withoutLength(headers) : headers);
   }
 }
 
--- a/src/node/router/places.ts
+++ b/src/node/router/reservations.ts
@@ -5,9 +5,9 @@
 import { Failure, toFailure } from '../../core/failure';
 import type { Grant } from '../../core/memory/types';
 import type { RouterFleet } from './fleet';
-import type { PlanHost, VerdictSink } from './owner';
-import type { Hold, Note, OwnDemand, Verdict } from './plans';
-import { toHolding, toMessage, verdictSchema } from './plans';
+import type { PlannerHost, DecisionCallback } from './plannerhost';
+import type { HoldingsReport, ProgressReport, LocalDemand, Decision } from './messages';
+import { toWireHolding, toWireDemand, decisionSchema } from './messages';
 
 /** A VM that plans a service. */
 export interface Owner {
@@ -17,7 +17,7 @@
 
 interface Held {
   readonly service: string;
-  readonly demand: OwnDemand;
+  readonly demand: LocalDemand;
   grant: Grant;
   startedAt: number | undefined;
 }
@@ -34,18 +34,18 @@
 const HOLD_MS = 2000;
 
 /** Places of this VM. */
-export class Places {
+export class ReservationClient {
   readonly #vm: string;
 
   readonly #fleet: RouterFleet;
 
-  readonly #host: PlanHost;
+  readonly #host: PlannerHost;
 
   readonly #log: Logger;
 
   readonly #held = new Map<string, Held>();
 
-  readonly #waiting = new Map<string, (verdict: Verdict) => void>();
+  readonly #waiting = new Map<string, (verdict: Decision) => void>();
 
   /** Who was told of each service's places last. */
   readonly #told = new Map<string, string>();
@@ -55,7 +55,7 @@
 
   readonly #timer: NodeJS.Timeout;
 
-  constructor(vm: string, fleet: RouterFleet, host: PlanHost, log: Logger) {
+  constructor(vm: string, fleet: RouterFleet, host: PlannerHost, log: Logger) {
     this.#vm = vm;
     this.#fleet = fleet;
     this.#host = host;
@@ -68,7 +68,7 @@
   }
 
   /** Waits for a place. Rejects with a `Failure` that says when to come back. */
-  async ask(service: string, demand: OwnDemand, signal: AbortSignal): Promise<Grant> {
+  async reserve(service: string, demand: LocalDemand, signal: AbortSignal): Promise<Grant> {
     let silent = 0;
     while (!signal.aborted && silent < OWNERS_ASKED) {
       const now = performance.now();
@@ -83,11 +83,11 @@
       }
       if (!verdict) {
         silent += 1;
-        this.#fleet.shun(performance.now(), owner.vm);
+        this.#fleet.deprioritize(performance.now(), owner.vm);
         this.#log.warn({ request: demand.id, owner: owner.vm }, 'An owner did not answer.');
       }
     }
-    this.note(service, { id: demand.id, kind: 'released' });
+    this.reportProgress(service, { id: demand.id, kind: 'released' });
     if (signal.aborted) throw new Failure('timedOut', 'the caller left');
     throw new Failure('noOwner', `${silent} owners did not answer`, {
       retryAfterMs: NO_OWNER_RETRY_MS,
@@ -95,43 +95,43 @@
   }
 
   /** Tells the owner how a request goes on. A lost note is mended by the next full list. */
-  note(service: string, note: Omit<Note, 'service'>): void {
+  reportProgress(service: string, note: Omit<ProgressReport, 'service'>): void {
     const held = this.#held.get(note.id);
     if (note.kind === 'started' && held) held.startedAt = performance.now();
     if (note.kind === 'finished' || note.kind === 'released') this.#held.delete(note.id);
     const now = performance.now();
     const owner = this.#ownerOf(now, service);
     if (!owner) return;
-    const message: Note = { service, ...note };
-    if (owner.vm === this.#vm) this.#host.note(now, this.#vm, message);
+    const message: ProgressReport = { service, ...note };
+    if (owner.vm === this.#vm) this.#host.onProgress(now, this.#vm, message);
     else this.#send(owner.address, 'note', message);
   }
 
   /** A verdict that an owner sends after a wait. */
-  onVerdict(service: string, verdict: Verdict): void {
+  onDecision(service: string, verdict: Decision): void {
     const resolve = this.#waiting.get(verdict.id);
     if (resolve) resolve(verdict);
     else if (verdict.state === 'granted' && !this.#held.has(verdict.id)) {
-      this.note(service, { id: verdict.id, kind: 'released' });
+      this.reportProgress(service, { id: verdict.id, kind: 'released' });
     }
   }
 
   /** Tells a VM that asked for it what is held here, whoever this VM takes for the owner. */
-  tell(now: number, service: string, owner: Owner): void {
-    const hold: Hold = {
+  reportHoldings(now: number, service: string, owner: Owner): void {
+    const hold: HoldingsReport = {
       service,
       holdings: [...this.#held.values()]
         .filter((held) => held.service === service)
-        .map(({ demand, grant, startedAt }) => toHolding(now, demand, grant, startedAt)),
+        .map(({ demand, grant, startedAt }) => toWireHolding(now, demand, grant, startedAt)),
     };
-    if (owner.vm === this.#vm) this.#host.hold(now, this.#vm, hold);
+    if (owner.vm === this.#vm) this.#host.onHoldings(now, this.#vm, hold);
     else this.#send(owner.address, 'hold', hold);
   }
 
   #keep(
     service: string,
-    demand: OwnDemand,
-    { prefill, decode }: Extract<Verdict, { readonly state: 'granted' }>,
+    demand: LocalDemand,
+    { prefill, decode }: Extract<Decision, { readonly state: 'granted' }>,
   ): Grant {
     const grant = { prefill, decode };
     this.#held.set(demand.id, { service, demand, grant, startedAt: undefined });
@@ -144,7 +144,7 @@
    * had room while the prefill is kept. An owner that is silent leaves the place
    * that was likely when the prefill began.
    */
-  async bind(
+  async assign(
     service: string,
     id: string,
     ms: number,
@@ -155,10 +155,10 @@
     const held = this.#held.get(id);
     const owner = this.#ownerOf(performance.now(), service);
     if (!held || !owner) return held?.grant.decode;
-    const sink: VerdictSink = (name, verdict) => this.onVerdict(name, verdict);
+    const sink: DecisionCallback = (name, verdict) => this.onDecision(name, verdict);
     const verdict = await this.#converse(owner, id, signal, (now) =>
       owner.vm === this.#vm
-        ? this.#host.ready(now, this.#vm, ready, sink)
+        ? this.#host.onPrefilled(now, this.#vm, ready, sink)
         : this.#fleet.call(owner.address, 'ready', ready, ASK_LIMIT_MS),
     );
     if (verdict?.state === 'refused') return undefined;
@@ -170,14 +170,14 @@
   #askOnce(
     owner: Owner,
     service: string,
-    demand: OwnDemand,
+    demand: LocalDemand,
     signal: AbortSignal,
-  ): Promise<Verdict | undefined> {
-    const sink: VerdictSink = (name, verdict) => this.onVerdict(name, verdict);
+  ): Promise<Decision | undefined> {
+    const sink: DecisionCallback = (name, verdict) => this.onDecision(name, verdict);
     return this.#converse(owner, demand.id, signal, (now) => {
-      const ask = { service, ...toMessage(now, demand) };
+      const ask = { service, ...toWireDemand(now, demand) };
       return owner.vm === this.#vm
-        ? this.#host.ask(now, this.#vm, ask, sink)
+        ? this.#host.reserve(now, this.#vm, ask, sink)
         : this.#fleet.call(owner.address, 'ask', ask, ASK_LIMIT_MS);
     });
   }
@@ -188,10 +188,10 @@
     id: string,
     signal: AbortSignal,
     call: (now: number) => unknown,
-  ): Promise<Verdict | undefined> {
+  ): Promise<Decision | undefined> {
     const later = this.#waitFor(id, signal);
     try {
-      const first = verdictSchema.parse(await call(performance.now()));
+      const first = decisionSchema.parse(await call(performance.now()));
       if (first.state !== 'waiting') return first;
       return (await later.verdict) ?? first;
     } catch (error) {
@@ -206,9 +206,9 @@
   #waitFor(
     id: string,
     signal: AbortSignal,
-  ): { readonly verdict: Promise<Verdict | undefined>; readonly stop: () => void } {
+  ): { readonly verdict: Promise<Decision | undefined>; readonly stop: () => void } {
     let stop = (): void => {};
-    const verdict = new Promise<Verdict | undefined>((resolve) => {
+    const verdict = new Promise<Decision | undefined>((resolve) => {
       const onAbort = (): void => resolve(undefined);
       const timer = setTimeout(() => resolve(undefined), ASK_LIMIT_MS + ASK_AGAIN_MS);
       signal.addEventListener('abort', onAbort, { once: true });
@@ -230,7 +230,7 @@
       this.#told.set(service, owner.vm);
       this.#log.info({ service, owner: owner.vm, held: this.#held.size }, 'Owner changed.');
       // What is held goes before the first request, so that a new owner counts it.
-      this.tell(now, service, owner);
+      this.reportHoldings(now, service, owner);
     }
     return owner;
   }
@@ -242,7 +242,7 @@
     this.#holding = holding;
     for (const service of told) {
       const owner = this.#ownerOf(now, service);
-      if (owner) this.tell(now, service, owner);
+      if (owner) this.reportHoldings(now, service, owner);
     }
   }
 
--- a/src/node/router/knowledge.ts
+++ b/src/node/router/routingstate.ts
@@ -5,11 +5,11 @@
 
 import type { Logger } from 'pino';
 
-import type { RunnerFact } from '../../core/routing/directory';
+import type { RunnerRecord } from '../../core/routing/directory';
 import { RunnerDirectory } from '../../core/routing/directory';
-import type { Proof } from '../../core/routing/freshness';
+import type { FreshnessProof } from '../../core/routing/freshness';
 import { Freshness } from '../../core/routing/freshness';
-import type { History, Position } from '../../core/routing/position';
+import type { StoreHistory, Position } from '../../core/routing/position';
 import { isLater } from '../../core/routing/position';
 import { RouteTable } from '../../core/routing/table';
 import { Failure } from '../../core/failure';
@@ -36,9 +36,9 @@
 const RETURNED_GRACE_MS = 1000;
 
 /** A newer configuration, or runners that changed. */
-export type News =
+export type StateChange =
   | { readonly kind: 'config' }
-  | { readonly kind: 'runners'; readonly facts: readonly RunnerFact[] }
+  | { readonly kind: 'runners'; readonly facts: readonly RunnerRecord[] }
   /** `cameBack`: another era was known before. */
   | { readonly kind: 'era'; readonly cameBack: boolean };
 
@@ -46,14 +46,14 @@
 const RUNNER_LINES = 10;
 
 /** What knowledge tells of its changes. */
-export interface KnowledgeListener {
-  onNews(news: News): void;
+export interface RoutingStateListener {
+  onChange(news: StateChange): void;
   /** An entry came in that names no runner to use. */
-  onUnfitEntry(): void;
+  onInvalidEntry(): void;
 }
 
 /** What one VM knows. */
-export class Knowledge {
+export class RoutingState {
   readonly #log: Logger;
 
   readonly #directory = new RunnerDirectory();
@@ -61,7 +61,7 @@
   /** How old the configuration can be. */
   readonly freshness = new Freshness();
 
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   #table: RouteTable | undefined;
 
@@ -74,11 +74,11 @@
   /** Position of the first full list after the last trouble; none yet while it lasts. */
   #returnedAt: Position | undefined;
 
-  readonly #listener: KnowledgeListener;
+  readonly #listener: RoutingStateListener;
 
   readonly #lines: LogRateLimiter;
 
-  constructor(history: History, log: Logger, listener: KnowledgeListener) {
+  constructor(history: StoreHistory, log: Logger, listener: RoutingStateListener) {
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
@@ -97,17 +97,17 @@
   }
 
   /** The proof as members exchange it with their probes. */
-  get proofExchange(): FreshnessExchange {
+  get freshnessExchange(): FreshnessExchange {
     return {
-      currentProof: () => this.freshness.tell(bootNow(), this.configVersion),
-      onPingSent: (seq) => this.freshness.ask(bootNow(), seq),
-      onAckReceived: (seq, proof) => this.freshness.answer(seq, proof, this.configVersion),
+      currentProof: () => this.freshness.proofAt(bootNow(), this.configVersion),
+      onPingSent: (seq) => this.freshness.recordQuery(bootNow(), seq),
+      onAckReceived: (seq, proof) => this.freshness.recordReply(seq, proof, this.configVersion),
     };
   }
 
   /** What this VM tells others of the age of its configuration, as a field of a message. */
-  proof(now: number): { readonly proof?: Proof } {
-    const proof = this.freshness.tell(now, this.configVersion);
+  proof(now: number): { readonly proof?: FreshnessProof } {
+    const proof = this.freshness.proofAt(now, this.configVersion);
     return proof ? { proof } : {};
   }
 
@@ -137,11 +137,11 @@
   }
 
   /** Facts of the parts of the digest in which another VM's differ, at most about `most`. */
-  factsBeside(now: number, theirs: readonly number[], most: number): readonly RunnerFact[] {
-    return this.#directory.factsIn(now, this.#directory.digest.differing(theirs), most);
+  recordsDiffering(now: number, theirs: readonly number[], most: number): readonly RunnerRecord[] {
+    return this.#directory.factsIn(now, this.#directory.digest.differingParts(theirs), most);
   }
 
-  heardStore(now: number): void {
+  storeAnswered(now: number): void {
     this.#storeAt = now;
   }
 
@@ -156,14 +156,14 @@
    */
   learnEras(now: number, starts: readonly Position[], source: string): void {
     const { era: before } = this.#history;
-    const cameBack = this.#history.learn(starts);
+    const cameBack = this.#history.apply(starts);
     const [start] = this.#history.starts;
     if (cameBack) {
       this.storeFailed(now);
       this.#log.warn({ ...start, before, source }, 'The store came back from an older copy.');
     }
     const isFirst = before === undefined && start !== undefined && start.era > 0;
-    if (cameBack || isFirst) this.#listener.onNews({ kind: 'era', cameBack });
+    if (cameBack || isFirst) this.#listener.onChange({ kind: 'era', cameBack });
   }
 
   /** How long a runner stays in use whose entry is gone as of a position, in milliseconds. */
@@ -174,7 +174,7 @@
   }
 
   /** Time since the store was last heard, in milliseconds. */
-  storeAge(now: number): number {
+  storeAgeMs(now: number): number {
     return now - this.#storeAt;
   }
 
@@ -191,12 +191,12 @@
         routes: routes.length,
         customers: customers?.length,
         source,
-        storeAgeMs: Math.round(this.storeAge(now)),
+        storeAgeMs: Math.round(this.storeAgeMs(now)),
       },
       'New config.',
     );
     this.#noteDisputed(version);
-    this.#listener.onNews({ kind: 'config' });
+    this.#listener.onChange({ kind: 'config' });
     return true;
   }
 
@@ -211,8 +211,8 @@
   }
 
   /** Takes facts of runners over, each if it is newer. */
-  learnRunners(now: number, facts: readonly RunnerFact[], source: string): void {
-    const changed: RunnerFact[] = [];
+  learnRunners(now: number, facts: readonly RunnerRecord[], source: string): void {
+    const changed: RunnerRecord[] = [];
     for (const fact of facts) {
       const { id, position, runner, unreadable } = fact;
       if (unreadable !== undefined && !this.#directory.isKnown(fact)) {
@@ -221,7 +221,7 @@
       const gone = !runner && unreadable === undefined;
       // Another VM that tells of it knows whether its store had trouble; this one may not read it at all.
       const graceMs = gone ? (fact.graceMs ?? this.#graceMs(now, position)) : 0;
-      if (this.#directory.learn(now, fact, graceMs)) {
+      if (this.#directory.apply(now, fact, graceMs)) {
         changed.push(gone ? { ...fact, graceMs } : fact);
         this.#checkService(fact);
         const leaving = runner?.leaving;
@@ -233,23 +233,23 @@
         }
       }
     }
-    if (changed.length > 0) this.#listener.onNews({ kind: 'runners', facts: changed });
+    if (changed.length > 0) this.#listener.onChange({ kind: 'runners', facts: changed });
   }
 
   /** A runner told of its start itself; the one that is listed may be over by it. */
   learnStart(listing: string, bornAt: number): void {
-    if (!this.#directory.learnStart(listing, bornAt)) return;
+    if (!this.#directory.applyInstanceStart(listing, bornAt)) return;
     this.#log.info({ runner: listing, bornAt, source: 'report' }, 'Runner started anew.');
-    this.#listener.onNews({ kind: 'runners', facts: [] });
+    this.#listener.onChange({ kind: 'runners', facts: [] });
   }
 
   /** The latest start that is known of a listing, in Unix milliseconds; 0 if none is. */
   latestStart(listing: string): number {
-    return this.#directory.latestStart(listing);
+    return this.#directory.latestInstanceStart(listing);
   }
 
   /** An entry of a service that the configuration does not name gets no request; the configuration may still come. */
-  #checkService({ id, position, runner }: RunnerFact): void {
+  #checkService({ id, position, runner }: RunnerRecord): void {
     if (!runner || !this.#table || this.#table.service(runner.service)) return;
     this.#noteUnfit(
       id,
@@ -262,7 +262,7 @@
   #noteUnfit(id: string, position: Position, detail: string): void {
     const { line } = new Failure('factUnreadable', detail);
     this.#log.warn({ runner: id, ...position }, line);
-    this.#listener.onUnfitEntry();
+    this.#listener.onInvalidEntry();
   }
 
   /** Runners that a full list of the store no longer names are gone as of its position. */
@@ -270,17 +270,17 @@
     this.#returnedAt ??= position;
     const gone = this.#directory
       .missing(listed)
-      .map((id): RunnerFact => ({ id, position, runner: undefined }));
+      .map((id): RunnerRecord => ({ id, position, runner: undefined }));
     this.learnRunners(now, gone, 'list');
   }
 
   /** What is known of configuration, store and runners, for operators. */
-  beliefs(now: number): Readonly<Record<string, unknown>> {
+  snapshot(now: number): Readonly<Record<string, unknown>> {
     const usable = new Set(this.#directory.usable(now).map(({ id }) => id));
     return {
       configVersion: this.configVersion,
       routes: this.#table?.config.routes.length ?? 0,
-      storeAgeMs: Number.isFinite(this.#storeAt) ? Math.round(this.storeAge(now)) : null,
+      storeAgeMs: Number.isFinite(this.#storeAt) ? Math.round(this.storeAgeMs(now)) : null,
       era: this.#history.era ?? null,
       runners: this.#directory.facts.map(({ id, position, runner }) => ({
         id,
--- a/src/node/router/runs.ts
+++ b/src/node/router/runs.ts
@@ -6,15 +6,15 @@
 import type { Logger } from 'pino';
 
 import type { Failure } from '../../core/failure';
-import { isTelling } from '../../core/quarantine/quarantine';
+import { isAttributable } from '../../core/quarantine/quarantine';
 import type { Runner } from '../../core/routing/types';
 import type { Framing, StreamFault } from '../../core/stream/answer';
 import type { Metrics } from '../metrics';
 import { bootNow } from '../../utils/clock';
 import type { Exchange } from './exchange';
-import type { Gate } from './gate';
-import type { QuarantineDesk } from './quarantine';
-import type { RateLimitDesk } from './ratelimits';
+import type { Authorizer } from './authorizer';
+import type { QuarantineController } from './quarantine';
+import type { RateLimitController } from './ratelimits';
 import type { Reply } from './types';
 
 /** What a run sent of a stream. */
@@ -31,9 +31,9 @@
 
 /** What runs work with. */
 export interface RunsContext {
-  readonly quarantine: QuarantineDesk;
-  readonly gate: Gate;
-  readonly rateLimits: RateLimitDesk;
+  readonly quarantine: QuarantineController;
+  readonly authorizer: Authorizer;
+  readonly rateLimits: RateLimitController;
   readonly metrics: Metrics;
   readonly log: Logger;
 }
@@ -82,20 +82,20 @@
   }
 
   /** Its answer does not continue the stream. */
-  strayed(part: StreamPart, fault: StreamFault): void {
+  diverged(part: StreamPart, fault: StreamFault): void {
     const { metrics, log } = this.#context;
     metrics.count('runs.strayed');
     log.warn({ ...this.#lineOf(part), fault }, 'A run did not continue its stream.');
   }
 
   /** Its connection ended before its answer did. Nothing is held against either if the caller left or its time was up. */
-  broke(now: number, part?: StreamPart): void {
+  interrupted(now: number, part?: StreamPart): void {
     const { fingerprint, signal } = this.#exchange;
     if (signal.aborted) return;
     const { quarantine, metrics, log } = this.#context;
     const { id: runner } = this.#runner;
     const answeredAt = this.#answeredAt;
-    const ends = isTelling(now, answeredAt) ? quarantine.ended(now, fingerprint, runner) : 0;
+    const ends = isAttributable(now, answeredAt) ? quarantine.crashed(now, fingerprint, runner) : 0;
     metrics.count('runs.broken');
     log.info(
       {
@@ -125,7 +125,7 @@
 
   /** Why a request must not reach a runner. Default: it may. */
   refusal(now: number, exchange: Exchange): Failure | undefined {
-    const { gate, quarantine } = this.#context;
+    const { authorizer: gate, quarantine } = this.#context;
     return gate.refusal(bootNow(), exchange) ?? quarantine.refusal(now, exchange.fingerprint);
   }
 
--- a/src/node/runner/client.ts
+++ b/src/node/runner/client.ts
@@ -7,7 +7,7 @@
 
 import type { FailureReason } from '../../core/cell/types';
 import { END_OF_EVENTS, openStream, readEvents } from '../../utils/events';
-import { call, isRefusedConnect } from '../../utils/http';
+import { call, isConnectionRefused } from '../../utils/http';
 
 /**
  * Thrown when a call to a runner fails. For `full`, `evicted` and `leaving` the runner itself
@@ -136,7 +136,7 @@
 }
 
 function connectionFailure(error: Error): RunnerFailure {
-  return new RunnerFailure(isRefusedConnect(error) ? 'unreachable' : 'lost', error.message);
+  return new RunnerFailure(isConnectionRefused(error) ? 'unreachable' : 'lost', error.message);
 }
 
 /** Runner client over HTTP. */
--- a/src/node/scheduler/daemon.ts
+++ b/src/node/scheduler/daemon.ts
@@ -6,7 +6,7 @@
 
 import { toFailure } from '../../core/failure';
 import { gatewayOf } from '../../core/ids';
-import { Owners } from '../../core/ownership';
+import { OwnerCache } from '../../core/ownership';
 import type { Member } from '../../core/membership/types';
 import { KeyRegistry } from '../../core/registry/keys';
 import type { StoredDocument } from '../../core/settings/documents';
@@ -51,7 +51,7 @@
 
   readonly #runners = new HttpRunnerClient();
 
-  readonly #owners = new Owners();
+  readonly #owners = new OwnerCache();
 
   readonly #links: SchedulerLinks;
 
@@ -295,7 +295,7 @@
   }
 
   #onSettingsApplied(documents: readonly StoredDocument[]): void {
-    this.#owners.settingsChanged();
+    this.#owners.invalidate();
     this.#membership?.members.setDigest(this.#settings.settings.digest);
     const rumours = documents.map(({ path, revision }) => ({ path, revision }));
     if (rumours.length > 0) this.#membership?.handle({ kind: 'rumours', rumours });
--- a/src/node/scheduler/members.ts
+++ b/src/node/scheduler/members.ts
@@ -15,9 +15,9 @@
   MembershipEvent,
   MembershipOptions,
   Packet,
-  Rumour,
+  GossipUpdate,
 } from '../../core/membership/types';
-import type { Proof } from '../../core/routing/freshness';
+import type { FreshnessProof } from '../../core/routing/freshness';
 import type { Metrics } from '../metrics';
 
 /** Callbacks for changes that the membership protocol detects. */
@@ -25,7 +25,7 @@
   /** A member was added or its state or description changed. */
   onChange(member: Member): void;
   /** The member at the address announced a new revision. */
-  onUpdate(rumour: Rumour, address: string): void;
+  onUpdate(rumour: GossipUpdate, address: string): void;
   /** The digest of the member at the address differs, so it may have newer settings. */
   onDigestDiffers(address: string): void;
 }
@@ -33,11 +33,11 @@
 /** Exchange of freshness proofs over pings and acknowledgements; see `Freshness`. */
 export interface FreshnessExchange {
   /** Proof to send with a packet; undefined if this member has none. */
-  currentProof(): Proof | undefined;
+  currentProof(): FreshnessProof | undefined;
   /** Called when this member sends the ping `seq`, which asks for a proof. */
   onPingSent(seq: number): void;
   /** Called when the acknowledgement of the ping `seq` carries a proof. */
-  onAckReceived(seq: number, proof: Proof): void;
+  onAckReceived(seq: number, proof: FreshnessProof): void;
 }
 
 /** Options of a `MembershipDriver`. */
--- a/src/node/scheduler/settings.ts
+++ b/src/node/scheduler/settings.ts
@@ -7,8 +7,8 @@
 import { z } from 'zod';
 
 import { toFailure } from '../../core/failure';
-import type { Member, Rumour } from '../../core/membership/types';
-import { mayOwn } from '../../core/membership/types';
+import type { Member, GossipUpdate } from '../../core/membership/types';
+import { canOwn } from '../../core/membership/types';
 import { ownersOfKey } from '../../core/ownership';
 import type { Settings, StoredDocument } from '../../core/settings/documents';
 import { SettingsDocuments } from '../../core/settings/documents';
@@ -88,7 +88,7 @@
   }
 
   /** Fetches the announced document from the sender, unless this revision is known or its fetch is in progress. */
-  async onUpdate({ path, revision }: Rumour, address: string): Promise<void> {
+  async onUpdate({ path, revision }: GossipUpdate, address: string): Promise<void> {
     if (revision <= Math.max(this.#current.revisionOf(path), this.#fetches.get(path) ?? 0)) return;
     this.#fetches.set(path, revision);
     try {
@@ -153,7 +153,7 @@
   /** Whether this scheduler watches the store at all times; others do so only until settings are loaded. */
   #isReader(): boolean {
     const { vm, domain, members } = this.#options;
-    const domainMembers = members().filter((member) => member.domain === domain && mayOwn(member));
+    const domainMembers = members().filter((member) => member.domain === domain && canOwn(member));
     const readers = ownersOfKey('settings-readers', domainMembers).slice(0, READERS_PER_DOMAIN);
     return readers.length < READERS_PER_DOMAIN || readers.some((reader) => reader.vm === vm);
   }
--- a/src/platform/era.ts
+++ b/src/platform/era.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 
 import { Failure } from '../core/failure';
-import type { History } from '../core/routing/position';
+import type { StoreHistory } from '../core/routing/position';
 
 const NUMBER = /^\d{1,9}$/;
 /** Characters of what was found that are shown. */
@@ -11,7 +11,7 @@
 
 /** The eras of answers, against the latest that is known. */
 export class EraReader {
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   readonly #log: Logger;
 
@@ -21,7 +21,7 @@
   /** What was last found in place of an era; logged once for each change. */
   #complaint = '';
 
-  constructor(history: History, log: Logger) {
+  constructor(history: StoreHistory, log: Logger) {
     this.#history = history;
     this.#log = log;
   }
--- a/src/platform/feed.ts
+++ b/src/platform/feed.ts
@@ -6,11 +6,11 @@
 
 import { toFailure } from '../core/failure';
 import type { Suspect } from '../core/quarantine/types';
-import type { RunnerFact } from '../core/routing/directory';
-import type { History } from '../core/routing/position';
+import type { RunnerRecord } from '../core/routing/directory';
+import type { StoreHistory } from '../core/routing/position';
 import type { Feed, FeedListener } from '../node/router/types';
 import { bootNow } from '../utils/clock';
-import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './facts';
+import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './records';
 import { key } from './names';
 import type { Item, Snapshot, StoreClient } from './store';
 
@@ -35,7 +35,7 @@
 
   readonly #self: { readonly vm: string; readonly address: string };
 
-  readonly #history: History;
+  readonly #history: StoreHistory;
 
   #listener: FeedListener | undefined;
 
@@ -62,7 +62,7 @@
   constructor(
     store: StoreClient,
     self: { readonly vm: string; readonly address: string },
-    history: History,
+    history: StoreHistory,
     log: Logger,
   ) {
     this.#store = store;
@@ -86,7 +86,7 @@
       });
   }
 
-  confirm(): void {
+  confirmConfig(): void {
     if (this.#confirming) return;
     this.#confirming = true;
     this.#confirm()
@@ -107,7 +107,7 @@
     if (items.length === 0 || era === undefined) return;
     if (era !== this.#history.era) this.#listener?.onEra({ era, revision });
     this.#tell(items, false);
-    this.#listener?.onProof(askedAt);
+    this.#listener?.onConfirmed(askedAt);
   }
 
   async #run(): Promise<void> {
@@ -139,7 +139,7 @@
         this.#listener?.onStore(true, 'answers');
         revision = Math.max(revision, news.revision);
         this.#tell(news.items, false);
-        this.#listener?.onProof(askedAt);
+        this.#listener?.onConfirmed(askedAt);
       }
       const left = WATCH_PACE_MS - (performance.now() - since);
       if (left > 0) await pause(left);
@@ -160,13 +160,13 @@
     this.#tell(items, true);
     const ids = items.filter((item) => item.key.startsWith(key.runners)).map(idOf);
     this.#listener?.onListed(new Set(ids), { era, revision });
-    this.#listener?.onProof(askedAt);
+    this.#listener?.onConfirmed(askedAt);
     return snapshot;
   }
 
   /** @param isAll whether the store holds no other items */
   #tell(items: readonly Item[], isAll: boolean): void {
-    const runners: RunnerFact[] = [];
+    const runners: RunnerRecord[] = [];
     const suspects: Suspect[] = [];
     const vms: { vm: string; address: string }[] = [];
     for (const item of items) {
@@ -200,7 +200,7 @@
   }
 
   /** An entry that cannot be read is a fact too: whatever was listed there before is no longer. */
-  #factOf(item: Item): RunnerFact {
+  #factOf(item: Item): RunnerRecord {
     const id = idOf(item);
     const { revision, value } = item;
     const position = this.#history.positionOf(revision);
--- a/src/platform/facts.ts
+++ b/src/platform/records.ts
@@ -9,7 +9,7 @@
 import { Failure } from '../core/failure';
 import type { Suspect } from '../core/quarantine/types';
 import type { CallKind, RoutingConfig, Runner, RunnerRole } from '../core/routing/types';
-import { startId } from '../core/routing/types';
+import { instanceId } from '../core/routing/types';
 
 const kinds: Readonly<Record<string, CallKind>> = {
   idempotent: 'repeatable',
@@ -208,7 +208,7 @@
   const entry = parse(runnerSchema, text, `runner ${id}`);
   const role: RunnerRole = entry.stage ?? 'plain';
   return {
-    id: startId(id, entry.born),
+    id: instanceId(id, entry.born),
     listing: id,
     bornAt: entry.born,
     service: entry.service,
--- a/src/platform/run.ts
+++ b/src/platform/router.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 
 import { Failure } from '../core/failure';
-import { History } from '../core/routing/position';
+import { StoreHistory } from '../core/routing/position';
 import { logOf } from '../node/log';
 import { Router } from '../node/router/daemon';
 import { EraReader } from './era';
@@ -17,7 +17,7 @@
 import { StoreSuspects } from './suspects';
 
 /** Settings at the path that the environment names. */
-export function settingsOfEnvironment(
+export function loadEnvironmentSettings(
   env: Readonly<Record<string, string | undefined>>,
 ): PlatformSettings {
   const file = env[SETTINGS_VARIABLE];
@@ -33,7 +33,7 @@
 /** A router on the platform, not yet started. */
 export function createRouter({ router, store }: PlatformSettings, log: Logger): Router {
   const { vm, peer } = router;
-  const history = new History();
+  const history = new StoreHistory();
   const client = new StoreClient(store, new EraReader(history, logOf(log, 'store')));
   const feed = new StoreFeed(client, { vm, address: peer }, history, logOf(log, 'store'));
   return new Router(
--- a/src/platform/runner.ts
+++ b/src/platform/runner.ts
@@ -8,7 +8,7 @@
 import { Failure, toFailure } from '../core/failure';
 import type { Runner } from '../core/routing/types';
 import type { Framing } from '../core/stream/answer';
-import { startId } from '../core/routing/types';
+import { instanceId } from '../core/routing/types';
 import type {
   CacheHandle,
   DecodeDispatch,
@@ -19,7 +19,7 @@
   RunnerReport,
 } from '../node/router/types';
 import { call, failOnReset, readBody } from '../utils/http';
-import { forwardable } from './ingress';
+import { forwardableHeaders } from './ingress';
 import { header, path } from './names';
 import { rateNoticeOf } from './ratelimit';
 
@@ -110,7 +110,7 @@
     const { born, runs, 'kv-used': usedTokens } = reportSchema.parse(JSON.parse(body));
     // A runner that does not tell its start has a new id with each.
     return {
-      runner: born === 0 ? id : startId(listing, born),
+      runner: born === 0 ? id : instanceId(listing, born),
       bornAt: born,
       usedTokens,
       runs: runs.map(([request, tokens]) => ({ request, tokens })),
@@ -171,7 +171,9 @@
 function headersOf({ runner, request, deadlineMs }: Dispatch, extra: readonly string[]): string[] {
   const headers = [...request.headers];
   const hasLast = extra.includes(header.lastEvent);
-  const kept = hasLast ? forwardable(headers, undefined, new Set([header.lastEvent])) : headers;
+  const kept = hasLast
+    ? forwardableHeaders(headers, undefined, new Set([header.lastEvent]))
+    : headers;
   const { length } = request.body;
   const sized = length > 0 || (request.method !== 'GET' && request.method !== 'HEAD');
   return [
@@ -250,7 +252,7 @@
     status,
     framing: framingOf(headers),
     isEvents: headers['content-type']?.startsWith(EVENT_STREAM) ?? false,
-    headers: forwardable(message.rawHeaders, headers.connection, none),
+    headers: forwardableHeaders(message.rawHeaders, headers.connection, none),
     genuine,
     notRun: headers[header.notRun] !== undefined || status === HTTP_MISDIRECTED,
     misdirected: status === HTTP_MISDIRECTED,
--- a/test/core/membership.test.ts
+++ b/test/core/membership.test.ts
@@ -92,7 +92,7 @@
     memberOf(i, { domain: i < 6 ? 'a' : 'b', cores: i % 3 === 0 ? 1.35 : 0.324 }),
   );
   const names = (all: readonly Member[], domain = 'a'): readonly string[] => {
-    const { chosen, deputies } = readersOf(domain, all);
+    const { primaries: chosen, standbys: deputies } = readersOf(domain, all);
     return [...chosen, ...deputies].map(({ vm }) => vm);
   };
 
--- a/test/core/quarantine.test.ts
+++ b/test/core/quarantine.test.ts
@@ -1,6 +1,11 @@
 import fc from 'fast-check';
 
-import { ENDS, KEPT_MS, Quarantine, isTelling } from '../../src/core/quarantine/quarantine';
+import {
+  CRASH_LIMIT,
+  TTL_MS,
+  Quarantine,
+  isAttributable,
+} from '../../src/core/quarantine/quarantine';
 import type { Suspect } from '../../src/core/quarantine/types';
 
 const MINUTE_MS = 60_000;
@@ -8,7 +13,7 @@
 /** A quarantine that was told of the ends of some runners under request `f`, a second apart. */
 function endedBy(...runners: readonly string[]): Quarantine {
   const quarantine = new Quarantine();
-  runners.forEach((runner, i) => quarantine.ended(i * 1000, 'f', runner));
+  runners.forEach((runner, i) => quarantine.recordCrash(i * 1000, 'f', runner));
   return quarantine;
 }
 
@@ -19,9 +24,9 @@
   test('refuses a request from the third runner that ended under it, for ten minutes', () => {
     expect(isRefused(endedBy('a', 'b'), 2000)).toBe(false);
     const quarantine = endedBy('a', 'b', 'c');
-    expect(quarantine.refusedForMs(2000, 'f')).toBe(KEPT_MS - 2000);
-    expect(isRefused(quarantine, KEPT_MS)).toBe(false);
-    expect(quarantine.suspects(KEPT_MS + 2000)).toEqual([]);
+    expect(quarantine.refusedForMs(2000, 'f')).toBe(TTL_MS - 2000);
+    expect(isRefused(quarantine, TTL_MS)).toBe(false);
+    expect(quarantine.suspects(TTL_MS + 2000)).toEqual([]);
   });
 
   /* One runner breaks answers off and lives: that it does so thrice to one request says nothing of the request. */
@@ -31,16 +36,16 @@
 
   /* A summary has run for seconds when its runner crashes. Whatever ended the runner, it was not that it began this one. */
   test('holds nothing against a run that had brought answers for a while', () => {
-    expect([isTelling(5000, undefined), isTelling(5000, 4000), isTelling(5000, 1000)]).toEqual([
-      true,
-      true,
-      false,
-    ]);
+    expect([
+      isAttributable(5000, undefined),
+      isAttributable(5000, 4000),
+      isAttributable(5000, 1000),
+    ]).toEqual([true, true, false]);
   });
 
   test('takes a request again once a runner ran it to a whole answer', () => {
     const quarantine = endedBy('a', 'b', 'c');
-    expect(quarantine.completed(5000, 'f')?.completedAgoMs).toBe(0);
+    expect(quarantine.recordCompletion(5000, 'f')?.completedAgoMs).toBe(0);
     expect(isRefused(quarantine, 5000)).toBe(false);
   });
 
@@ -51,20 +56,20 @@
    */
   test('does not refuse a request that was answered within the minute before', () => {
     const quarantine = new Quarantine();
-    quarantine.completed(0, 'f');
-    for (const runner of ['a', 'b', 'c']) quarantine.ended(1000, 'f', runner);
+    quarantine.recordCompletion(0, 'f');
+    for (const runner of ['a', 'b', 'c']) quarantine.recordCrash(1000, 'f', runner);
     expect(isRefused(quarantine, 1000)).toBe(false);
     const other = endedBy('a', 'b', 'c');
     const [told] = quarantine.suspects(2000) as [Suspect];
-    other.learn(2000, told);
+    other.apply(2000, told);
     expect(isRefused(other, 2000)).toBe(false);
   });
 
   /* A release breaks what was answered before: after a minute without an answer its ends count. */
   test('refuses a request that was answered longer ago', () => {
     const quarantine = new Quarantine();
-    quarantine.completed(0, 'f');
-    for (const runner of ['a', 'b', 'c']) quarantine.ended(2 * MINUTE_MS, 'f', runner);
+    quarantine.recordCompletion(0, 'f');
+    for (const runner of ['a', 'b', 'c']) quarantine.recordCrash(2 * MINUTE_MS, 'f', runner);
     expect(isRefused(quarantine, 2 * MINUTE_MS)).toBe(true);
   });
 
@@ -75,14 +80,14 @@
   test('keeps what counts in a storm of crashes', () => {
     const quarantine = endedBy('a', 'b');
     const told = Array.from({ length: 3000 }, (_, i) =>
-      quarantine.learn(3000, { fingerprint: `g${i}`, ends: [{ runner: `r${i}`, agoMs: 0 }] }),
+      quarantine.apply(3000, { fingerprint: `g${i}`, ends: [{ runner: `r${i}`, agoMs: 0 }] }),
     );
     expect(told.filter((news) => news !== undefined).length).toBeLessThan(300);
     expect(quarantine.suspects(3000).length).toBeLessThan(300);
-    quarantine.ended(4000, 'f', 'c');
+    quarantine.recordCrash(4000, 'f', 'c');
     expect(isRefused(quarantine, 4000)).toBe(true);
-    quarantine.ended(4000, 'h', 'x');
-    expect(quarantine.endsOf('h')).toBe(1);
+    quarantine.recordCrash(4000, 'h', 'x');
+    expect(quarantine.crashCount('h')).toBe(1);
   });
 });
 
@@ -114,7 +119,7 @@
         let completions = 0;
         let now = 0;
         const tell = (from: Quarantine, to: Quarantine): void => {
-          for (const suspect of from.suspects(now)) to.learn(now, suspect);
+          for (const suspect of from.suspects(now)) to.apply(now, suspect);
         };
         for (const one of steps) {
           now += STEP_MS;
@@ -122,10 +127,10 @@
             tell(quarantines[one.from] as Quarantine, quarantines[one.to] as Quarantine);
           } else if (one.kind === 'ended') {
             runners.add(one.runner);
-            quarantines[one.vm]?.ended(now, 'f', `r${one.runner}`);
+            quarantines[one.vm]?.recordCrash(now, 'f', `r${one.runner}`);
           } else {
             completions += 1;
-            quarantines[one.vm]?.completed(now, 'f');
+            quarantines[one.vm]?.recordCompletion(now, 'f');
           }
         }
         now += STEP_MS;
@@ -135,7 +140,7 @@
         const digests = new Set(quarantines.map((one) => one.digest(now)));
         expect(digests.size).toBe(1);
         const refused = quarantines.map((one) => isRefused(one, now));
-        expect(refused[0]).toBe(completions === 0 && runners.size >= ENDS);
+        expect(refused[0]).toBe(completions === 0 && runners.size >= CRASH_LIMIT);
       }),
       { numRuns: 500, seed: 26 },
     );
--- a/test/core/ratelimits.test.ts
+++ b/test/core/ratelimits.test.ts
@@ -8,7 +8,7 @@
 
 /** The word of an answer to a request that was sent at a time. */
 function see(rates: RunnerRates, now: number, sentAt: number, notice: RateNotice): unknown {
-  return rates.saw(now, runner, { sentAt, notice, provesEnd: notice.kind === 'none' });
+  return rates.observe(now, runner, { sentAt, notice, provesEnd: notice.kind === 'none' });
 }
 
 describe('the rate limit of a runner', () => {
@@ -41,7 +41,7 @@
     const rates = new RunnerRates();
     see(rates, 100, 50, limited(2));
     see(rates, 300, 200, { kind: 'unreadable', text: '-1' });
-    rates.saw(400, runner, { sentAt: 350, notice: none, provesEnd: false });
+    rates.observe(400, runner, { sentAt: 350, notice: none, provesEnd: false });
     expect(rates.ratePerS('a')).toBe(2);
   });
 
@@ -63,11 +63,11 @@
       version,
       ratePerS,
     });
-    expect(rates.learn(0, told(2))).toBe(true);
-    expect(rates.learn(10, told(1, 3))).toBe(false);
-    expect(rates.learn(20, told(2, 4))).toBe(true);
-    expect(rates.learn(30, told(2, 5))).toBe(false);
-    expect(rates.learn(40, told(2, 4))).toBe(false);
+    expect(rates.apply(0, told(2))).toBe(true);
+    expect(rates.apply(10, told(1, 3))).toBe(false);
+    expect(rates.apply(20, told(2, 4))).toBe(true);
+    expect(rates.apply(30, told(2, 5))).toBe(false);
+    expect(rates.apply(40, told(2, 4))).toBe(false);
     expect(rates.ratePerS('a')).toBe(4);
     expect(see(rates, 60, 50, none)).toMatchObject({ version: 3 });
   });
@@ -87,7 +87,7 @@
   test('takes no room for more runners than any fleet has', () => {
     const rates = new RunnerRates();
     for (let i = 0; i < 12_000; i += 1) {
-      rates.saw(i, runnerOf(`r${i}`, 'plain'), {
+      rates.observe(i, runnerOf(`r${i}`, 'plain'), {
         sentAt: i,
         notice: limited(1),
         provesEnd: false,
--- a/test/core/retries.test.ts
+++ b/test/core/retries.test.ts
@@ -9,8 +9,8 @@
   let most = 0;
   for (let now = 0; now < 30_000; now += 1000 / perSecond) {
     const window = windows[Math.floor(now) % vms] as RetryWindow;
-    window.first(now);
-    for (let i = 0; i < attempts; i += 1) if (window.spend(now, vms)) spent.push(now);
+    window.recordFirst(now);
+    for (let i = 0; i < attempts; i += 1) if (window.trySpend(now, vms)) spent.push(now);
     most = Math.max(most, spent.filter((at) => at > now - bounds.windowMs).length);
   }
   return most;
@@ -31,14 +31,14 @@
 
   test('allows a repeat in a calm service at once', () => {
     const window = new RetryWindow(bounds);
-    window.first(0);
-    expect(window.spend(10, 8)).toBe(true);
+    window.recordFirst(0);
+    expect(window.trySpend(10, 8)).toBe(true);
   });
 
   test('gives a VM that is alone the whole of the extra', () => {
     const spend = (vms: number): number => {
       const window = new RetryWindow(bounds);
-      return Array.from({ length: 100 }, (_, i) => window.spend(i, vms)).filter(Boolean).length;
+      return Array.from({ length: 100 }, (_, i) => window.trySpend(i, vms)).filter(Boolean).length;
     };
     expect(spend(1)).toBe(39);
     expect(spend(8)).toBe(4);
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -6,7 +6,7 @@
 
 import pino from 'pino';
 
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import { EraReader } from '../../src/platform/era';
 import { StoreClient } from '../../src/platform/store';
 
@@ -242,6 +242,10 @@
 }
 
 /** A client of a store that knows nothing of its history yet. */
-export function clientOf(store: FakeStore, history = new History(), log = silent): StoreClient {
+export function clientOf(
+  store: FakeStore,
+  history = new StoreHistory(),
+  log = silent,
+): StoreClient {
   return new StoreClient(store.address, new EraReader(history, log));
 }
--- a/test/fakes/virtual/newsfleet.ts
+++ b/test/fakes/virtual/newsfleet.ts
@@ -11,18 +11,22 @@
   readersOf,
   shouldRead,
 } from '../../../src/core/membership/readers';
-import type { MembershipAction, MembershipEvent, Rumour } from '../../../src/core/membership/types';
+import type {
+  MembershipAction,
+  MembershipEvent,
+  GossipUpdate,
+} from '../../../src/core/membership/types';
 import { isPresent } from '../../../src/core/membership/types';
 import { Quarantine } from '../../../src/core/quarantine/quarantine';
 import type { Suspect } from '../../../src/core/quarantine/types';
-import type { RunnerFact } from '../../../src/core/routing/directory';
+import type { RunnerRecord } from '../../../src/core/routing/directory';
 import { RunnerDirectory } from '../../../src/core/routing/directory';
-import { Freshness, ProofPace, proofSource } from '../../../src/core/routing/freshness';
+import { Freshness, ProofBackoff, proofSource } from '../../../src/core/routing/freshness';
 import type { Position } from '../../../src/core/routing/position';
-import { History } from '../../../src/core/routing/position';
-import { ERA_PATH, NewsSpread, RUNNER_PATH } from '../../../src/core/routing/spread';
-import { fromRumour } from '../../../src/node/router/rumours';
-import { SUSPECT_PATH, suspectRumour, suspectSchema } from '../../../src/node/router/suspects';
+import { StoreHistory } from '../../../src/core/routing/position';
+import { ERA_PATH, UpdatePropagation, RUNNER_PATH } from '../../../src/core/routing/propagation';
+import { fromUpdate } from '../../../src/node/router/updates';
+import { SUSPECT_PATH, suspectUpdate, suspectSchema } from '../../../src/node/router/suspects';
 import { runnerOf } from '../runner';
 import { Schedule } from './schedule';
 import { seeded } from './workload';
@@ -42,9 +46,9 @@
   readonly startedAt: number;
   readonly membership: Membership;
   readonly directory: RunnerDirectory;
-  readonly history: History;
+  readonly history: StoreHistory;
   readonly freshness: Freshness;
-  readonly spread: NewsSpread;
+  readonly spread: UpdatePropagation;
   readonly quarantine: Quarantine;
   /** Requests of which others are still to be told. */
   readonly suspects: Map<string, Suspect>;
@@ -60,7 +64,7 @@
   chosen: boolean;
   dead: boolean;
   frozen: boolean;
-  readonly proofPace: ProofPace;
+  readonly proofPace: ProofBackoff;
   /** Changes of the store that it has read. Default: none. */
   seen: number | undefined;
   /** By how much its clock is ahead of time. */
@@ -97,7 +101,7 @@
   readonly #random: () => number;
 
   /** Facts of the store, by listing, and the version of the configuration. */
-  readonly #facts = new Map<string, RunnerFact>();
+  readonly #facts = new Map<string, RunnerRecord>();
 
   #storeConfig = 1;
 
@@ -277,7 +281,7 @@
   /** A runner ends under a request that a VM sent it. */
   end(number: number, fingerprint: string, runner: string): void {
     const vm = this.#vms[number] as Vm;
-    this.#suspect(vm, vm.quarantine.ended(this.now, fingerprint, runner));
+    this.#suspect(vm, vm.quarantine.recordCrash(this.now, fingerprint, runner));
   }
 
   /** Time until all VMs that run refuse a request, or the limit. */
@@ -348,9 +352,9 @@
         incarnation: 1 + this.now,
       }),
       directory: new RunnerDirectory(),
-      history: new History(),
+      history: new StoreHistory(),
       freshness: new Freshness(),
-      spread: new NewsSpread(),
+      spread: new UpdatePropagation(),
       quarantine: new Quarantine(),
       suspects: new Map(),
       configVersion: 0,
@@ -362,7 +366,7 @@
       answered: 0,
       dead: false,
       frozen: false,
-      proofPace: new ProofPace(),
+      proofPace: new ProofBackoff(),
       seen: undefined,
       aheadMs: 0,
     };
@@ -434,10 +438,10 @@
       return;
     }
     const { self, all } = vm.membership;
-    const { chosen, deputies } = readersOf(self.domain, all);
+    const { primaries: chosen, standbys: deputies } = readersOf(self.domain, all);
     const readers = [...chosen, ...deputies].filter(({ address }) => address !== self.address);
     this.#tell(vm, { kind: 'contact', addresses: readers.map(({ address }) => address) });
-    if (source === 'store' && vm.proofPace.asks(this.now, vm.reading)) this.#confirm(vm);
+    if (source === 'store' && vm.proofPace.tryQuery(this.now, vm.reading)) this.#confirm(vm);
   }
 
   /** Asks the store for the configuration in force. */
@@ -448,7 +452,7 @@
     this.#later(vm, STORE_MS, () => {
       this.#readEra(vm);
       this.#learn(vm, this.#storeConfig, []);
-      vm.freshness.storeAnswered(askedAt);
+      vm.freshness.recordStoreAnswer(askedAt);
     });
   }
 
@@ -475,7 +479,7 @@
       this.#readEra(vm);
       this.#learn(vm, this.#storeConfig, [...this.#facts.values()]);
       state.seen = this.#changes;
-      vm.freshness.storeAnswered(proofFrom);
+      vm.freshness.recordStoreAnswer(proofFrom);
       const waitMs = Math.max(1, askedAt + WATCH_PACE_MS - this.now);
       this.#later(vm, waitMs, () => this.#read(vm));
     });
@@ -501,12 +505,12 @@
 
   #learnEras(vm: Vm, starts: readonly Position[]): void {
     const before = vm.history.era;
-    vm.history.learn(starts);
+    vm.history.apply(starts);
     if (vm.history.era === before) return;
     setDigest(vm);
     if (vm.history.era === 0) return;
-    vm.freshness.storeCameBack(this.#clockOf(vm));
-    this.#tell(vm, { kind: 'rumours', rumours: vm.spread.eraRumours(vm.history.starts) });
+    vm.freshness.recordStoreRestore(this.#clockOf(vm));
+    this.#tell(vm, { kind: 'rumours', rumours: vm.spread.eraUpdates(vm.history.starts) });
   }
 
   #setFailed(vm: Vm, calls: number): void {
@@ -518,17 +522,17 @@
     this.#tell(vm, { kind: 'described', description });
   }
 
-  #learn(vm: Vm, configVersion: number, facts: readonly RunnerFact[]): void {
+  #learn(vm: Vm, configVersion: number, facts: readonly RunnerRecord[]): void {
     const state = vm;
-    const changed = facts.filter((fact) => vm.directory.learn(this.now, fact, 0));
+    const changed = facts.filter((fact) => vm.directory.apply(this.now, fact, 0));
     const isNewer = configVersion > vm.configVersion;
     if (isNewer) state.configVersion = configVersion;
     if (!isNewer && changed.length === 0) return;
     setDigest(vm);
     const rumours = [
-      ...(isNewer ? vm.spread.configRumours(configVersion) : []),
+      ...(isNewer ? vm.spread.configUpdates(configVersion) : []),
       ...(changed.length > 0
-        ? vm.spread.runnerRumours(changed, (fact) => JSON.stringify(fact))
+        ? vm.spread.runnerUpdates(changed, (fact) => JSON.stringify(fact))
         : []),
     ];
     this.#tell(vm, { kind: 'rumours', rumours });
@@ -538,7 +542,7 @@
     if (!news) return;
     if (vm.suspects.size === 0) {
       this.#later(vm, GATHER_MS, () => {
-        const rumours = [...vm.suspects.values()].map(suspectRumour);
+        const rumours = [...vm.suspects.values()].map(suspectUpdate);
         vm.suspects.clear();
         this.#tell(vm, { kind: 'rumours', rumours });
       });
@@ -546,9 +550,9 @@
     vm.suspects.set(news.fingerprint, news);
   }
 
-  #hear(vm: Vm, rumour: Rumour, address: string): void {
+  #hear(vm: Vm, rumour: GossipUpdate, address: string): void {
     if (rumour.path.startsWith(SUSPECT_PATH)) {
-      this.#suspect(vm, vm.quarantine.learn(this.now, fromRumour(rumour, suspectSchema)));
+      this.#suspect(vm, vm.quarantine.apply(this.now, fromUpdate(rumour, suspectSchema)));
       return;
     }
     if (rumour.path === ERA_PATH) {
@@ -556,18 +560,18 @@
       return;
     }
     if (rumour.path.startsWith(RUNNER_PATH) && rumour.text !== undefined) {
-      this.#learn(vm, 0, [JSON.parse(rumour.text) as RunnerFact]);
+      this.#learn(vm, 0, [JSON.parse(rumour.text) as RunnerRecord]);
       return;
     }
     const { configVersion, directory } = vm;
-    vm.spread.heard(rumour, address, { configVersion, runnersPosition: directory.position });
+    vm.spread.receive(rumour, address, { configVersion, runnersPosition: directory.position });
     this.#exchangeDue(vm);
   }
 
   #exchangeDue(vm: Vm): void {
-    const address = vm.spread.takeDue(this.now);
+    const address = vm.spread.takeFetchTarget(this.now);
     if (address !== undefined) this.#exchange(vm, address, false);
-    const { dueAt } = vm.spread;
+    const { nextFetchAt: dueAt } = vm.spread;
     if (Number.isFinite(dueAt)) {
       this.#later(vm, Math.max(1, dueAt - this.now), () => this.#exchangeDue(vm));
     }
@@ -585,15 +589,15 @@
       if (bearer.startedAt > this.now) return;
       bearer.answered += 1;
       const { digest } = bearer.directory;
-      const facts = bearer.directory.factsIn(this.now, digest.differing(parts), 2000);
+      const facts = bearer.directory.factsIn(this.now, digest.differingParts(parts), 2000);
       const { all } = bearer.membership;
       const { configVersion } = bearer;
       const { starts } = bearer.history;
-      const proof = bearer.freshness.tell(this.#clockOf(bearer), configVersion);
+      const proof = bearer.freshness.proofAt(this.#clockOf(bearer), configVersion);
       this.#later(vm, HOP_MS, () => {
         this.#learnEras(vm, starts);
         this.#learn(vm, configVersion, facts);
-        if (proof) vm.freshness.told(askedAt, proof, vm.configVersion);
+        if (proof) vm.freshness.acceptProof(askedAt, proof, vm.configVersion);
         if (members) this.#tell(vm, { kind: 'synced', members: all });
       });
     });
@@ -617,7 +621,7 @@
     if (action.kind === 'changed') Object.assign(vm, { changed: true });
     if (action.kind === 'heard') this.#hear(vm, action.rumour, action.address);
     if (action.kind === 'differs') {
-      vm.spread.differs(this.now, action.address);
+      vm.spread.reportMismatch(this.now, action.address);
       this.#exchangeDue(vm);
     }
     if (action.kind !== 'send') return;
@@ -625,12 +629,12 @@
     const target = this.#vms[Number.parseInt(action.to, 10)];
     if (!target || this.#mute.has(vm.number) || this.#isCut(vm, target)) return;
     const { packet } = action;
-    if (packet.kind === 'ping') vm.freshness.ask(this.#clockOf(vm), packet.seq);
-    const proof = vm.freshness.tell(this.#clockOf(vm), vm.configVersion);
+    if (packet.kind === 'ping') vm.freshness.recordQuery(this.#clockOf(vm), packet.seq);
+    const proof = vm.freshness.proofAt(this.#clockOf(vm), vm.configVersion);
     this.#schedule.add(this.now + HOP_MS, () => {
       if (target.dead || target.frozen || target.startedAt > this.now) return;
       if (proof && packet.kind === 'ack') {
-        target.freshness.answer(packet.seq, proof, target.configVersion);
+        target.freshness.recordReply(packet.seq, proof, target.configVersion);
       }
       this.#tell(target, { kind: 'packet', packet });
     });
--- a/test/fakes/virtual/quotafleet.ts
+++ b/test/fakes/virtual/quotafleet.ts
@@ -9,7 +9,7 @@
 import type { Quota } from '../../../src/core/customers/types';
 import { Membership } from '../../../src/core/membership/membership';
 import type { Member, MembershipAction, MembershipEvent } from '../../../src/core/membership/types';
-import { mayOwn } from '../../../src/core/membership/types';
+import { canOwn } from '../../../src/core/membership/types';
 import { rankByCores } from '../../../src/core/ownership';
 import { Schedule } from './schedule';
 import { seeded } from './workload';
@@ -228,7 +228,7 @@
     }
     let found = known.get(key);
     if (!found) {
-      found = rankByCores(key, vm.membership.all.filter(mayOwn)).map((member) => this.#of(member));
+      found = rankByCores(key, vm.membership.all.filter(canOwn)).map((member) => this.#of(member));
       known.set(key, found);
     }
     return found;
--- a/test/fakes/virtual/quotaways.ts
+++ b/test/fakes/virtual/quotaways.ts
@@ -7,7 +7,7 @@
 import { QuotaAccount } from '../../../src/core/quotas/account';
 import { QuotaAccounts } from '../../../src/core/quotas/accounts';
 import type { QuotaMembers } from '../../../src/core/quotas/share';
-import { renewMs } from '../../../src/core/quotas/share';
+import { renewIntervalMs } from '../../../src/core/quotas/share';
 import { LazyMap } from '../../../src/utils/lazymap';
 import type { QuotaNetwork, QuotaVm, QuotaWay } from './quotafleet';
 
@@ -74,10 +74,11 @@
     const network = this.#network;
     const group = groupOf('ada');
     const [owner] = this.#ownersOf(vm, 'ada');
-    this.#accountsOf(vm).own(network.now, new Set(owner === vm ? [group] : []));
+    this.#accountsOf(vm).setOwned(network.now, new Set(owner === vm ? [group] : []));
     const before = this.#owners.get(vm);
     const isDue =
-      before !== owner || network.now - (this.#toldAt.get(vm) ?? 0) > renewMs(membersOf(vm));
+      before !== owner ||
+      network.now - (this.#toldAt.get(vm) ?? 0) > renewIntervalMs(membersOf(vm));
     if (!owner || !isDue) return;
     this.#owners.set(vm, owner);
     this.#toldAt.set(vm, network.now);
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import { toFailure } from '../../src/core/failure';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import type { RoutingConfig } from '../../src/core/routing/types';
 import type { FeedListener } from '../../src/node/router/types';
 import { EraReader } from '../../src/platform/era';
@@ -47,7 +47,7 @@
 
   onSuspects(): void {}
 
-  onProof(): void {}
+  onConfirmed(): void {}
 
   onStore(up: boolean): void {
     if (this.store.at(-1) !== up) this.store.push(up);
@@ -67,7 +67,7 @@
     store.put('op/config', config(3));
     for (const id of ['i-1', 'i-2', 'i-3', 'i-4']) store.put(`servers/${id}`, runner('ready'));
     listener = new Listener();
-    const history = new History();
+    const history = new StoreHistory();
     const client = clientOf(store, history);
     feed = new StoreFeed(client, { vm: 'vm1', address: '10.0.0.9:1' }, history, log);
     feed.start(listener);
@@ -232,7 +232,7 @@
       sendJson(res, 200, { items: [], truncated: true, 'as-of': 1 }),
     );
     const log = pino({ level: 'silent' });
-    const store = new StoreClient(`127.0.0.1:${port}`, new EraReader(new History(), log));
+    const store = new StoreClient(`127.0.0.1:${port}`, new EraReader(new StoreHistory(), log));
     const outcome = await store.range('').catch(toFailure);
     await closeServer(server);
     expect(outcome).toMatchObject({ codeName: 'platformUnavailable' });
--- a/test/router/ration.test.ts
+++ b/test/router/allowance.test.ts
@@ -3,7 +3,7 @@
 import type { Demand, PlanAction } from '../../src/core/memory/types';
 import type { QuotaBounds } from '../../src/core/quotas/account';
 import { QuotaAccount } from '../../src/core/quotas/account';
-import type { Ration } from '../../src/core/ratelimits/types';
+import type { RateAllowance } from '../../src/core/ratelimits/types';
 import type { Engine, Runner } from '../../src/core/routing/types';
 import { LazyMap } from '../../src/utils/lazymap';
 import { runnerOf } from '../fakes/runner';
@@ -20,7 +20,7 @@
 const RUN_MS = 800;
 
 /** What limited runners may get, kept by one owner. */
-class OwnRation implements Ration {
+class OwnRation implements RateAllowance {
   readonly #rates: Readonly<Record<string, number>>;
 
   readonly #accounts = new LazyMap<string, QuotaAccount>(() => new QuotaAccount(0, bounds));
--- a/test/router/gate.test.ts
+++ b/test/router/authorizer.test.ts
@@ -1,10 +1,10 @@
 import pino from 'pino';
 
 import type { Customer } from '../../src/core/customers/types';
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import type { RoutingConfig } from '../../src/core/routing/types';
-import { Gate } from '../../src/node/router/gate';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { Authorizer } from '../../src/node/router/authorizer';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { silentListener } from '../fakes/listener';
 
 const config = (customers?: readonly Customer[]): RoutingConfig => ({
@@ -16,10 +16,10 @@
 });
 
 /** A gate of a VM that knows a configuration and not how old it can be. */
-function gateOf(customers?: readonly Customer[]): Gate {
-  const knowledge = new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+function gateOf(customers?: readonly Customer[]): Authorizer {
+  const knowledge = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
   knowledge.learnConfig(0, config(customers), 'test');
-  return new Gate(knowledge, () => ({ keyMs: 4700, finalMs: 2000 }));
+  return new Authorizer(knowledge, () => ({ keyMs: 4700, finalMs: 2000 }));
 }
 
 describe('a VM that does not know how old its configuration is', () => {
@@ -28,10 +28,10 @@
    * come back, and callers came back again and again for routes that are gone.
    */
   test('says that a route is not there where no keys are needed', () => {
-    expect(gateOf().doubt(0, 'a route')).toBeUndefined();
+    expect(gateOf().staleRefusal(0, 'a route')).toBeUndefined();
   });
 
   test('says so of nothing where keys are needed', () => {
-    expect(gateOf([]).doubt(0, 'a route')?.codeName).toBe('configOld');
+    expect(gateOf([]).staleRefusal(0, 'a route')?.codeName).toBe('configOld');
   });
 });
--- a/test/router/exchange.test.ts
+++ b/test/router/exchange.test.ts
@@ -70,7 +70,7 @@
   const failure = new Failure('runnerFailed', 'd1 broke the answer off');
 
   const cut = async (exchange: Exchange): Promise<void> => {
-    exchange.head(200, ['content-type', 'text/event-stream']);
+    exchange.writeHead(200, ['content-type', 'text/event-stream']);
     await exchange.write(Buffer.from(EVENT));
     // Node reports a reset that comes together with bytes as an end in order.
     await pause(READ_MS);
@@ -97,13 +97,13 @@
       exchange,
       engine: streamEngine,
       stream,
-      mayGoOn: () => true,
-      onNote: () => {},
+      canResume: () => true,
+      onProgress: () => {},
     });
     const runs = runsOf();
     const pass = (reply: Reply): Promise<RelayOutcome> => {
       const run = runs.begin(performance.now(), exchange, runnerOf('d', 'decode'));
-      return relay.pass({ reply, run });
+      return relay.forward({ reply, run });
     };
     const headers = ['Content-Length', String(EVENT.length + 1)];
     await pass({ ...brokenReplyOf(200, EVENT), headers });
--- a/test/router/front.test.ts
+++ b/test/router/frontend.test.ts
@@ -4,11 +4,11 @@
 
 import pino from 'pino';
 
-import { History } from '../../src/core/routing/position';
+import { StoreHistory } from '../../src/core/routing/position';
 import type { RoutingConfig } from '../../src/core/routing/types';
-import type { FrontContext } from '../../src/node/router/front';
-import { Front } from '../../src/node/router/front';
-import { Knowledge } from '../../src/node/router/knowledge';
+import type { FrontEndContext } from '../../src/node/router/frontend';
+import { FrontEnd } from '../../src/node/router/frontend';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { RouterMetrics } from '../../src/node/router/metrics';
 import { silentListener } from '../fakes/listener';
 import { gateOf } from '../fakes/runs';
@@ -58,10 +58,10 @@
 const log = pino({ level: 'silent' });
 
 /** A front that hands its requests to `onRequest`. */
-function frontOf(knowledge: Knowledge, onRequest: FrontContext['onRequest']): Front {
-  return new Front({
+function frontOf(knowledge: RoutingState, onRequest: FrontEndContext['onRequest']): FrontEnd {
+  return new FrontEnd({
     knowledge,
-    gate: gateOf(knowledge),
+    authorizer: gateOf(knowledge),
     codec: new PlatformIngress(),
     metrics: new RouterMetrics(),
     log,
@@ -71,11 +71,11 @@
 }
 
 describe('the front', () => {
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), log, silentListener);
   const seen: string[] = [];
   const front = frontOf(knowledge, async (exchange) => {
     seen.push(exchange.request.target);
-    exchange.head(200, ['content-length', '2']);
+    exchange.writeHead(200, ['content-length', '2']);
     exchange.end(Buffer.from('ok'));
   });
   const port = 18_000 + Number(process.env.JEST_WORKER_ID ?? 0);
@@ -120,9 +120,9 @@
   const REQUEST = 'GET /a/ HTTP/1.0\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n';
   /** Longer than the answers of this test take, in milliseconds. */
   const OBSERVED_MS = 300;
-  const knowledge = new Knowledge(new History(), log, silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), log, silentListener);
   const front = frontOf(knowledge, async (exchange) => {
-    exchange.head(200, ['content-type', 'text/event-stream']);
+    exchange.writeHead(200, ['content-type', 'text/event-stream']);
     await exchange.write(Buffer.from(EVENT));
     await pause(OBSERVED_MS / 3);
     exchange.end(Buffer.from(EVENT));
--- a/test/router/inflight.test.ts
+++ b/test/router/inflight.test.ts
@@ -2,7 +2,7 @@
 
 import pino from 'pino';
 
-import { InflightClient, precedes } from '../../src/node/router/inflight';
+import { InflightClient, wasSentBefore } from '../../src/node/router/inflight';
 import type { Dispatch, Reply, RunnerClient } from '../../src/node/router/types';
 import { runnerOf } from '../fakes/runner';
 
@@ -41,7 +41,7 @@
     body,
     start: (at) => {
       latest = at;
-      client.endLost();
+      client.abortLost();
     },
     lost: () => signal?.aborted ?? false,
   };
@@ -81,6 +81,10 @@
     const ended = await requestAt(1000);
     ended.body.emit('close');
     ended.start(Date.now() + 60_000);
-    expect([same.lost(), precedes(0, 4000), precedes(0, 6000)]).toEqual([false, false, true]);
+    expect([same.lost(), wasSentBefore(0, 4000), wasSentBefore(0, 6000)]).toEqual([
+      false,
+      false,
+      true,
+    ]);
   });
 });
--- a/test/router/model.test.ts
+++ b/test/router/model.test.ts
@@ -1,7 +1,7 @@
 import { Failure } from '../../src/core/failure';
 import type { ModelContext } from '../../src/node/router/model';
-import { ModelCaller } from '../../src/node/router/model';
-import type { OwnDemand } from '../../src/node/router/plans';
+import { ModelHandler } from '../../src/node/router/model';
+import type { LocalDemand } from '../../src/node/router/messages';
 import type { DecodeDispatch, Dispatch } from '../../src/node/router/types';
 import { exchangeInto, promptRequest, replyOf, streamEngine, streamRoute } from '../fakes/exchange';
 import { runnerOf as runner } from '../fakes/runner';
@@ -46,7 +46,7 @@
       mayRepeat: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
-    await new ModelCaller(context).run(exchangeInto(out), streamEngine);
+    await new ModelHandler(context).run(exchangeInto(out), streamEngine);
     expect(sent).toEqual(['prefill', 'd1 h', 'd2 h']);
     expect(out).toEqual(['200', 'id: 1\n\n']);
   });
@@ -85,7 +85,7 @@
       mayRepeat: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
-    await new ModelCaller(context).run(exchangeInto(out), streamEngine);
+    await new ModelHandler(context).run(exchangeInto(out), streamEngine);
     expect(sent).toEqual(['place', 'prefill p', 'prefill p', 'd h2']);
     expect(out).toEqual(['200', 'id: 1\n\n']);
   });
@@ -96,18 +96,18 @@
    * earlier tries, so the second looked late before it began and was served last.
    */
   test('is due by its aim, whatever its caller will wait', async () => {
-    const asked: OwnDemand[] = [];
+    const asked: LocalDemand[] = [];
     const context = {
       quotas: noQuotas,
       permits: noPermits,
       places: {
-        ask: async (_service: string, demand: OwnDemand) => {
+        ask: async (_service: string, demand: LocalDemand) => {
           asked.push(demand);
           throw new Failure('deadlineUnreachable', 'no place', { retryAfterMs: 300 });
         },
       },
     } as unknown as ModelContext;
-    const caller = new ModelCaller(context);
+    const caller = new ModelHandler(context);
     const exchanges = [14_000, 12_000].map((deadlineMs) =>
       exchangeInto([], { ...promptRequest, deadlineMs }),
     );
@@ -126,7 +126,7 @@
     const out: string[] = [];
     const route = { ...streamRoute, attempts: 3, resumable: true };
     const exchange = exchangeInto(out, promptRequest, route);
-    for (const id of ['x', 'y']) quarantine.ended(performance.now(), exchange.fingerprint, id);
+    for (const id of ['x', 'y']) quarantine.crashed(performance.now(), exchange.fingerprint, id);
     const sent: string[] = [];
     const context = {
       knowledge: { runnersOf: () => [runner('d1', 'decode'), runner('d2', 'decode')] },
@@ -142,7 +142,7 @@
       permits: noPermits,
       mayRepeat: () => true,
     } as unknown as ModelContext;
-    await new ModelCaller(context).run(exchange, streamEngine);
+    await new ModelHandler(context).run(exchange, streamEngine);
     expect(sent).toEqual(['d1']);
     expect([out[0], exchange.code]).toEqual(['502', 'runnerFailed']);
   });
@@ -177,7 +177,7 @@
       permits: noPermits,
       mayRepeat: () => true,
     } as unknown as ModelContext;
-    await new ModelCaller(context).run(exchange, streamEngine);
+    await new ModelHandler(context).run(exchange, streamEngine);
     expect(asked).toBe(2);
     expect([out[0], exchange.code]).toEqual(['502', 'runnerFailed']);
   });
--- a/test/router/orders.test.ts
+++ b/test/router/orders.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import type { OrderContext } from '../../src/node/router/orders';
-import { OrderDesk } from '../../src/node/router/orders';
+import { OrderController } from '../../src/node/router/orders';
 import { runnerOf } from '../fakes/runner';
 
 const LEASE_MS = 3000;
@@ -19,7 +19,7 @@
   test('is given up when the store comes back from an older copy', async () => {
     const orders: number[] = [];
     let fence = 0;
-    const desk = new OrderDesk({
+    const desk = new OrderController({
       vm: 'vm1',
       knowledge: { runnersOf: () => [runnerOf('p', 'prefill')] },
       host: {
@@ -44,7 +44,7 @@
     } as unknown as OrderContext);
     await jest.advanceTimersByTimeAsync(2600);
     expect(orders).toEqual([1, 1]);
-    desk.storeCameBack(performance.now());
+    desk.onStoreRestored(performance.now());
     await jest.advanceTimersByTimeAsync(2 * LEASE_MS - 100);
     expect(orders.length).toBe(2);
     await jest.advanceTimersByTimeAsync(4 * LEASE_MS);
--- a/test/router/plain.test.ts
+++ b/test/router/plain.test.ts
@@ -2,7 +2,7 @@
 import { Failure } from '../../src/core/failure';
 import type { CodeName } from '../../src/core/codes';
 import type { PlainContext } from '../../src/node/router/plain';
-import { PlainCaller } from '../../src/node/router/plain';
+import { PlainHandler } from '../../src/node/router/plain';
 import { exchangeInto, promptRequest, streamRoute } from '../fakes/exchange';
 import { runnerOf } from '../fakes/runner';
 import { noPermits, noQuotas, runsOf } from '../fakes/runs';
@@ -28,7 +28,7 @@
     mayRepeat: () => true,
     domain: 'a',
   } as unknown as PlainContext;
-  await new PlainCaller(context).run(exchange);
+  await new PlainHandler(context).run(exchange);
   return [out[0], exchange.code];
 }
 
--- a/test/router/plainchoice.test.ts
+++ b/test/router/plainbalancer.test.ts
@@ -1,11 +1,11 @@
 import { RunnerHealth } from '../../src/core/cell/health';
 import { Failure } from '../../src/core/failure';
 import type { Runner } from '../../src/core/routing/types';
-import type { Knowledge } from '../../src/node/router/knowledge';
+import type { RoutingState } from '../../src/node/router/routingstate';
 import type { Permit } from '../../src/node/router/permits';
-import type { ChoiceContext } from '../../src/node/router/plainchoice';
-import { PlainChoice } from '../../src/node/router/plainchoice';
-import { PlainCaller } from '../../src/node/router/plain';
+import type { BalancerContext } from '../../src/node/router/plainbalancer';
+import { PlainBalancer } from '../../src/node/router/plainbalancer';
+import { PlainHandler } from '../../src/node/router/plain';
 import type { PlainContext } from '../../src/node/router/plain';
 import type { Dispatch } from '../../src/node/router/types';
 import { exchangeInto, promptRequest, replyOf, streamRoute } from '../fakes/exchange';
@@ -33,9 +33,9 @@
     this.#permit = permit;
   }
 
-  context(runners: readonly Runner[]): ChoiceContext {
+  context(runners: readonly Runner[]): BalancerContext {
     const health = new RunnerHealth();
-    const permits: ChoiceContext['permits'] = {
+    const permits: BalancerContext['permits'] = {
       isLimited: (runner) => this.#limited.includes(runner),
       mayTake: (_now, runner) => !this.full.has(runner),
       isTrialDue: (_now, runner) => this.trials.has(runner),
@@ -45,7 +45,7 @@
         return this.#permit;
       },
     };
-    const knowledge = { runnersOf: () => runners } as unknown as Knowledge;
+    const knowledge = { runnersOf: () => runners } as unknown as RoutingState;
     return { knowledge, health: () => health, permits, domain: 'near' };
   }
 }
@@ -62,7 +62,7 @@
   /* A runner in need stands idle in the own failure domain. All VMs beside it would choose it for that. */
   test('takes no limited runner for the near one', async () => {
     const limited = new Limited(['near'], refused);
-    const choice = new PlainChoice(limited.context([near, far]));
+    const choice = new PlainBalancer(limited.context([near, far]));
     const chosen = await Promise.all(
       Array.from({ length: 40 }, () => choice.choose(0, exchange, [])),
     );
@@ -73,7 +73,7 @@
   test('does not ask for a limited runner that is known to take no more while there are others', async () => {
     const limited = new Limited(['near'], refused);
     limited.full.add('near');
-    const choice = new PlainChoice(limited.context([near, far]));
+    const choice = new PlainBalancer(limited.context([near, far]));
     for (let i = 0; i < 40; i += 1) {
       expect(await choice.choose(0, exchange, [])).toBe(far);
     }
@@ -83,7 +83,7 @@
   /* All others are idle, so that a runner that has recovered would get nothing by which to say so. */
   test('takes a limited runner at times, to see whether it still is', async () => {
     const limited = new Limited(['near'], { granted: true, runner: 'near', waitMs: 0 });
-    const choice = new PlainChoice(limited.context([near, far]));
+    const choice = new PlainBalancer(limited.context([near, far]));
     limited.trials.add('near');
     expect(await choice.choose(0, exchange, [])).toBe(near);
     limited.trials.clear();
@@ -93,7 +93,7 @@
 
   test('asks for all of them where all are limited, and waits for the turn within half of the aim', async () => {
     const limited = new Limited(['near', 'far'], { granted: true, runner: 'far', waitMs: 40 });
-    const choice = new PlainChoice(limited.context([near, far]));
+    const choice = new PlainBalancer(limited.context([near, far]));
     const since = performance.now();
     expect(await choice.choose(exchange.arrivedAt, exchange, [])).toBe(far);
     expect(performance.now() - since).toBeGreaterThanOrEqual(39);
@@ -105,7 +105,7 @@
 
   test('says when to come back where none takes it', async () => {
     const limited = new Limited(['near', 'far'], refused);
-    const choice = new PlainChoice(limited.context([near, far]));
+    const choice = new PlainBalancer(limited.context([near, far]));
     const chosen = await choice.choose(0, exchange, []);
     expect(chosen).toBeInstanceOf(Failure);
     expect(chosen).toMatchObject({ codeName: 'runnersLimited', retryAfterMs: 700 });
@@ -125,7 +125,7 @@
       quotas: noQuotas,
       mayRepeat: () => true,
     } as unknown as PlainContext;
-    await new PlainCaller(context).run(exchange);
+    await new PlainHandler(context).run(exchange);
     expect(out).toEqual(['500', 'of near']);
     expect(limited.asked).toHaveLength(1);
   });
--- a/test/router/owner.test.ts
+++ b/test/router/plannerhost.test.ts
@@ -1,12 +1,12 @@
 import pino from 'pino';
 
-import { PauseWatch } from '../../src/core/pause';
+import { PauseDetector } from '../../src/core/pause';
 import { unlimited } from '../../src/core/ratelimits/types';
 import type { RoutingConfig } from '../../src/core/routing/types';
-import { History } from '../../src/core/routing/position';
-import { Knowledge } from '../../src/node/router/knowledge';
-import { PlanHost } from '../../src/node/router/owner';
-import type { Ask } from '../../src/node/router/plans';
+import { StoreHistory } from '../../src/core/routing/position';
+import { RoutingState } from '../../src/node/router/routingstate';
+import { PlannerHost } from '../../src/node/router/plannerhost';
+import type { ReservationRequest } from '../../src/node/router/messages';
 import type { RunnerClient } from '../../src/node/router/types';
 import { at } from '../fakes/position';
 import { runnerOf as runner } from '../fakes/runner';
@@ -27,7 +27,7 @@
   limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 };
 
-const ask = (id: string): Ask => ({
+const ask = (id: string): ReservationRequest => ({
   service: 's',
   id,
   rank: 1,
@@ -41,20 +41,23 @@
 });
 
 /** A host that knows one decode runner with room for eleven and enough prefill runners. */
-function hostAt(now: number, onUnsure: (service: string) => void = () => {}): PlanHost {
-  const knowledge = new Knowledge(new History(), log, silentListener);
+function hostAt(now: number, onUnsure: (service: string) => void = () => {}): PlannerHost {
+  const knowledge = new RoutingState(new StoreHistory(), log, silentListener);
   knowledge.learnConfig(now, config, 'store');
   const runners = [runner('d', 'decode'), ...'12345678'.split('').map((i) => runner(i, 'prefill'))];
   const facts = runners.map((entry) => ({ id: entry.id, position: at(1), runner: entry }));
   knowledge.learnRunners(now, facts, 'store');
-  return new PlanHost(knowledge, {} as RunnerClient, log, { onUnsure, rationOf: () => unlimited });
+  return new PlannerHost(knowledge, {} as RunnerClient, log, {
+    onIncompleteState: onUnsure,
+    rateAllowanceOf: () => unlimited,
+  });
 }
 
 /** Places given to a burst at one moment. */
-function burst(host: PlanHost, now: number): number {
+function burst(host: PlannerHost, now: number): number {
   const states = Array.from(
     { length: 20 },
-    (_, i) => host.ask(now, 'vm2', ask(`${now}-${i}`), () => {}).state,
+    (_, i) => host.reserve(now, 'vm2', ask(`${now}-${i}`), () => {}).state,
   );
   return states.filter((state) => state === 'granted').length;
 }
@@ -68,10 +71,10 @@
   test('plans cautiously again when it has not been asked for long', () => {
     const now = performance.now();
     const fresh = hostAt(now);
-    fresh.hold(now, 'vm2', { service: 's', holdings: [] });
+    fresh.onHoldings(now, 'vm2', { service: 's', holdings: [] });
     const asked = burst(fresh, now + 1000);
     const again = hostAt(now);
-    again.hold(now, 'vm2', { service: 's', holdings: [] });
+    again.onHoldings(now, 'vm2', { service: 's', holdings: [] });
     const unheard = burst(again, now + 10_000);
     fresh.stop();
     again.stop();
@@ -87,10 +90,10 @@
     const now = performance.now();
     const unsure: string[] = [];
     const host = hostAt(now, (service) => unsure.push(service));
-    host.ask(now, 'vm2', ask('first'), () => {});
-    host.ask(now + 1000, 'vm2', ask('second'), () => {});
+    host.reserve(now, 'vm2', ask('first'), () => {});
+    host.reserve(now + 1000, 'vm2', ask('second'), () => {});
     expect(unsure).toEqual(['s']);
-    host.ask(now + 10_000, 'vm2', ask('third'), () => {});
+    host.reserve(now + 10_000, 'vm2', ask('third'), () => {});
     host.stop();
     expect(unsure).toEqual(['s', 's']);
   });
@@ -98,7 +101,7 @@
 
 describe('a process that watches itself', () => {
   test('notices that it was frozen, suspended with its VM, and nothing else', () => {
-    const watch = new PauseWatch(25);
+    const watch = new PauseDetector(25);
     const ticks = [
       [0, 1000],
       [25, 1025],
