--- a/test/router/knowledge.test.ts
+++ b/test/router/routingstate.test.ts
@@ -1,10 +1,10 @@
 import pino from 'pino';
 
-import type { RunnerFact } from '../../src/core/routing/directory';
+import type { RunnerRecord } from '../../src/core/routing/directory';
 import type { RoutingConfig, Runner } from '../../src/core/routing/types';
-import { History } from '../../src/core/routing/position';
-import { startId } from '../../src/core/routing/types';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { StoreHistory } from '../../src/core/routing/position';
+import { instanceId } from '../../src/core/routing/types';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { at } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
 import { silentListener } from '../fakes/listener';
@@ -18,10 +18,10 @@
   limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 });
 
-const fresh = (): Knowledge =>
-  new Knowledge(new History(), pino({ level: 'silent' }), silentListener);
+const fresh = (): RoutingState =>
+  new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
 
-const ids = (knowledge: Knowledge, now: number): readonly string[] =>
+const ids = (knowledge: RoutingState, now: number): readonly string[] =>
   knowledge.runnersOf(now, 's').map(({ id }) => id);
 
 describe('what a VM knows', () => {
@@ -126,7 +126,7 @@
   test('takes a later start of a runner for another one, and never goes back', () => {
     const knowledge = fresh();
     const start = (bornAt: number, leaving = false): Runner =>
-      runner('r', { id: startId('r', bornAt), bornAt, leaving });
+      runner('r', { id: instanceId('r', bornAt), bornAt, leaving });
     const tell = (revision: number, told: Runner): void =>
       knowledge.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
     tell(1, start(1000, true));
@@ -141,7 +141,7 @@
   /* A runner's own report names a later start than its entry. The listed start is over; the new one gets work once it is listed. */
   test('gives no work to a start that is over by the runner itself', () => {
     const knowledge = fresh();
-    const start = (bornAt: number): Runner => runner('r', { id: startId('r', bornAt), bornAt });
+    const start = (bornAt: number): Runner => runner('r', { id: instanceId('r', bornAt), bornAt });
     knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: start(1000) }], 'store');
     knowledge.learnStart('r', 2000);
     expect(ids(knowledge, 0)).toEqual([]);
@@ -159,18 +159,18 @@
   test('reports an entry that names no runner once for each revision', () => {
     const lines: string[] = [];
     let counted = 0;
-    const knowledge = new Knowledge(
-      new History(),
+    const knowledge = new RoutingState(
+      new StoreHistory(),
       pino({ level: 'warn' }, { write: (line) => lines.push(line) }),
       {
-        onNews: () => {},
-        onUnfitEntry: () => {
+        onChange: () => {},
+        onInvalidEntry: () => {
           counted += 1;
         },
       },
     );
     knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    const unfit = (revision: number): RunnerFact => ({
+    const unfit = (revision: number): RunnerRecord => ({
       id: 'r',
       position: at(revision),
       runner: undefined,
@@ -189,9 +189,9 @@
 
   test('reports a runner of a service that it does not know once', () => {
     let counted = 0;
-    const knowledge = new Knowledge(new History(), pino({ level: 'silent' }), {
-      onNews: () => {},
-      onUnfitEntry: () => {
+    const knowledge = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), {
+      onChange: () => {},
+      onInvalidEntry: () => {
         counted += 1;
       },
     });
--- a/test/router/runs.test.ts
+++ b/test/router/runs.test.ts
@@ -26,7 +26,7 @@
     });
     this.runs = new Runs({
       quarantine: quarantineOf(),
-      gate: gateOf(),
+      authorizer: gateOf(),
       rateLimits: rateLimitsOf(),
       metrics: this.metrics,
       log: pino(sink),
@@ -47,7 +47,7 @@
       const exchange = exchangeInto([], { ...promptRequest, id, body });
       const run = runs.begin(1000, exchange, runnerOf('d1', 'decode'));
       if (id === 'second') run.answered(1200);
-      run.broke(1300.4);
+      run.interrupted(1300.4);
       exchange.end();
     }
     expect(lines).toMatchInlineSnapshot(`
@@ -96,7 +96,7 @@
     const exchange = exchangeInto([]);
     const run = runs.begin(0, exchange, runnerOf('d1', 'decode'));
     exchange.end();
-    run.broke(100);
+    run.interrupted(100);
     expect(lines).toEqual([]);
   });
 });
--- a/test/router/streams.test.ts
+++ b/test/router/streams.test.ts
@@ -1,7 +1,7 @@
 import type { Route } from '../../src/core/routing/types';
 import type { Exchange } from '../../src/node/router/exchange';
 import type { ModelContext } from '../../src/node/router/model';
-import { ModelCaller } from '../../src/node/router/model';
+import { ModelHandler } from '../../src/node/router/model';
 import type { DecodeDispatch, Reply } from '../../src/node/router/types';
 import {
   CUT,
@@ -47,7 +47,7 @@
     permits: noPermits,
     mayRepeat: () => true,
   } as unknown as ModelContext;
-  await new ModelCaller(context).run(exchange, streamEngine);
+  await new ModelHandler(context).run(exchange, streamEngine);
   return sent;
 }
 
@@ -151,7 +151,7 @@
   test('is given none of its events by another runner', async () => {
     const out: string[] = [];
     const exchange = exchangeInto(out, promptRequest, resumable);
-    exchange.head = () => {
+    exchange.writeHead = () => {
       throw new TypeError('invalid character in header');
     };
     const replies = [replyOf(200, eventsOf(1, 2)), replyOf(200, eventsOf(3, 3))];
