--- a/src/node/router/fleet.ts
+++ b/src/node/router/fleet.ts
@@ -8,13 +8,13 @@
 import { isPresent, canOwn } from '../../core/membership/types';
 import { addressesNear, rankByCores } from '../../core/ownership';
 import { toFailure } from '../../core/failure';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { PeerLink } from '../peer/link';
 import { PROTOCOL_VERSION } from '../peer/messages';
 import type { Peer } from '../peer/server';
 import { PeerServer } from '../peer/server';
-import type { ProofExchange } from '../scheduler/members';
+import type { FreshnessExchange } from '../scheduler/members';
 import { MembershipDriver } from '../scheduler/members';
 import type { RouterSettings } from './types';
 
@@ -83,7 +83,7 @@
   /** Addresses to which links stay open although they are idle. */
   readonly #keptOpen = new Set<string>();
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   #reaper: NodeJS.Timeout | undefined;
 
@@ -99,7 +99,7 @@
 
   constructor(
     settings: RouterSettings,
-    proofs: ProofExchange,
+    proofs: FreshnessExchange,
     metrics: Metrics,
     log: Logger,
     listener: FleetListener,
@@ -107,7 +107,7 @@
     this.#settings = settings;
     this.#log = log;
     this.#listener = listener;
-    this.#lines = new LineBudget(MEMBER_LINES_PER_S, (lines) =>
+    this.#lines = new LogRateLimiter(MEMBER_LINES_PER_S, (lines) =>
       log.info({ lines, present: this.alive.length }, 'More members changed.'),
     );
     const { vm, domain, peer, peerKey, cores } = settings;
@@ -131,8 +131,8 @@
       proofs,
       listener: {
         onChange: (member) => this.#onMemberChange(member),
-        onRumour: (update, address) => listener.onUpdate(update, address),
-        onDiffers: (address) => listener.onDigestDiffers(address),
+        onUpdate: (update, address) => listener.onUpdate(update, address),
+        onDigestDiffers: (address) => listener.onDigestDiffers(address),
       },
     });
     this.#server = new PeerServer({
@@ -188,12 +188,12 @@
   /** Probes addresses at which other VMs may run. */
   contact(addresses: readonly string[]): void {
     const others = addresses.filter((address) => address !== this.#settings.peer);
-    this.#members.tell({ kind: 'contact', addresses: others });
+    this.#members.handle({ kind: 'contact', addresses: others });
   }
 
   /** Merges the members that another VM knows. */
   sync(members: readonly Member[]): void {
-    this.#members.tell({ kind: 'synced', members });
+    this.#members.handle({ kind: 'synced', members });
   }
 
   /** Adds VMs that the store lists, unless their addresses are known: results of probes take precedence. */
@@ -201,7 +201,7 @@
     const known = new Set(this.all.map(({ address }) => address));
     const fresh = vms.filter(({ address }) => !known.has(address));
     if (fresh.length === 0) return;
-    this.#members.tell({
+    this.#members.handle({
       kind: 'listed',
       vms: fresh.map(({ vm, address }) => ({ vm, address, leaving: false })),
     });
@@ -209,7 +209,7 @@
 
   /** Sets the description of this VM that is announced to the other members. */
   describe(description: MemberStatus): void {
-    this.#members.tell({ kind: 'described', description });
+    this.#members.handle({ kind: 'described', description });
   }
 
   /** Sets the digest of this VM's state, which other members compare with theirs. */
@@ -219,12 +219,12 @@
 
   /** Announces that this VM leaves. */
   leave(): void {
-    this.#members.tell({ kind: 'leaving' });
+    this.#members.handle({ kind: 'leaving' });
   }
 
   /** Sends gossip updates to the other members. */
   gossip(rumours: readonly GossipUpdate[]): void {
-    if (rumours.length > 0) this.#members.tell({ kind: 'rumours', rumours });
+    if (rumours.length > 0) this.#members.handle({ kind: 'rumours', rumours });
   }
 
   /** Addresses for callers in a failure domain, of VMs that are present and do not drain; the best first. */
@@ -282,7 +282,7 @@
    */
   async call(address: string, method: string, params: unknown, limitMs: number): Promise<unknown> {
     const link = this.#linkTo(performance.now(), address);
-    if (!link.up) await Promise.race([link.opened, pause(limitMs, undefined, { ref: false })]);
+    if (!link.up) await Promise.race([link.attempted, pause(limitMs, undefined, { ref: false })]);
     return link.call(method, params, limitMs);
   }
 
@@ -334,7 +334,7 @@
 
   #onMemberChange(member: Member): void {
     const { vm, address, state, draining, incarnation } = member;
-    if (this.#lines.allows(performance.now())) {
+    if (this.#lines.tryAcquire(performance.now())) {
       this.#log.info({ vm, state, draining, incarnation }, 'Member changed.');
     }
     if (state === 'dead' || state === 'left') {
--- a/src/node/router/frontend.ts
+++ b/src/node/router/frontend.ts
@@ -15,7 +15,7 @@
 import { bootNow } from '../../utils/clock';
 import { OpenResponses } from '../../utils/responses';
 import { listenOn, readBody } from '../../utils/http';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { Exchange, sendRefusal } from './exchange';
 import type { Authorizer } from './authorizer';
@@ -52,7 +52,7 @@
 
   readonly #server: Server;
 
-  readonly #logBudget: LineBudget;
+  readonly #logBudget: LogRateLimiter;
 
   readonly #openResponses = new OpenResponses();
 
@@ -62,7 +62,7 @@
 
   constructor(context: FrontEndContext) {
     this.#context = context;
-    this.#logBudget = new LineBudget(REFUSAL_LINES_PER_S, (lines) =>
+    this.#logBudget = new LogRateLimiter(REFUSAL_LINES_PER_S, (lines) =>
       context.log.info({ lines }, 'Suppressed log lines of refused requests.'),
     );
     this.#server = createServer(
@@ -160,7 +160,7 @@
   #logRefusal(now: number, request: string | undefined, { codeName, message }: Failure): void {
     const { knowledge, metrics, log } = this.#context;
     metrics.count(`refused.${codeName}`);
-    if (!this.#logBudget.allows(now)) return;
+    if (!this.#logBudget.tryAcquire(now)) return;
     const { configVersion, freshness } = knowledge;
     const ageMs = Math.round(freshness.ageMs(bootNow()));
     log.info(
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -13,7 +13,7 @@
 import type { QuotaBounds, QuotaDecision } from '../../core/quotas/account';
 import type { QuotaKey } from '../../core/quotas/accounts';
 import { QuotaAccounts } from '../../core/quotas/accounts';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { AccountOwners } from './accountowners';
 import type { Exchange } from './exchange';
@@ -68,7 +68,7 @@
 
   readonly #owners: AccountOwners;
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   constructor(context: QuotaContext) {
     const { vm, bounds, fleet, metrics, log } = context;
@@ -83,7 +83,7 @@
       metrics,
       log,
     });
-    this.#lines = new LineBudget(REJECTION_LINES_PER_S, (lines) =>
+    this.#lines = new LogRateLimiter(REJECTION_LINES_PER_S, (lines) =>
       log.info({ lines }, 'Rejected more requests over a quota.'),
     );
   }
@@ -178,7 +178,7 @@
     const { configVersion } = knowledge;
     const { customer } = request;
     metrics.count('quotas.refused');
-    if (this.#lines.allows(performance.now())) {
+    if (this.#lines.tryAcquire(performance.now())) {
       log.info(
         { request: request.id, customer, configVersion, size, retryAfterMs },
         'Rejected a request over the quota.',
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -9,7 +9,7 @@
 import { RunnerRates, digestOf } from '../../core/ratelimits/rates';
 import type { RunnerRate } from '../../core/ratelimits/types';
 import type { Runner } from '../../core/routing/types';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import type { RoutingState } from './routingstate';
 import type { Reply } from './types';
@@ -52,9 +52,9 @@
 
   readonly #rates = new RunnerRates();
 
-  readonly #changeLines: LineBudget;
+  readonly #changeLines: LogRateLimiter;
 
-  readonly #unreadableLines: LineBudget;
+  readonly #unreadableLines: LogRateLimiter;
 
   readonly #timer: NodeJS.Timeout;
 
@@ -64,10 +64,10 @@
   constructor(context: RateLimitContext) {
     this.#context = context;
     const { log } = context;
-    this.#changeLines = new LineBudget(RATE_LINES_PER_S, (lines) =>
+    this.#changeLines = new LogRateLimiter(RATE_LINES_PER_S, (lines) =>
       log.info({ lines }, 'More rate limits changed.'),
     );
-    this.#unreadableLines = new LineBudget(UNREADABLE_LINES_PER_S, (lines) =>
+    this.#unreadableLines = new LogRateLimiter(UNREADABLE_LINES_PER_S, (lines) =>
       log.warn({ lines }, 'More rate limits were unreadable.'),
     );
     this.#timer = setInterval(() => this.#prune(performance.now()), PRUNE_MS).unref();
@@ -136,7 +136,7 @@
     if (this.#pending.size === 0) setTimeout(() => this.#flush(), BATCH_MS).unref();
     this.#pending.set(rate.runner, { rate, isOwn: source === OWN });
     metrics.gauge('ratelimits.runners', this.#rates.limited.length);
-    if (!this.#changeLines.allows(now)) return;
+    if (!this.#changeLines.tryAcquire(now)) return;
     const isLimited = rate.ratePerS !== undefined;
     const text = isLimited
       ? 'A runner has announced a rate limit.'
@@ -152,7 +152,7 @@
 
   #reportUnreadable(now: number, { id: runner, service }: Runner, text: string): void {
     this.#context.metrics.count('ratelimits.unreadable');
-    if (!this.#unreadableLines.allows(now)) return;
+    if (!this.#unreadableLines.tryAcquire(now)) return;
     const detail = `found ${JSON.stringify(text)} as a rate limit, expected a decimal number`;
     const { line } = new Failure('factUnreadable', detail);
     this.#context.log.warn({ runner, service, keptPerS: this.#rates.ratePerS(runner) }, line);
--- a/src/node/router/routingstate.ts
+++ b/src/node/router/routingstate.ts
@@ -15,8 +15,8 @@
 import { Failure } from '../../core/failure';
 import type { Runner, RunnerRole, RoutingConfig } from '../../core/routing/types';
 import { bootNow } from '../../utils/clock';
-import { LineBudget } from '../budget';
-import type { ProofExchange } from '../scheduler/members';
+import { LogRateLimiter } from '../loglimiter';
+import type { FreshnessExchange } from '../scheduler/members';
 
 /**
  * How long after a failure of the store a missing entry may be one that expired during the outage,
@@ -79,13 +79,13 @@
 
   readonly #listener: RoutingStateListener;
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   constructor(history: StoreHistory, log: Logger, listener: RoutingStateListener) {
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
-    this.#lines = new LineBudget(RUNNER_LINES_PER_S, (lines) =>
+    this.#lines = new LogRateLimiter(RUNNER_LINES_PER_S, (lines) =>
       log.info({ lines, ...this.runnersPosition }, 'More runners changed.'),
     );
   }
@@ -101,11 +101,11 @@
   }
 
   /** Callbacks by which members exchange freshness confirmations in their probes. */
-  get freshnessExchange(): ProofExchange {
+  get freshnessExchange(): FreshnessExchange {
     return {
-      tell: () => this.freshness.proofAt(bootNow(), this.configVersion),
-      ask: (seq) => this.freshness.recordQuery(bootNow(), seq),
-      answer: (seq, proof) => this.freshness.recordReply(seq, proof, this.configVersion),
+      currentProof: () => this.freshness.proofAt(bootNow(), this.configVersion),
+      onPingSent: (seq) => this.freshness.recordQuery(bootNow(), seq),
+      onAckReceived: (seq, proof) => this.freshness.recordReply(seq, proof, this.configVersion),
     };
   }
 
@@ -231,7 +231,7 @@
         changed.push(gone ? { ...fact, graceMs } : fact);
         this.#checkService(fact);
         const leaving = runner?.leaving;
-        if (this.#lines.allows(now)) {
+        if (this.#lines.tryAcquire(now)) {
           this.#log.info(
             { runner: id, ...position, gone: !runner, leaving, graceMs, source },
             'Runner changed.',
--- a/src/node/scheduler/members.ts
+++ b/src/node/scheduler/members.ts
@@ -1,4 +1,4 @@
-/** Membership over UDP: carries packets and timers for the membership core. */
+/** Membership over UDP: sends and receives packets and runs the timer of the membership protocol. */
 
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import type { Socket } from 'node:dgram';
@@ -20,39 +20,45 @@
 import type { FreshnessProof } from '../../core/routing/freshness';
 import type { Metrics } from '../metrics';
 
-/** What the rest of the scheduler hears from membership. */
+/** Callbacks for changes that the membership protocol detects. */
 export interface MembershipListener {
+  /** A member was added or its state or description changed. */
   onChange(member: Member): void;
-  onRumour(rumour: GossipUpdate, address: string): void;
-  onDiffers(address: string): void;
+  /** The member at the address announced a new revision. */
+  onUpdate(rumour: GossipUpdate, address: string): void;
+  /** The digest of the member at the address differs, so it may have newer settings. */
+  onDigestDiffers(address: string): void;
 }
 
-/** How members tell each other of the age of what they know; see `Freshness`. */
-export interface ProofExchange {
-  /** Default: this one has no proof. */
-  tell(): FreshnessProof | undefined;
-  /** This member asks another one. */
-  ask(seq: number): void;
-  /** What it asked is answered. */
-  answer(seq: number, proof: FreshnessProof): void;
+/** Exchange of freshness proofs over pings and acknowledgements; see `Freshness`. */
+export interface FreshnessExchange {
+  /** Proof to send with a packet; undefined if this member has none. */
+  currentProof(): FreshnessProof | undefined;
+  /** Called when this member sends the ping `seq`, which asks for a proof. */
+  onPingSent(seq: number): void;
+  /** Called when the acknowledgement of the ping `seq` carries a proof. */
+  onAckReceived(seq: number, proof: FreshnessProof): void;
 }
 
-/** How to start. */
+/** Options of a `MembershipDriver`. */
 export interface MembershipDriverOptions {
   readonly membership: MembershipOptions;
   readonly host: string;
+  /** UDP port. */
   readonly port: number;
+  /** Key that authenticates packets; the same in the whole fleet. */
   readonly key: string;
   readonly log: Logger;
   readonly metrics: Metrics;
   readonly listener: MembershipListener;
-  /** Default: nothing of the kind is told. */
-  readonly proofs?: ProofExchange;
+  /** Without it, no freshness proofs are exchanged. */
+  readonly proofs?: FreshnessExchange;
 }
 
+/** Length of the authentication tag before each packet, in bytes. */
 const TAG_BYTES = 16;
 
-/** A member on the wire. */
+/** Schema of a member in a packet. */
 export const memberSchema = z.object({
   vm: z.string().max(64),
   domain: z.string().max(64),
@@ -86,8 +92,9 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** Owns the UDP socket and the timer. */
+/** Runs the membership protocol with its UDP socket and timer. Times are in milliseconds of `performance.now()`. */
 export class MembershipDriver {
+  /** The protocol's state: all known members. */
   readonly members: Membership;
 
   readonly #options: MembershipDriverOptions;
@@ -108,51 +115,53 @@
     );
   }
 
+  /** Binds the socket and starts probing; rejects if the port cannot be bound. */
   start(): Promise<void> {
     const { host, port } = this.#options;
     return new Promise((resolve, reject) => {
       this.#socket.once('error', reject);
       this.#socket.bind(port, host, () => {
-        this.tell({ kind: 'woke' });
+        this.handle({ kind: 'woke' });
         resolve();
       });
     });
   }
 
+  /** Stops the timer and closes the socket. */
   stop(): void {
     this.#stopped = true;
     clearTimeout(this.#timer);
     this.#socket.close();
   }
 
-  /** Hands an event to the core and carries out what it wants. */
-  tell(event: MembershipEvent): void {
+  /** Passes an event to the membership protocol and performs the resulting actions. Does nothing after `stop`. */
+  handle(event: MembershipEvent): void {
     if (this.#stopped) return;
     const actions = this.members.handle(performance.now(), event);
     for (const action of actions) this.#perform(action);
     clearTimeout(this.#timer);
     const wait = Math.max(1, this.members.nextWake() - performance.now());
-    this.#timer = setTimeout(() => this.tell({ kind: 'woke' }), wait);
+    this.#timer = setTimeout(() => this.handle({ kind: 'woke' }), wait);
   }
 
   #perform(action: MembershipAction): void {
     const { listener } = this.#options;
     if (action.kind === 'send') this.#send(action.to, action.packet);
     else if (action.kind === 'changed') listener.onChange(action.member);
-    else if (action.kind === 'heard') listener.onRumour(action.rumour, action.address);
-    else listener.onDiffers(action.address);
+    else if (action.kind === 'heard') listener.onUpdate(action.rumour, action.address);
+    else listener.onDigestDiffers(action.address);
   }
 
   #send(to: string, packet: Packet): void {
     const [host = '', port = '0'] = to.split(':');
     const { proofs } = this.#options;
-    if (packet.kind === 'ping') proofs?.ask(packet.seq);
-    const proof = proofs?.tell();
+    if (packet.kind === 'ping') proofs?.onPingSent(packet.seq);
+    const proof = proofs?.currentProof();
     const body = packr.pack(proof ? { ...packet, proof } : packet);
     const data = Buffer.concat([this.#tag(body), body]);
     this.#options.metrics.count('members.packets');
     this.#options.metrics.count('members.bytes', data.length);
-    // A datagram that cannot be sent is a lost datagram, which probing bears.
+    // Send errors are ignored: the protocol tolerates lost datagrams.
     this.#socket.send(data, Number(port), host, () => {});
   }
 
@@ -164,16 +173,16 @@
       return;
     }
     const packet = packetSchema.safeParse(packr.unpack(body));
-    if (packet.success) this.#take(packet.data);
+    if (packet.success) this.#accept(packet.data);
     else this.#options.metrics.count('members.rejected');
   }
 
-  #take({ proof, ...packet }: z.infer<typeof packetSchema>): void {
-    if (proof && packet.kind === 'ack') this.#options.proofs?.answer(packet.seq, proof);
-    this.tell({ kind: 'packet', packet });
+  #accept({ proof, ...packet }: z.infer<typeof packetSchema>): void {
+    if (proof && packet.kind === 'ack') this.#options.proofs?.onAckReceived(packet.seq, proof);
+    this.handle({ kind: 'packet', packet });
   }
 
-  /** Without the tag, anyone on the network could have members called dead. */
+  /** Authentication tag of a packet. Without it, any host on the network could report members as dead. */
   #tag(body: Buffer): Buffer {
     return createHmac('sha256', this.#options.key).update(body).digest().subarray(0, TAG_BYTES);
   }
