--- a/test/fakes/caller.ts
+++ b/test/fakes/caller.ts
@@ -1,4 +1,4 @@
-/** A caller: sends model requests and keeps what comes back. */
+/** Client that sends completion requests to a gateway and collects the responses. */
 
 import type { IncomingMessage } from 'node:http';
 import { request } from 'node:http';
@@ -6,13 +6,13 @@
 import { tokens } from './cluster';
 import { call } from './http';
 
-/** How to ask. */
+/** Options of a completion request. */
 export interface AskOptions {
-  /** Default: none. */
+  /** Idempotency key. Default: none. */
   readonly key?: string;
-  /** Default: the clerks'. */
+  /** Bearer token. Default: the token of customer `clerks`. */
   readonly token?: string;
-  /** Default: `deeds`. */
+  /** Model service. Default: `deeds`. */
   readonly model?: string;
 }
 
@@ -23,7 +23,7 @@
   };
 }
 
-/** Asks for a whole answer. */
+/** Sends a non-streaming completion request; `text` is undefined if the response has no choices. */
 export async function ask(
   gateway: string,
   prompt: string,
@@ -36,19 +36,25 @@
   return { status: answer.status, text, body: answer.body };
 }
 
-/** A stream being read. */
+/** A streaming response that is being received. */
 export interface OpenStream {
+  /** Offsets of the events received, in order. */
   readonly offsets: number[];
-  /** Text so far. */
+  /** Text received so far. */
   text: string;
+  /** Completion id in the latest event. */
   id: string;
-  /** Id in the answer's header, of refusals too. */
+  /** Request id from the response header, which refusals carry as well. */
   requestId: string;
-  /** Whether the end mark came. */
+  /** Whether the `[DONE]` event was received. */
   whole: boolean;
+  /** Body of the error event, or of a response whose status is not 200. */
   error: unknown;
+  /** HTTP status; 0 before the response headers. */
   status: number;
+  /** Resolves when the response has ended or failed. */
   readonly ended: Promise<void>;
+  /** Closes the connection. */
   close(): void;
 }
 
@@ -81,7 +87,7 @@
   if (stream.status !== 200) Object.assign(stream, { error: JSON.parse(rest) });
 }
 
-/** Opens a stream. */
+/** Sends a streaming completion request. */
 export function openStream(
   gateway: string,
   prompt: string,
--- a/test/fakes/cluster.ts
+++ b/test/fakes/cluster.ts
@@ -1,4 +1,4 @@
-/** A small deployment inside the test's own process: real sockets, real daemons, stand-ins for the rest. */
+/** A small deployment in the test process: the real gateways and schedulers on loopback sockets, with stand-ins for the platform and the runners. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
@@ -14,21 +14,21 @@
 import { PlatformServer } from './platform';
 import { PlainServer } from './service';
 
-/** What to start. */
+/** Sizes of a cluster. */
 export interface ClusterOptions {
   /** VMs, each with a scheduler and a gateway. Default: 2. */
   readonly vms?: number;
-  /** Default: 1. */
+  /** Prefill runners. Default: 1. */
   readonly prefillRunners?: number;
-  /** Default: 2. */
+  /** Decode runners. Default: 2. */
   readonly decodeRunners?: number;
-  /** Default: 2. */
+  /** Runners of the plain service. Default: 2. */
   readonly plainRunners?: number;
-  /** Default: quick engines, so that tests are short. */
+  /** Figures of the engines. Default: fast engines, which keep tests short. */
   readonly figures?: Partial<EngineFigures>;
 }
 
-/** Tokens of the cluster's settings. */
+/** Bearer tokens in the cluster's settings. */
 export const tokens = {
   operator: 'operator-token',
   clerks: 'clerks-token',
@@ -36,7 +36,7 @@
 } as const;
 
 const PEER_KEY = 'test-key-test-key';
-const quick: Partial<EngineFigures> = {
+const fastFigures: Partial<EngineFigures> = {
   prefillBaseMs: 5,
   prefillTokenMs: 0.01,
   decodeBaseMs: 2,
@@ -44,20 +44,20 @@
 };
 const DOMAINS = ['north', 'centre', 'south'];
 
-/** Waits until `look` holds; throws after `limitMs`. */
+/** Polls until `condition` is true; throws after `limitMs` milliseconds. */
 export async function eventually(
   what: string,
-  look: () => boolean | Promise<boolean>,
+  condition: () => boolean | Promise<boolean>,
   limitMs = 10_000,
 ): Promise<void> {
   const end = Date.now() + limitMs;
-  while (!(await look())) {
-    if (Date.now() > end) throw new Error(`${what}: not within ${limitMs} ms`);
+  while (!(await condition())) {
+    if (Date.now() > end) throw new Error(`${what}: condition not met within ${limitMs} ms`);
     await pause(10);
   }
 }
 
-/** A started cluster. */
+/** A cluster of gateways, schedulers and runners. */
 export class Cluster {
   readonly platform = new PlatformServer();
 
@@ -73,7 +73,7 @@
 
   readonly #options: ClusterOptions;
 
-  /** Each jest worker has addresses of its own. */
+  /** Loopback prefix; each Jest worker has its own, so that clusters of parallel workers do not collide. */
   readonly #net = `127.${100 + Number(process.env.JEST_WORKER_ID ?? 0)}`;
 
   readonly #log = pino({ level: process.env.GOLDCRESTDOCK_LOG ?? 'silent' });
@@ -82,31 +82,37 @@
     this.#options = options;
   }
 
+  /** All prefill and decode runners. */
   get engines(): readonly EngineServer[] {
     return [...this.prefillRunners, ...this.decodeRunners];
   }
 
+  /** Number of VMs. */
   get vms(): number {
     return this.#options.vms ?? 2;
   }
 
+  /** Base URL of a VM's gateway for callers; VMs are counted from 0. */
   callers(vm: number): string {
     return `http://${this.#net}.0.${vm + 1}:8080`;
   }
 
+  /** Base URL of a VM's gateway for operators. */
   operators(vm: number): string {
     return `http://${this.#net}.0.${vm + 1}:8081`;
   }
 
+  /** Peer address of a VM's scheduler, as `host:port`. */
   peers(vm: number): string {
     return `${this.#net}.0.${vm + 1}:9000`;
   }
 
-  /** Runs that any engine holds memory for. */
+  /** Ids of requests that any engine has queued or holds memory for. */
   get held(): readonly string[] {
     return this.engines.flatMap(({ model }) => model.held);
   }
 
+  /** Starts all processes and waits until they are ready. */
   async start(): Promise<this> {
     const { prefillRunners = 1, decodeRunners = 2, plainRunners = 2 } = this.#options;
     await this.platform.start(8500, `${this.#net}.9.1`);
@@ -134,19 +140,21 @@
     return this;
   }
 
+  /** Starts the scheduler of a VM, as a new instance if it ran before. */
   async startScheduler(vm: number): Promise<void> {
     const scheduler = new Scheduler(this.#schedulerConfig(vm), this.#log);
     await scheduler.start(this.#log);
     this.schedulers[vm] = scheduler;
   }
 
+  /** Starts the gateway of a VM, as a new instance if it ran before. */
   async startGateway(vm: number): Promise<void> {
     const gateway = new Gateway(this.#gatewayConfig(vm), this.#log);
     await gateway.start();
     this.gateways[vm] = gateway;
   }
 
-  /** Waits until all VMs know of all. */
+  /** Waits until every gateway is ready and lists the addresses of all VMs. */
   async ready(): Promise<void> {
     for (let vm = 0; vm < this.vms; vm += 1) {
       await eventually(`vm ${vm}`, async () => {
@@ -157,6 +165,7 @@
     }
   }
 
+  /** Stops all processes. */
   async stop(): Promise<void> {
     await Promise.all(this.gateways.map((gateway) => gateway.close()));
     await Promise.all(this.schedulers.map((scheduler) => scheduler.close()));
@@ -166,7 +175,7 @@
   }
 
   async #engine(id: string, number: number): Promise<EngineServer> {
-    const figures = { ...quick, ...this.#options.figures };
+    const figures = { ...fastFigures, ...this.#options.figures };
     return new EngineServer({
       id,
       host: `${this.#net}.1.${number + 1}`,
--- a/test/fakes/deployment.ts
+++ b/test/fakes/deployment.ts
@@ -1,4 +1,4 @@
-/** The two deployments at the sizes of today, with everything as a process of its own. */
+/** The two example deployments at full size, with each component in its own process. */
 
 import type { ChildProcess } from 'node:child_process';
 import { spawn } from 'node:child_process';
@@ -11,19 +11,21 @@
 import { parseDocument } from '../../src/core/settings/parse';
 import { call } from './http';
 
-/** What tells the deployments apart. */
+/** Parameters of a deployment. */
 export interface DeploymentSpec {
   readonly name: 'dosel' | 'bagmati';
-  /** First two numbers of its loopback addresses. */
+  /** First two octets of its loopback addresses. */
   readonly net: string;
+  /** Failure domains; VMs are assigned to them in turn. */
   readonly domains: readonly string[];
+  /** Customers whose settings are written at the start. */
   readonly teams: readonly string[];
   readonly operatorToken: string;
-  /** VMs to start. */
+  /** Number of VMs. */
   readonly vms: number;
 }
 
-/** Dosel Urbano Cartografía. */
+/** Deployment of Dosel Urbano Cartografía. */
 export const dosel: DeploymentSpec = {
   name: 'dosel',
   net: '127.10',
@@ -33,7 +35,7 @@
   vms: 3,
 };
 
-/** Bagmati Lekhapadhi & Sons. */
+/** Deployment of Bagmati Lekhapadhi & Sons. */
 export const bagmati: DeploymentSpec = {
   name: 'bagmati',
   net: '127.20',
@@ -44,23 +46,23 @@
 };
 
 const PEER_KEY = 'example-key-change-me';
-/** Time in which everything must be up, in milliseconds. */
+/** Time limit for all processes to become ready. */
 const START_LIMIT_MS = 30_000;
 
-/** Runs `look` until it holds; throws after the limit. */
+/** Polls until `condition` is true, counting its errors as false; throws after `limitMs` milliseconds. */
 export async function until(
   what: string,
-  look: () => Promise<boolean>,
+  condition: () => Promise<boolean>,
   limitMs = START_LIMIT_MS,
 ): Promise<void> {
   const end = Date.now() + limitMs;
-  while (!(await look().catch(() => false))) {
-    if (Date.now() > end) throw new Error(`${what}: not within ${limitMs} ms`);
+  while (!(await condition().catch(() => false))) {
+    if (Date.now() > end) throw new Error(`${what}: condition not met within ${limitMs} ms`);
     await pause(25);
   }
 }
 
-/** A started deployment. */
+/** A deployment and its processes. */
 export class Deployment {
   readonly spec: DeploymentSpec;
 
@@ -72,35 +74,39 @@
     this.spec = spec;
   }
 
+  /** Base URL of the platform. */
   get platform(): string {
     return `http://${this.spec.net}.9.1:8500`;
   }
 
+  /** Consortium settings from the deployment's example. */
   get consortium(): Consortium {
     const document = parseDocument('consortium', this.#example('consortium'));
     if (document.kind !== 'consortium') throw new Error('unreachable');
     return document.value;
   }
 
-  /** Callers' address of a VM, counted from 1. */
+  /** Address of a VM's gateway for callers, as `host:port`; VMs are counted from 1. */
   callers(vm: number): string {
     return `${this.spec.net}.0.${vm}:8080`;
   }
 
+  /** Address of a VM's gateway for operators, as `host:port`. */
   operators(vm: number): string {
     return `${this.spec.net}.0.${vm}:8081`;
   }
 
-  /** Process by name: `platform`, `gateway-1`, `scheduler-1`, or a runner's id. */
+  /** Process by name: `platform`, `gateway-1`, `scheduler-1` or a runner's id; undefined if none was started. */
   process(name: string): ChildProcess | undefined {
     return this.#processes.get(name);
   }
 
+  /** Names of all processes started. */
   get names(): readonly string[] {
     return [...this.#processes.keys()];
   }
 
-  /** Starts everything and waits until it serves. */
+  /** Starts all processes and waits until they are ready. */
   async start(): Promise<void> {
     const { net, vms, domains } = this.spec;
     this.#spawn('platform', ['build/fakes.cjs', 'platform', `${net}.9.1`, '8500']);
@@ -125,7 +131,7 @@
     await this.ready();
   }
 
-  /** Waits until every VM serves and knows all others. */
+  /** Waits until every gateway is ready and lists the addresses of all VMs. */
   async ready(): Promise<void> {
     const { vms } = this.spec;
     for (let vm = 1; vm <= vms; vm += 1) {
@@ -137,12 +143,14 @@
     }
   }
 
+  /** Starts a runner's process under the runner's id. */
   startRunner(pool: string, id: string, url: string, role: string): void {
     const { hostname, port } = new URL(url);
     const args = role === 'plain' ? ['service', hostname, port] : ['engine', hostname, port, id];
     this.#spawn(id, ['build/fakes.cjs', ...args]);
   }
 
+  /** Starts the scheduler of a VM. */
   startScheduler(vm: number, domain: string): void {
     const { net } = this.spec;
     const config = {
@@ -163,6 +171,7 @@
     ]);
   }
 
+  /** Starts the gateway of a VM. */
   startGateway(vm: number, domain: string): void {
     const host = `${this.spec.net}.0.${vm}`;
     const config = {
@@ -184,7 +193,7 @@
     ]);
   }
 
-  /** Sends a signal and, for those that end a process, waits for its end. */
+  /** Sends a signal to a process; for SIGKILL and SIGTERM waits until the process has exited. */
   async signal(name: string, signal: NodeJS.Signals): Promise<void> {
     const child = this.#processes.get(name);
     if (!child || child.exitCode !== null) return;
@@ -195,6 +204,7 @@
     if (signal === 'SIGKILL' || signal === 'SIGTERM') await ended;
   }
 
+  /** Kills all processes, paused ones included, and deletes their configuration files. */
   async stop(): Promise<void> {
     for (const name of this.names) {
       this.#processes.get(name)?.kill('SIGCONT');
@@ -218,7 +228,7 @@
     return readFileSync(join('examples', this.spec.name, `${name}.jsonc`), 'utf8');
   }
 
-  /** The first settings are written straight to the store: without operators' tokens nobody could write them. */
+  /** Writes the first settings directly to the store, because the operators' tokens that authorize writes are part of them. */
   async #seed(): Promise<void> {
     const put = async (path: string, text: string): Promise<void> => {
       const envelope = JSON.stringify({ revision: 1, nonce: 'seed', text });
--- a/test/fakes/engine/link.ts
+++ b/test/fakes/engine/link.ts
@@ -1,48 +1,54 @@
-/** A link of limited rate that its transfers share equally. */
+/** A link of limited rate that concurrent transfers share equally. */
 
-/** Less than this counts as sent, in tokens; clocks in milliseconds since 1970 round by more than an exact zero would bear. */
-const DONE = 0.05;
+/** A transfer with at most this remainder counts as complete: with times in milliseconds since 1970 rounding errors keep the remainder from reaching exactly zero. */
+const COMPLETE_TOKENS = 0.05;
 
-/** Transfers by request id. */
+/** Transfers by request id. Times in milliseconds. */
 export class Link {
-  readonly #rate: number;
+  readonly #tokensPerMs: number;
 
-  readonly #left = new Map<string, number>();
+  readonly #remaining = new Map<string, number>();
 
-  #asOf = 0;
+  #updatedAt = 0;
 
   constructor(tokensPerMs: number) {
-    this.#rate = tokensPerMs;
+    this.#tokensPerMs = tokensPerMs;
   }
 
+  /** Starts a transfer. */
   start(now: number, id: string, tokens: number): void {
-    this.#progress(now);
-    this.#left.set(id, tokens);
+    this.#advance(now);
+    this.#remaining.set(id, tokens);
   }
 
+  /** Aborts a transfer, if there is one. */
   stop(now: number, id: string): void {
-    this.#progress(now);
-    this.#left.delete(id);
+    this.#advance(now);
+    this.#remaining.delete(id);
   }
 
+  /** Time at which the next transfer completes; `Infinity` without transfers. */
   next(): number {
-    if (this.#left.size === 0) return Infinity;
-    const least = Math.min(...this.#left.values());
-    return this.#asOf + (Math.max(0, least) * this.#left.size) / this.#rate;
+    if (this.#remaining.size === 0) return Infinity;
+    const smallest = Math.min(...this.#remaining.values());
+    return this.#updatedAt + (Math.max(0, smallest) * this.#remaining.size) / this.#tokensPerMs;
   }
 
-  /** Ids whose transfers are complete at `now`. */
+  /** Removes the transfers that are complete at `now` and returns their ids. */
   finish(now: number): readonly string[] {
     if (this.next() > now) return [];
-    this.#progress(now);
-    const done = [...this.#left].filter(([, left]) => left <= DONE).map(([id]) => id);
-    for (const id of done) this.#left.delete(id);
+    this.#advance(now);
+    const done = [...this.#remaining]
+      .filter(([, tokens]) => tokens <= COMPLETE_TOKENS)
+      .map(([id]) => id);
+    for (const id of done) this.#remaining.delete(id);
     return done;
   }
 
-  #progress(now: number): void {
-    const each = ((now - this.#asOf) * this.#rate) / Math.max(1, this.#left.size);
-    for (const [id, left] of this.#left) this.#left.set(id, left - each);
-    this.#asOf = now;
+  #advance(now: number): void {
+    const sentTokens =
+      ((now - this.#updatedAt) * this.#tokensPerMs) / Math.max(1, this.#remaining.size);
+    for (const [id, tokens] of this.#remaining) this.#remaining.set(id, tokens - sentTokens);
+    this.#updatedAt = now;
   }
 }
--- a/test/fakes/engine/model.ts
+++ b/test/fakes/engine/model.ts
@@ -1,27 +1,35 @@
 /**
- * Stand-in for a model engine, without sockets or a clock: continuous batching,
- * a prefix cache in limited memory, prefill results that are evicted soon, and
- * KV transfers that share a link. Driven by virtual or real time alike.
+ * Model of an inference engine, without sockets or a clock: continuous batching, a
+ * prefix cache of limited size, prefill results that are evicted after a short time,
+ * and KV transfers that share a link. The caller passes the time, virtual or real.
  */
 
 import { Link } from './link';
 
-/** Figures of an engine. Times in milliseconds, sizes in tokens. */
+/** Parameters of an engine. Times in milliseconds, sizes in tokens. */
 export interface EngineFigures {
+  /** Most requests that decode at once. */
   readonly slots: number;
+  /** KV memory for decoding requests. */
   readonly memoryTokens: number;
+  /** Fixed time of a prefill. */
   readonly prefillBaseMs: number;
+  /** Additional time for each prompt token that is not cached. */
   readonly prefillTokenMs: number;
+  /** Fixed time of a decode step. */
   readonly decodeBaseMs: number;
+  /** Additional time of a decode step for each decoding request. */
   readonly decodeSlotMs: number;
-  /** How long a finished prefill is kept for a transfer. */
+  /** Time for which a finished prefill is kept for a transfer. */
   readonly keepMs: number;
+  /** Rate of KV transfers. */
   readonly linkTokensPerMs: number;
+  /** Capacity of the prefix cache, in blocks. */
   readonly cacheBlocks: number;
   readonly blockTokens: number;
 }
 
-/** Figures of a usual engine: about twenty slots, a prefill worth some ten output tokens and more. */
+/** Parameters of a typical engine: 20 slots, and a prefill takes as long as ten or more output tokens. */
 export const defaultFigures: EngineFigures = {
   slots: 20,
   memoryTokens: 200_000,
@@ -35,23 +43,24 @@
   blockTokens: 256,
 };
 
-/** A prompt to be worked through. */
+/** A prompt to prefill. */
 export interface PrefillJob {
   readonly id: string;
   readonly promptTokens: number;
+  /** Hashes of the prompt's blocks, for the prefix cache. */
   readonly blocks: readonly number[];
-  /** Smaller goes first. */
+  /** Smaller values are scheduled first. */
   readonly priority: number;
 }
 
-/** Tokens to be put out from a KV cache at hand. */
+/** Output tokens to decode from the KV cache of a prompt. */
 export interface DecodeJob {
   readonly id: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** What the engine tells. */
+/** Progress of a request; `at` is the time of the event. */
 export type EngineEvent =
   | {
       readonly kind: 'prefilled';
@@ -72,6 +81,7 @@
 
 interface Running {
   readonly job: DecodeJob;
+  /** Tokens decoded; -1 before decoding starts. */
   done: number;
 }
 
@@ -80,7 +90,7 @@
   keptUntil: number;
 }
 
-/** One engine in either role. */
+/** One engine, for prefill or decode. */
 export class EngineModel {
   readonly figures: EngineFigures;
 
@@ -94,7 +104,7 @@
 
   readonly #link: Link;
 
-  /** Blocks that came into and left the cache since the last look. */
+  /** Blocks added to and removed from the cache since the last `takeCacheChanges`. */
   readonly #added: number[] = [];
 
   readonly #removed: number[] = [];
@@ -103,44 +113,49 @@
 
   #stepAt = Infinity;
 
-  #memory = 0;
+  #usedTokens = 0;
 
   constructor(figures: EngineFigures = defaultFigures) {
     this.figures = figures;
     this.#link = new Link(figures.linkTokensPerMs);
   }
 
-  /** Requests that hold memory or wait for it. */
+  /** Ids of requests that are queued or hold memory. */
   get held(): readonly string[] {
     const prefilling = this.#prefilling ? [this.#prefilling.job.id] : [];
     const queued = this.#queue.map(({ id }) => id);
     return [...prefilling, ...queued, ...this.#kept.keys(), ...this.#running.keys()];
   }
 
+  /** Number of slots in use. */
   get batch(): number {
     return this.#running.size;
   }
 
+  /** Number of prefills queued or in progress. */
   get prefills(): number {
     return this.#queue.length + (this.#prefilling ? 1 : 0);
   }
 
+  /** Blocks in the prefix cache, least recently used first. */
   get cached(): Iterable<number> {
     return this.#cache;
   }
 
+  /** Returns and clears the changes of the prefix cache since the previous call. */
   takeCacheChanges(): { readonly added: readonly number[]; readonly removed: readonly number[] } {
     return { added: this.#added.splice(0), removed: this.#removed.splice(0) };
   }
 
+  /** Queues a prefill by priority. */
   prefill(now: number, job: PrefillJob): void {
-    const before = this.#queue.findIndex(({ priority }) => priority > job.priority);
-    if (before < 0) this.#queue.push(job);
-    else this.#queue.splice(before, 0, job);
-    this.#startPrefill(now);
+    const index = this.#queue.findIndex(({ priority }) => priority > job.priority);
+    if (index < 0) this.#queue.push(job);
+    else this.#queue.splice(index, 0, job);
+    this.#startNextPrefill(now);
   }
 
-  /** Starts to send a kept prefill over the link; false if it is not kept any more. */
+  /** Starts the transfer of a finished prefill; false if it was evicted. */
   send(now: number, id: string): boolean {
     const kept = this.#kept.get(id);
     if (!kept) return false;
@@ -149,18 +164,19 @@
     return true;
   }
 
-  /** Reserves a slot; false if the engine is full. */
+  /** Reserves a slot and memory; false if the engine lacks either. */
   reserve(job: DecodeJob): boolean {
     const tokens = job.promptTokens + job.outputTokens;
     const full =
-      this.#running.size >= this.figures.slots || this.#memory + tokens > this.figures.memoryTokens;
+      this.#running.size >= this.figures.slots ||
+      this.#usedTokens + tokens > this.figures.memoryTokens;
     if (full) return false;
-    this.#memory += tokens;
+    this.#usedTokens += tokens;
     this.#running.set(job.id, { job, done: -1 });
     return true;
   }
 
-  /** Begins to put out tokens in a reserved slot, once the KV cache has come. */
+  /** Starts decoding in a reserved slot, once the KV cache was received. */
   decode(now: number, id: string): void {
     const running = this.#running.get(id);
     if (!running) return;
@@ -168,7 +184,7 @@
     if (this.#stepAt === Infinity) this.#stepAt = now + this.#stepMs();
   }
 
-  /** Frees all that a request holds here. */
+  /** Cancels a request and frees its memory; false if it is unknown. */
   cancel(now: number, id: string): boolean {
     const known = this.held.includes(id);
     this.#kept.delete(id);
@@ -177,20 +193,20 @@
     if (index >= 0) this.#queue.splice(index, 1);
     if (this.#prefilling?.job.id === id) {
       this.#prefilling = undefined;
-      this.#startPrefill(now);
+      this.#startNextPrefill(now);
     }
     this.#release(id);
     return known;
   }
 
-  /** Time of the next event. */
+  /** Time of the next event; `Infinity` when idle. */
   next(): number {
     let next = Math.min(this.#prefilling?.doneAt ?? Infinity, this.#stepAt, this.#link.next());
     for (const { keptUntil } of this.#kept.values()) next = Math.min(next, keptUntil);
     return next;
   }
 
-  /** Brings the engine to `now` and tells what happened until then, in order. */
+  /** Advances the engine to `now` and returns the events until then, in order. */
   advance(now: number): readonly EngineEvent[] {
     const events: EngineEvent[] = [];
     for (let at = this.next(); at <= now; at = this.next()) this.#step(at, events);
@@ -198,7 +214,7 @@
   }
 
   #step(at: number, events: EngineEvent[]): void {
-    if (this.#prefilling && this.#prefilling.doneAt <= at) this.#endPrefill(at, events);
+    if (this.#prefilling && this.#prefilling.doneAt <= at) this.#finishPrefill(at, events);
     for (const id of this.#link.finish(at)) {
       this.#kept.delete(id);
       events.push({ kind: 'sent', id, at });
@@ -212,7 +228,7 @@
     if (this.#stepAt <= at) this.#decodeStep(at, events);
   }
 
-  #startPrefill(now: number): void {
+  #startNextPrefill(now: number): void {
     if (this.#prefilling) return;
     const job = this.#queue.shift();
     if (!job) return;
@@ -224,18 +240,18 @@
     this.#prefilling = { job, doneAt: now + ms, cachedTokens };
   }
 
-  #endPrefill(at: number, events: EngineEvent[]): void {
+  #finishPrefill(at: number, events: EngineEvent[]): void {
     if (!this.#prefilling) return;
     const { job, cachedTokens } = this.#prefilling;
     const keptUntil = at + this.figures.keepMs;
     this.#prefilling = undefined;
     this.#kept.set(job.id, { tokens: job.promptTokens, keptUntil });
-    this.#remember(job.blocks);
+    this.#addToCache(job.blocks);
     events.push({ kind: 'prefilled', id: job.id, at, cachedTokens, keptUntil });
-    this.#startPrefill(at);
+    this.#startNextPrefill(at);
   }
 
-  #remember(blocks: readonly number[]): void {
+  #addToCache(blocks: readonly number[]): void {
     for (const block of blocks) {
       if (!this.#cache.delete(block)) this.#added.push(block);
       this.#cache.add(block);
@@ -271,7 +287,7 @@
   #release(id: string): void {
     const running = this.#running.get(id);
     if (!running) return;
-    this.#memory -= running.job.promptTokens + running.job.outputTokens;
+    this.#usedTokens -= running.job.promptTokens + running.job.outputTokens;
     this.#running.delete(id);
   }
 }
--- a/test/fakes/engine/server.ts
+++ b/test/fakes/engine/server.ts
@@ -1,6 +1,7 @@
 /**
  * Stand-in for a model engine behind HTTP: OpenAI completions with vLLM's
- * `kv_transfer_params`, and beside it lists, cancels, orders and faults.
+ * `kv_transfer_params`, plus endpoints for load, requests, cancellation, cache events,
+ * orders and faults.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -11,29 +12,30 @@
 import { EngineModel, defaultFigures } from './model';
 import { answerLength, answerToken, splitPrompt } from './text';
 
-/** How to start an engine. Defaults stand with each field. */
+/** Options of an engine. */
 export interface EngineOptions {
   readonly id: string;
-  /** Default: any free port. */
+  /** Default: a free port. */
   readonly port?: number;
   /** Default: 127.0.0.1. */
   readonly host?: string;
   /** Default: `defaultFigures`. */
   readonly figures?: Partial<EngineFigures>;
-  /** Age of the figures in a load report, in milliseconds. Default: 300. */
+  /** Age of the values in a load report, in milliseconds. Default: 300. */
   readonly reportLagMs?: number;
-  /** Whether orders with an old fence number are refused. Default: true. */
+  /** Whether orders with an outdated fence are refused. Default: true. */
   readonly checksFence?: boolean;
 }
 
-/** A run's output, kept so that a broken connection can be picked up again. */
+/** Output of a run, kept so that the stream can be resumed after its connection broke. */
 interface Stream {
   readonly prompt: string;
-  /** Tokens of the answer that came with the prompt. */
+  /** Output tokens that the prompt already contained. */
   readonly done: number;
   readonly resumable: boolean;
+  /** Current response; undefined while the caller is disconnected. */
   res: ServerResponse | undefined;
-  /** Server-sent events so far. */
+  /** Server-sent events produced so far. */
   readonly sent: string[];
   ended: boolean;
 }
@@ -51,7 +53,7 @@
   readonly max_tokens: number;
   readonly priority?: number;
   readonly cache_salt?: string;
-  /** Go on for a while when the connection breaks. */
+  /** Whether the run continues for `RESUME_WINDOW_MS` after its connection broke. */
   readonly resumable?: boolean;
   readonly kv_transfer_params?: TransferParams;
 }
@@ -62,30 +64,32 @@
   readonly waiting: number;
 }
 
-/** How long a resumable run goes on without a reader, in milliseconds. */
-const RESUME_MS = 3000;
+/** Time for which a resumable run continues, and a finished one is kept, without a connection. */
+const RESUME_WINDOW_MS = 3000;
 const END_MARK = 'data: [DONE]\n\n';
 
-/** Sampling period of load reports, in milliseconds. */
-const SAMPLE_MS = 50;
+/** Sampling interval of the load. */
+const SAMPLE_INTERVAL_MS = 50;
 
-/** A started engine. */
+/** HTTP server of one engine. */
 export class EngineServer {
   readonly id: string;
 
   readonly model: EngineModel;
 
-  /** Request ids that this engine ever worked on: the record refusals are checked against. */
+  /** Ids of all requests that this engine ever processed; a request refused as not run must not be among them. */
   readonly ran = new Set<string>();
 
-  /** Orders obeyed, in turn. */
+  /** Orders accepted, in sequence. */
   readonly orders: unknown[] = [];
 
+  /** Port in use once started. */
   port = 0;
 
+  /** Refuses completions with status 503 and reports that the engine is leaving. */
   leaving = false;
 
-  /** When true every answer is held back, as by a stopped process. */
+  /** Leaves every request without a response, as a paused process does. */
   stalled = false;
 
   #server: Server | undefined;
@@ -100,15 +104,15 @@
 
   readonly #samples: LoadSample[] = [];
 
-  #events: { seq: number; added: readonly number[]; removed: readonly number[] }[] = [];
+  #cacheLog: { seq: number; added: readonly number[]; removed: readonly number[] }[] = [];
 
-  #seq = 0;
+  #cacheSequence = 0;
 
   #fence = 0;
 
   #timer: NodeJS.Timeout | undefined;
 
-  #sampler: NodeJS.Timeout | undefined;
+  #sampleTimer: NodeJS.Timeout | undefined;
 
   constructor(options: EngineOptions) {
     this.#options = options;
@@ -116,10 +120,12 @@
     this.model = new EngineModel({ ...defaultFigures, ...options.figures });
   }
 
+  /** Base URL. */
   get url(): string {
     return `http://${this.#options.host ?? '127.0.0.1'}:${this.port}`;
   }
 
+  /** Starts listening and sampling the load. */
   async start(): Promise<this> {
     const { server, port } = await listen(
       (req, res, url) => this.#route(req, res, url),
@@ -128,13 +134,14 @@
     );
     this.#server = server;
     this.port = port;
-    this.#sampler = setInterval(() => this.#sample(), SAMPLE_MS);
+    this.#sampleTimer = setInterval(() => this.#sample(), SAMPLE_INTERVAL_MS);
     return this;
   }
 
+  /** Stops the timers and closes the server. */
   async stop(): Promise<void> {
     clearTimeout(this.#timer);
-    clearInterval(this.#sampler);
+    clearInterval(this.#sampleTimer);
     if (this.#server) await closeServer(this.#server);
   }
 
@@ -177,7 +184,7 @@
       blocks: hashBlocks(salt, prompt),
       priority,
     });
-    this.#pump();
+    this.#runModel();
   }
 
   #send(res: ServerResponse, id: string): void {
@@ -186,14 +193,14 @@
       return;
     }
     this.#sends.set(id, res);
-    this.#pump();
+    this.#runModel();
   }
 
   async #decode(res: ServerResponse, body: CompletionBody): Promise<void> {
-    const { request_id: id, prompt: whole, max_tokens: maxTokens } = body;
-    const { base: prompt, done } = splitPrompt(whole);
+    const { request_id: id, prompt: fullPrompt, max_tokens: maxTokens } = body;
+    const { base: prompt, done } = splitPrompt(fullPrompt);
     const outputTokens = answerLength(prompt, maxTokens + done) - done;
-    const job = { id, promptTokens: countTokens(whole), outputTokens };
+    const job = { id, promptTokens: countTokens(fullPrompt), outputTokens };
     if (!this.model.reserve(job)) {
       sendJson(res, 429, { error: 'full', not_run: true });
       return;
@@ -206,7 +213,7 @@
       sent: [],
       ended: false,
     };
-    res.on('close', () => this.#lostReader(id, stream, res));
+    res.on('close', () => this.#onDisconnect(id, stream, res));
     const params = body.kv_transfer_params;
     if (params?.do_remote_prefill) {
       const sent = await call('POST', `${params.remote_url}/v1/kv/send`, {
@@ -222,19 +229,19 @@
     res.writeHead(200, { 'content-type': 'text/event-stream' });
     this.#streams.set(id, stream);
     this.model.decode(Date.now(), id);
-    this.#pump();
+    this.#runModel();
   }
 
-  #lostReader(id: string, stream: Stream, res: ServerResponse): void {
+  #onDisconnect(id: string, stream: Stream, res: ServerResponse): void {
     if (stream.ended || stream.res !== res) return;
     Object.assign(stream, { res: undefined });
     const cancel = (): void => {
       if (stream.res !== undefined || stream.ended) return;
       this.model.cancel(Date.now(), id);
       this.#streams.delete(id);
-      this.#pump();
+      this.#runModel();
     };
-    if (stream.resumable && this.#streams.has(id)) setTimeout(cancel, RESUME_MS).unref();
+    if (stream.resumable && this.#streams.has(id)) setTimeout(cancel, RESUME_WINDOW_MS).unref();
     else cancel();
   }
 
@@ -245,16 +252,16 @@
       sendJson(res, 410, { error: 'unknown' });
       return;
     }
-    const skip = Number(url.searchParams.get('offset') ?? 0);
+    const offset = Number(url.searchParams.get('offset') ?? 0);
     res.writeHead(200, { 'content-type': 'text/event-stream' });
-    res.write(stream.sent.slice(skip).join(''));
+    res.write(stream.sent.slice(offset).join(''));
     if (stream.ended) {
       res.end(END_MARK);
       return;
     }
     stream.res?.destroy();
     stream.res = res;
-    res.on('close', () => this.#lostReader(id, stream, res));
+    res.on('close', () => this.#onDisconnect(id, stream, res));
   }
 
   #cancel(res: ServerResponse, id: string): void {
@@ -265,32 +272,34 @@
     this.#prefills.delete(id);
     this.#sends.get(id)?.destroy();
     this.#sends.delete(id);
-    this.#pump();
+    this.#runModel();
     sendJson(res, 200, { known });
   }
 
   #load(res: ServerResponse): void {
     const horizon = Date.now() - (this.#options.reportLagMs ?? 300);
-    const seen = this.#samples.filter(({ at }) => at <= horizon).at(-1) ?? {
+    const sample = this.#samples.filter(({ at }) => at <= horizon).at(-1) ?? {
       at: horizon,
       running: 0,
       waiting: 0,
     };
     sendJson(res, 200, {
-      age_ms: Date.now() - seen.at,
-      running: seen.running,
-      waiting: seen.waiting,
+      age_ms: Date.now() - sample.at,
+      running: sample.running,
+      waiting: sample.waiting,
       leaving: this.leaving,
     });
   }
 
-  /** Late by one call and without every seventh entry, as real event streams are. */
+  /** Reports changes one call late and omits every seventh entry, since event streams of real engines are delayed and lossy too. */
   #cacheEvents(res: ServerResponse, since: number): void {
-    sendJson(res, 200, { events: this.#events.filter(({ seq }) => seq > since && seq % 7 !== 0) });
+    sendJson(res, 200, {
+      events: this.#cacheLog.filter(({ seq }) => seq > since && seq % 7 !== 0),
+    });
     const changes = this.model.takeCacheChanges();
     if (changes.added.length + changes.removed.length === 0) return;
-    this.#seq += 1;
-    this.#events = [...this.#events.slice(-100), { seq: this.#seq, ...changes }];
+    this.#cacheSequence += 1;
+    this.#cacheLog = [...this.#cacheLog.slice(-100), { seq: this.#cacheSequence, ...changes }];
   }
 
   #order(res: ServerResponse, order: Record<string, unknown>): void {
@@ -324,20 +333,20 @@
     if (this.#samples.length > 200) this.#samples.shift();
   }
 
-  #pump(): void {
-    for (const event of this.model.advance(Date.now())) this.#tell(event);
+  #runModel(): void {
+    for (const event of this.model.advance(Date.now())) this.#handleEvent(event);
     clearTimeout(this.#timer);
     const next = this.model.next();
     if (next < Infinity) {
-      this.#timer = setTimeout(() => this.#pump(), Math.max(0, next - Date.now()));
+      this.#timer = setTimeout(() => this.#runModel(), Math.max(0, next - Date.now()));
     }
   }
 
-  #tell(event: EngineEvent): void {
+  #handleEvent(event: EngineEvent): void {
     if (event.kind === 'prefilled') {
-      this.#tellPrefilled(event.id, event.cachedTokens, event.keptUntil);
+      this.#respondPrefilled(event.id, event.cachedTokens, event.keptUntil);
     }
-    if (event.kind === 'sent') this.#tellSent(event.id);
+    if (event.kind === 'sent') this.#respondSent(event.id);
     const stream = this.#streams.get(event.id);
     if (!stream) return;
     if (event.kind === 'token') {
@@ -348,18 +357,18 @@
       stream.sent.push(line);
       stream.res?.write(line);
     }
-    if (event.kind === 'finished') this.#endStream(event.id, stream);
+    if (event.kind === 'finished') this.#finishStream(event.id, stream);
   }
 
-  /** A finished run without a reader stays for a while, to be picked up. */
-  #endStream(id: string, stream: Stream): void {
+  /** Ends the stream; a resumable one is kept for `RESUME_WINDOW_MS`, so that it can still be resumed. */
+  #finishStream(id: string, stream: Stream): void {
     Object.assign(stream, { ended: true });
     stream.res?.end(END_MARK);
-    if (stream.resumable) setTimeout(() => this.#streams.delete(id), RESUME_MS).unref();
+    if (stream.resumable) setTimeout(() => this.#streams.delete(id), RESUME_WINDOW_MS).unref();
     else this.#streams.delete(id);
   }
 
-  #tellPrefilled(id: string, cachedTokens: number, keptUntil: number): void {
+  #respondPrefilled(id: string, cachedTokens: number, keptUntil: number): void {
     const res = this.#prefills.get(id);
     this.#prefills.delete(id);
     if (!res) return;
@@ -370,7 +379,7 @@
     });
   }
 
-  #tellSent(id: string): void {
+  #respondSent(id: string): void {
     const res = this.#sends.get(id);
     this.#sends.delete(id);
     if (res) sendJson(res, 200, {});
--- a/test/fakes/engine/text.ts
+++ b/test/fakes/engine/text.ts
@@ -1,4 +1,4 @@
-/** The answer an engine gives to a prompt: fixed by the prompt, so that tests can tell a whole answer from a part. */
+/** The output that an engine produces for a prompt. It depends only on the prompt, so that tests can tell a complete output from a truncated one. */
 
 import { createHash } from 'node:crypto';
 
@@ -6,38 +6,39 @@
   return createHash('sha1').update(prompt).digest();
 }
 
-/** How many tokens the engine has to say to a prompt. */
+/** Number of output tokens for a prompt. */
 export function answerLength(prompt: string, maxTokens: number): number {
-  const spread = digest(prompt).readUInt32BE(0) / 2 ** 32;
+  const fraction = digest(prompt).readUInt32BE(0) / 2 ** 32;
   return Math.max(
     1,
-    Math.min(maxTokens, Math.ceil(-Math.log(1 - spread * 0.99) * maxTokens * 0.4)),
+    Math.min(maxTokens, Math.ceil(-Math.log(1 - fraction * 0.99) * maxTokens * 0.4)),
   );
 }
 
-/** Token of the answer at an index. */
+/** Output token at an index. */
 export function answerToken(prompt: string, index: number): string {
   return ` ${digest(prompt).readUInt16BE(4).toString(36)}-${index}`;
 }
 
-/** The whole answer. */
+/** Complete output for a prompt. */
 export function answerText(prompt: string, maxTokens: number): string {
   const length = answerLength(prompt, maxTokens);
   return Array.from({ length }, (_, index) => answerToken(prompt, index)).join('');
 }
 
-/** A prompt without the part of the answer that a resumed run carries at its end. */
+/** A prompt separated from the part of the output that a resumed run appends to it. */
 export interface SplitPrompt {
+  /** Prompt without output. */
   readonly base: string;
-  /** Tokens of the answer that the prompt has already. */
+  /** Number of output tokens at the end of the prompt. */
   readonly done: number;
 }
 
-/** Finds out whether a prompt ends with the beginning of its own answer. */
+/** Separates a prompt from the beginning of its own output, if it ends with that. */
 export function splitPrompt(prompt: string): SplitPrompt {
   const tail = /(?: [0-9a-z]+-\d+)+$/.exec(prompt)?.[0] ?? '';
   const done = tail.split(' ').length - 1;
   const base = prompt.slice(0, prompt.length - tail.length);
-  const own = Array.from({ length: done }, (_, index) => answerToken(base, index)).join('');
-  return tail !== '' && tail === own ? { base, done } : { base: prompt, done: 0 };
+  const expected = Array.from({ length: done }, (_, index) => answerToken(base, index)).join('');
+  return tail !== '' && tail === expected ? { base, done } : { base: prompt, done: 0 };
 }
--- a/test/fakes/entry.ts
+++ b/test/fakes/entry.ts
@@ -1,6 +1,6 @@
-/** Entries under which runners list themselves in the platform's store. */
+/** Entries with which runners register in the platform's store. */
 
-/** A whole entry of a plain runner, with fields changed or, where undefined, left out. */
+/** Returns a complete entry of a plain runner with some fields replaced; fields that are undefined are omitted in JSON. */
 export function entryOf(change: Readonly<Record<string, unknown>> = {}): Record<string, unknown> {
   return {
     service: 's',
--- a/test/fakes/exchange.ts
+++ b/test/fakes/exchange.ts
@@ -1,4 +1,4 @@
-/** Requests, answers and exchanges as tests of the request paths need them. */
+/** Requests, replies and exchanges for tests of request handling. */
 
 import { EventEmitter } from 'node:events';
 import type { ServerResponse } from 'node:http';
@@ -9,7 +9,7 @@
 import { Exchange } from '../../src/node/router/exchange';
 import type { CallRequest, IngressCodec, Reply } from '../../src/node/router/types';
 
-/** A route of streams that may not be resumed. */
+/** A streaming route whose streams may not be resumed. */
 export const streamRoute: Route = {
   name: 'r',
   host: 'h',
@@ -26,7 +26,7 @@
   anonymous: false,
 };
 
-/** Engine of a service whose streams are driven. */
+/** Engine parameters of the model service in these tests. */
 export const streamEngine: Engine = {
   slots: 64,
   memoryTokens: 65_000,
@@ -35,7 +35,7 @@
   switchMs: undefined,
 };
 
-/** A request with a prompt of some size. */
+/** A model request with a prompt of 5000 tokens. */
 export const promptRequest: CallRequest = {
   id: 'q',
   host: 'h',
@@ -49,7 +49,7 @@
   customer: undefined,
 };
 
-/** An answer that is whole. */
+/** A complete reply; status 421 marks it as misdirected. */
 export function replyOf(status: number, text: string, framing: Framing = 'chunked'): Reply {
   const body = Object.assign(Readable.from([Buffer.from(text)]), { complete: true });
   const misdirected = status === 421;
@@ -66,7 +66,7 @@
   };
 }
 
-/** An answer whose connection breaks after a text. */
+/** A reply whose connection breaks after the given text. */
 export function brokenReplyOf(status: number, text: string): Reply {
   async function* chunks(): AsyncGenerator<Buffer> {
     yield Buffer.from(text);
@@ -76,10 +76,10 @@
   return { ...replyOf(status, text), body: body as unknown as Reply['body'] };
 }
 
-/** What `exchangeInto` notes when the answer is cut off. */
+/** Entry that `exchangeInto` appends when the response is aborted. */
 export const CUT = 'cut';
 
-/** An exchange whose answer is written to `out`. */
+/** An exchange that appends the status and the chunks of its response to `out`. */
 export function exchangeInto(
   out: string[],
   call: CallRequest = promptRequest,
--- a/test/fakes/http.ts
+++ b/test/fakes/http.ts
@@ -1,28 +1,31 @@
-/** What the stand-ins share: a small JSON server and client on Node's http. */
+/** Small JSON server and client on Node's http, shared by the stand-ins. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer, request } from 'node:http';
 
-/** Handles one request; `url` has only its path and query. */
+/** Handles one request; only the path and query of `url` are meaningful. */
 export type Handler = (req: IncomingMessage, res: ServerResponse, url: URL) => Promise<void> | void;
 
+/** Reads a whole request or response body as text. */
 export async function readBody(req: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of req) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks).toString();
 }
 
+/** Reads a body as a JSON object; an empty body counts as `{}`. */
 export async function readJson(req: IncomingMessage): Promise<Record<string, unknown>> {
   const text = await readBody(req);
   return (text === '' ? {} : JSON.parse(text)) as Record<string, unknown>;
 }
 
+/** Sends a JSON response. */
 export function sendJson(res: ServerResponse, status: number, value: unknown): void {
   res.writeHead(status, { 'content-type': 'application/json' });
   res.end(JSON.stringify(value));
 }
 
-/** Starts a server on loopback and gives its port. */
+/** Starts a server, by default on a free loopback port. An error in the handler gives status 500, or resets the connection if headers were sent. */
 export async function listen(
   handler: Handler,
   port = 0,
@@ -42,6 +45,7 @@
   return { server, port: typeof address === 'object' && address ? address.port : port };
 }
 
+/** Closes a server together with its open connections. */
 export function closeServer(server: Server): Promise<void> {
   server.closeAllConnections();
   return new Promise((resolve) => {
@@ -49,7 +53,7 @@
   });
 }
 
-/** One call with a JSON answer. */
+/** Sends one request on its own connection; a response body that is not JSON is returned as text. */
 export function call(
   method: string,
   url: string,
@@ -68,7 +72,7 @@
           try {
             parsed = JSON.parse(text);
           } catch {
-            // Not JSON: the text itself is the answer.
+            // The body is not JSON and is returned as text.
           }
           resolve({ status: res.statusCode ?? 0, body: parsed, headers: res.headers });
         })
--- a/test/fakes/listener.ts
+++ b/test/fakes/listener.ts
@@ -1,4 +1,4 @@
-/** A listener of knowledge that takes no notice. */
+/** Listener of the router's knowledge that ignores all events. */
 
 import type { KnowledgeListener } from '../../src/node/router/knowledge';
 
--- a/test/fakes/main.ts
+++ b/test/fakes/main.ts
@@ -1,5 +1,5 @@
 /**
- * Starts one stand-in as a process of its own.
+ * Command line that starts one stand-in in its own process and prints `ready` once it listens.
  *
  *     node build/fakes.cjs engine HOST PORT ID [FIGURES-JSON]
  *     node build/fakes.cjs service HOST PORT
--- a/test/fakes/memory/bench.ts
+++ b/test/fakes/memory/bench.ts
@@ -1,6 +1,6 @@
 /**
- * Plays requests against stand-in engines under virtual time, placed by the real
- * planner or by a simpler policy, and counts what their callers got.
+ * Simulates requests to stand-in engines in virtual time, with placement by the real
+ * planner or by a simpler policy, and computes the results for their callers.
  */
 
 import type { Demand, PlanAction, PlanEvent } from '../../../src/core/memory/types';
@@ -12,12 +12,13 @@
 import { DecodeEngine, PrefillEngine } from './engines';
 import type { MemoryJob } from './load';
 
-/** What decides who starts where: the planner, or a baseline. */
+/** Decides when and at which runner each request starts: the planner or a baseline. */
 export interface PlacePolicy {
+  /** Processes an event and returns the resulting actions; `now` is in milliseconds. */
   handle(now: number, event: PlanEvent): readonly PlanAction[];
 }
 
-/** A run. */
+/** Inputs of a simulation. */
 export interface MemoryBenchOptions {
   readonly jobs: readonly MemoryJob[];
   readonly policy: PlacePolicy;
@@ -26,40 +27,40 @@
   readonly decodeRunners: number;
 }
 
-/** What came out. */
+/** Results of a simulation; `asked` to `failed` are numbers of requests. */
 export interface MemoryResult {
   readonly asked: number;
   readonly inTime: number;
   readonly late: number;
   readonly refused: number;
   readonly failed: number;
-  /** Worth earned, as a part of all worth asked for; a late answer counts a fifth. */
+  /** Value earned as a fraction of the value requested; a late response counts a fifth. */
   readonly worth: number;
-  /** Prompt tokens read for nothing, as a part of all that were asked for. */
+  /** Wasted prefill tokens as a fraction of all prompt tokens. */
   readonly wasted: number;
-  /** Longest time for which a request was held that ended refused, in milliseconds: the 95th percentile. */
+  /** 95th percentile of the time that finally refused requests waited, in milliseconds. */
   readonly refusedAfterMs: number;
-  /** Worth earned by the largest tenth of the prompts, as a part of theirs. */
+  /** Value earned by the largest tenth of the prompts, as a fraction of the value of these. */
   readonly worthOfLargest: number;
 }
 
-/** One way between gateway and owner, or gateway and runner, in milliseconds. */
-const HOP_MS = 1.5;
-const PATIENCE_MS = 3600;
+/** One-way latency between gateway and owner, or gateway and runner. */
+const LATENCY_MS = 1.5;
+const MAX_WAIT_MS = 3600;
 const DEADLINE_MS = 14_000;
 const KEEP_MS = 500;
-/** Time of a move of memory between runners, in milliseconds. */
+/** Time of a KV transfer between runners. */
 export const MOVE_MS = 20;
-const WAKE_MS = 25;
-const REPORT_MS = 1000;
-const CALLER_TRIES = 2;
-/** Largest part of the time left that a caller stays away. */
-const AWAY_PART = 1 / 3;
+const WAKE_INTERVAL_MS = 25;
+const REPORT_INTERVAL_MS = 1000;
+const MAX_ATTEMPTS = 2;
+/** Largest fraction of the time to the deadline that a caller waits before its retry. */
+const MAX_BACKOFF_FRACTION = 1 / 3;
 const SLOTS = 64;
-/** Prompts above this part of all by size are the largest. */
-const LARGE_PART = 0.9;
+/** Quantile of the prompt sizes from which a prompt counts as large. */
+const LARGE_QUANTILE = 0.9;
 
-/** A bench for one run. */
+/** Simulation of one set of requests; runs once. */
 export class MemoryBench {
   readonly #options: MemoryBenchOptions;
 
@@ -88,38 +89,39 @@
     }
   }
 
+  /** Runs the simulation to the deadline of the last request. */
   run(): MemoryResult {
     const { jobs } = this.#options;
-    this.#tell(0, { kind: 'runners', engine: this.#engine(), runners: this.#runners() });
+    this.#dispatch(0, { kind: 'runners', engine: this.#engine(), runners: this.#runners() });
     for (const job of jobs) {
       const caller = new MemoryCaller(job);
       this.#callers.set(job.id, caller);
-      this.#schedule.add(job.at, () => this.#ask(job.at, caller));
+      this.#schedule.add(job.at, () => this.#send(job.at, caller));
     }
     const untilMs = (jobs.at(-1)?.at ?? 0) + DEADLINE_MS;
-    this.#every(WAKE_MS, untilMs, (now) => this.#tell(now, { kind: 'woke' }));
-    this.#every(REPORT_MS, untilMs, (now) => this.#report(now));
+    this.#every(WAKE_INTERVAL_MS, untilMs, (now) => this.#dispatch(now, { kind: 'woke' }));
+    this.#every(REPORT_INTERVAL_MS, untilMs, (now) => this.#report(now));
     while (this.#schedule.next() < untilMs) this.#schedule.run();
     return this.#result();
   }
 
-  /** Part of each customer's requests that were served in time; after a run. */
+  /** Fraction of each customer's requests that were served in time; valid after `run`. */
   get served(): Readonly<Record<string, number>> {
-    return servedOf([...this.#callers.values()]);
+    return servedFractions([...this.#callers.values()]);
   }
 
   #every(periodMs: number, untilMs: number, run: (now: number) => void): void {
     for (let at = periodMs; at < untilMs; at += periodMs) this.#schedule.add(at, () => run(at));
   }
 
-  #later(ms: number, run: (now: number) => void): void {
+  #after(ms: number, run: (now: number) => void): void {
     const at = this.#schedule.now + ms;
     this.#schedule.add(at, () => run(at));
   }
 
   #report(now: number): void {
     for (const [runner, engine] of this.#decodes) {
-      this.#tell(now, { kind: 'reported', report: { runner, usedTokens: engine.usedTokens } });
+      this.#dispatch(now, { kind: 'reported', report: { runner, usedTokens: engine.usedTokens } });
     }
   }
 
@@ -135,12 +137,12 @@
     ];
   }
 
-  #ask(now: number, caller: MemoryCaller): void {
+  #send(now: number, caller: MemoryCaller): void {
     const { job } = caller;
     caller.ask(now);
     const { tries } = caller;
-    const lostAt = Math.min(now + PATIENCE_MS, job.at + DEADLINE_MS);
-    this.#schedule.add(lostAt, () => this.#leave(lostAt, caller, tries));
+    const giveUpAt = Math.min(now + MAX_WAIT_MS, job.at + DEADLINE_MS);
+    this.#schedule.add(giveUpAt, () => this.#disconnect(giveUpAt, caller, tries));
     const demand: Demand = {
       id: job.id,
       vm: 'vm1',
@@ -152,31 +154,31 @@
       hintTokens: job.hintTokens,
       dueAt: job.at + AIM_MS,
       gapMs: PAUSE_MS,
-      lostAt,
+      lostAt: giveUpAt,
       returned: tries > 1,
       resuming: false,
       avoid: [],
     };
-    this.#later(HOP_MS, (at) => this.#tell(at, { kind: 'asked', demand }));
+    this.#after(LATENCY_MS, (at) => this.#dispatch(at, { kind: 'asked', demand }));
   }
 
-  /** A caller that saw no event in its patience leaves. */
-  #leave(now: number, caller: MemoryCaller, tries: number): void {
+  /** Disconnects a caller that received no event within its waiting time. */
+  #disconnect(now: number, caller: MemoryCaller, tries: number): void {
     if (caller.state !== 'waiting' || caller.tries !== tries || caller.hasEvents) return;
     const { job, prefilled, decode } = caller;
     caller.leave();
     if (prefilled) this.#wastedTokens += job.promptTokens;
     this.#decodes.get(decode ?? '')?.cancel(job.id);
-    this.#tell(now, { kind: 'released', id: job.id, blame: undefined });
+    this.#dispatch(now, { kind: 'released', id: job.id, blame: undefined });
   }
 
-  #tell(now: number, event: PlanEvent): void {
+  #dispatch(now: number, event: PlanEvent): void {
     for (const action of this.#options.policy.handle(now, event)) {
-      this.#later(HOP_MS, (at) => this.#carryOut(at, action));
+      this.#after(LATENCY_MS, (at) => this.#execute(at, action));
     }
   }
 
-  #carryOut(now: number, action: PlanAction): void {
+  #execute(now: number, action: PlanAction): void {
     const caller = this.#callers.get(action.id);
     if (caller?.state !== 'waiting') return;
     if (action.kind === 'refuse') this.#refuse(now, caller, action.retryAfterMs);
@@ -191,75 +193,81 @@
     if (caller.prefilled) this.#wastedTokens += promptTokens;
     caller.prefillBegan();
     const doneAt = this.#prefills.get(runner)?.read(now, promptTokens) ?? now;
-    this.#schedule.add(doneAt + HOP_MS, () => {
+    this.#schedule.add(doneAt + LATENCY_MS, () => {
       if (caller.state !== 'waiting') return;
-      const ready = { kind: 'prefilled', id, ms: doneAt - now } as const;
-      this.#tell(doneAt + HOP_MS, { ...ready, unreachable: undefined, shedBy: undefined });
+      const prefilled = { kind: 'prefilled', id, ms: doneAt - now } as const;
+      this.#dispatch(doneAt + LATENCY_MS, {
+        ...prefilled,
+        unreachable: undefined,
+        shedBy: undefined,
+      });
     });
   }
 
-  #decode(now: number, caller: MemoryCaller, runner: string, moved: boolean): void {
+  #decode(now: number, caller: MemoryCaller, runner: string, transferred: boolean): void {
     const { job } = caller;
     caller.sentTo(runner);
-    this.#later(moved ? MOVE_MS : HOP_MS, (at) => {
-      const read = moved ? job.promptTokens : 0;
-      if (caller.state !== 'waiting' || this.#decodes.get(runner)?.take(at, job, read)) return;
-      if (moved) this.#wastedTokens += job.promptTokens;
-      this.#tell(now, { kind: 'released', id: job.id, blame: undefined });
+    this.#after(transferred ? MOVE_MS : LATENCY_MS, (at) => {
+      const prefilled = transferred ? job.promptTokens : 0;
+      if (caller.state !== 'waiting' || this.#decodes.get(runner)?.take(at, job, prefilled)) return;
+      if (transferred) this.#wastedTokens += job.promptTokens;
+      this.#dispatch(now, { kind: 'released', id: job.id, blame: undefined });
       this.#refuse(at, caller, AIM_MS);
     });
   }
 
   #refuse(now: number, caller: MemoryCaller, retryAfterMs: number): void {
-    caller.refuse(now, CALLER_TRIES);
+    caller.refuse(now, MAX_ATTEMPTS);
     if (caller.state !== 'away') return;
-    const left = caller.job.at + DEADLINE_MS - now;
-    this.#later(Math.min(retryAfterMs, left * AWAY_PART), (at) => this.#ask(at, caller));
+    const leftMs = caller.job.at + DEADLINE_MS - now;
+    this.#after(Math.min(retryAfterMs, leftMs * MAX_BACKOFF_FRACTION), (at) =>
+      this.#send(at, caller),
+    );
   }
 
   #onEvent(now: number, id: string): void {
-    if (this.#callers.get(id)?.takeEvent(now)) this.#tell(now, { kind: 'started', id });
+    if (this.#callers.get(id)?.takeEvent(now)) this.#dispatch(now, { kind: 'started', id });
   }
 
   #onEnd(now: number, id: string): void {
     const caller = this.#callers.get(id);
     if (!caller) return;
     caller.finish();
-    this.#tell(now, { kind: 'finished', id, outputTokens: caller.job.outputTokens });
-    this.#tell(now, { kind: 'released', id, blame: undefined });
+    this.#dispatch(now, { kind: 'finished', id, outputTokens: caller.job.outputTokens });
+    this.#dispatch(now, { kind: 'released', id, blame: undefined });
   }
 
   #result(): MemoryResult {
     const callers = [...this.#callers.values()];
     const sizes = callers.map(({ job }) => job.promptTokens).sort((a, b) => a - b);
-    const large = percentile(sizes, LARGE_PART);
-    let lostTokens = this.#wastedTokens;
-    for (const { readAgain } of this.#decodes.values()) lostTokens += readAgain;
+    const large = percentile(sizes, LARGE_QUANTILE);
+    let wastedTokens = this.#wastedTokens;
+    for (const { readAgain } of this.#decodes.values()) wastedTokens += readAgain;
     const refused = callers.filter(({ state }) => state === 'refused');
-    const done = callers.filter(({ state }) => state === 'done').length;
+    const completed = callers.filter(({ state }) => state === 'done').length;
     const inTime = callers.filter((caller) => caller.inTime).length;
     return {
       asked: callers.length,
       inTime,
-      late: done - inTime,
+      late: completed - inTime,
       refused: refused.length,
-      failed: callers.length - done - refused.length,
-      worth: worthOf(callers),
-      wasted: lostTokens / sizes.reduce((sum, tokens) => sum + tokens, 0),
+      failed: callers.length - completed - refused.length,
+      worth: earnedFraction(callers),
+      wasted: wastedTokens / sizes.reduce((sum, tokens) => sum + tokens, 0),
       refusedAfterMs: percentile(
         refused.map(({ heldMs }) => heldMs).sort((a, b) => a - b),
         0.95,
       ),
-      worthOfLargest: worthOf(callers.filter(({ job }) => job.promptTokens >= large)),
+      worthOfLargest: earnedFraction(callers.filter(({ job }) => job.promptTokens >= large)),
     };
   }
 }
 
-function percentile(sorted: readonly number[], part: number): number {
-  return sorted[Math.floor(sorted.length * part)] ?? 0;
+function percentile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.floor(sorted.length * fraction)] ?? 0;
 }
 
-function servedOf(callers: readonly MemoryCaller[]): Readonly<Record<string, number>> {
+function servedFractions(callers: readonly MemoryCaller[]): Readonly<Record<string, number>> {
   const names = new Set(callers.map(({ job }) => job.customer ?? ''));
   return Object.fromEntries(
     [...names].sort().map((name) => {
@@ -269,7 +277,7 @@
   );
 }
 
-function worthOf(callers: readonly MemoryCaller[]): number {
+function earnedFraction(callers: readonly MemoryCaller[]): number {
   let earned = 0;
   let asked = 0;
   for (const caller of callers) {
--- a/test/fakes/memory/caller.ts
+++ b/test/fakes/memory/caller.ts
@@ -1,33 +1,34 @@
-/** One caller of a bench run: what it asked, how often it came, what it got. */
+/** One caller in the simulation: its request, its attempts and its outcome. */
 
 import type { MemoryJob } from './load';
 
-/** Time to the first event within which an answer is in time, and longest pause after it, in milliseconds. */
+/** Target for the time to the first event; a later response is not in time. */
 export const AIM_MS = 900;
+/** Longest gap between events of a response that is in time. */
 export const PAUSE_MS = 300;
-/** What a late answer is worth, as a part. */
-const LATE_WORTH = 0.2;
+/** Fraction of its value that a late response earns. */
+const LATE_FRACTION = 0.2;
 
-/** How a caller stands: `away` after a refusal, before it comes back. */
+/** State of a caller: `away` between a refusal and the next attempt, `left` after it disconnected. */
 export type CallerState = 'waiting' | 'away' | 'done' | 'refused' | 'left';
 
-/** A caller. */
+/** A caller and the state of its request. Times in milliseconds. */
 export class MemoryCaller {
   readonly job: MemoryJob;
 
   #state: CallerState = 'waiting';
 
-  #tries = 0;
+  #attempts = 0;
 
-  #triedAt = 0;
+  #attemptedAt = 0;
 
-  #heldMs = 0;
+  #waitedMs = 0;
 
   #firstEventAt: number | undefined;
 
   #lastEventAt = 0;
 
-  #paused = false;
+  #exceededGap = false;
 
   #decode: string | undefined;
 
@@ -37,79 +38,88 @@
     this.job = job;
   }
 
+  /** Current state. */
   get state(): CallerState {
     return this.#state;
   }
 
+  /** Attempts so far. */
   get tries(): number {
-    return this.#tries;
+    return this.#attempts;
   }
 
-  /** Time spent waiting in tries that were refused, in milliseconds. */
+  /** Time spent waiting in attempts that were refused. */
   get heldMs(): number {
-    return this.#heldMs;
+    return this.#waitedMs;
   }
 
+  /** Whether an event was received. */
   get hasEvents(): boolean {
     return this.#firstEventAt !== undefined;
   }
 
-  /** Decode runner that it was sent to last. */
+  /** Decode runner to which the request was sent last; undefined before that. */
   get decode(): string | undefined {
     return this.#decode;
   }
 
-  /** Whether its prompt was read, and not lost since. */
+  /** Whether the current attempt has started its prefill. */
   get prefilled(): boolean {
     return this.#prefilled;
   }
 
+  /** Records the start of a prefill. */
   prefillBegan(): void {
     this.#prefilled = true;
   }
 
+  /** Records the decode runner. */
   sentTo(runner: string): void {
     this.#decode = runner;
   }
 
+  /** Starts an attempt. */
   ask(now: number): void {
-    this.#tries += 1;
-    this.#triedAt = now;
+    this.#attempts += 1;
+    this.#attemptedAt = now;
     this.#state = 'waiting';
   }
 
-  /** Takes a refusal; with no try left it is the end. */
-  refuse(now: number, mostTries: number): void {
-    this.#heldMs += now - this.#triedAt;
+  /** Records a refusal, which is final once `maxAttempts` are used up. */
+  refuse(now: number, maxAttempts: number): void {
+    this.#waitedMs += now - this.#attemptedAt;
     this.#prefilled = false;
-    this.#state = this.#tries < mostTries ? 'away' : 'refused';
+    this.#state = this.#attempts < maxAttempts ? 'away' : 'refused';
   }
 
+  /** Records that the caller disconnected. */
   leave(): void {
     this.#state = 'left';
   }
 
-  /** Takes an event of the stream; true if it is the first. */
+  /** Records an event of the stream; true if it is the first. */
   takeEvent(now: number): boolean {
     const first = this.#firstEventAt === undefined;
     this.#firstEventAt ??= now;
-    if (!first && now - this.#lastEventAt > PAUSE_MS) this.#paused = true;
+    if (!first && now - this.#lastEventAt > PAUSE_MS) this.#exceededGap = true;
     this.#lastEventAt = now;
     return first;
   }
 
+  /** Records the end of the stream. */
   finish(): void {
     this.#state = 'done';
   }
 
+  /** Whether the response is complete and met the target for the first event and for gaps. */
   get inTime(): boolean {
     const firstMs = (this.#firstEventAt ?? Infinity) - this.job.at;
-    return this.#state === 'done' && !this.#paused && firstMs <= AIM_MS;
+    return this.#state === 'done' && !this.#exceededGap && firstMs <= AIM_MS;
   }
 
-  /** Worth of what it got. */
+  /** Value earned by the response. */
   get earned(): number {
     if (this.#state !== 'done') return 0;
-    return this.job.worth * (this.inTime ? 1 : LATE_WORTH);
+    return this.job.worth * (this.inTime ? 1 : LATE_FRACTION);
   }
 }
--- a/test/fakes/memory/engines.ts
+++ b/test/fakes/memory/engines.ts
@@ -1,28 +1,34 @@
 /**
- * Stand-ins for engines whose memory binds long before their slots: a prefill
- * runner reads one prompt after the other; a decode runner makes a token for
- * each of its requests in a step, reads prompts in pieces between, and pushes
- * its newest request out when outputs outgrow the memory.
+ * Stand-ins for engines whose KV memory is exhausted long before their slots. A
+ * prefill runner processes prompts one after the other. A decode runner produces a
+ * token for each of its requests in a step, prefills local prompts in chunks between
+ * steps, and preempts its newest request when outputs exceed the memory.
  */
 
 import type { Schedule } from '../virtual/schedule';
 
-/** How often a request that was pushed out is tried again, in milliseconds. */
-const RETAKE_MS = 50;
+/** Interval at which a preempted request is retried. */
+const READMIT_INTERVAL_MS = 50;
 
-/** Figures of an engine. Times in milliseconds, sizes in tokens. */
+/** Parameters of an engine. Times in milliseconds, sizes in tokens. */
 export interface MemoryFigures {
+  /** KV memory of a decode runner. */
   readonly memoryTokens: number;
+  /** Fixed time of a decode step. */
   readonly stepMs: number;
+  /** Additional time of a decode step for each request. */
   readonly stepSlotMs: number;
+  /** Prefill speed of a prefill runner. */
   readonly prefillTokensPerMs: number;
+  /** Fixed time of a prefill. */
   readonly prefillBaseMs: number;
-  /** Tokens of a prompt that a decode runner reads in one step. */
+  /** Prompt tokens that a decode runner prefills in one step. */
   readonly chunkTokens: number;
+  /** Output tokens in one event of the stream. */
   readonly eventTokens: number;
 }
 
-/** An engine of the size at which memory for eleven requests stands beside 64 slots. */
+/** An engine whose memory holds about eleven requests, against 64 slots. */
 export const tightFigures: MemoryFigures = {
   memoryTokens: 65_000,
   stepMs: 5.6,
@@ -33,7 +39,7 @@
   eventTokens: 7,
 };
 
-/** An engine whose tokens take a seventh of that, with as long answers in events of many tokens. */
+/** An engine that takes about a seventh of the time of `tightFigures` for a token, with outputs of the same length in events of many tokens. */
 export const fastFigures: MemoryFigures = {
   memoryTokens: 90_000,
   stepMs: 0.7,
@@ -44,7 +50,7 @@
   eventTokens: 59,
 };
 
-/** An engine of slow tokens and slow reading, with short answers. */
+/** An engine with slow decode and slow prefill, for short outputs. */
 export const slowFigures: MemoryFigures = {
   memoryTokens: 65_000,
   stepMs: 20,
@@ -55,7 +61,7 @@
   eventTokens: 2,
 };
 
-/** An engine that reads in no time and whose answers are short. */
+/** An engine with very fast prefill, for short outputs. */
 export const readerFigures: MemoryFigures = {
   ...tightFigures,
   prefillTokensPerMs: 200,
@@ -69,7 +75,7 @@
   readonly outputTokens: number;
 }
 
-/** What an engine tells about a request. */
+/** Receives the events of a stream and its end; `now` in milliseconds. */
 export interface EngineListener {
   readonly onEvent: (now: number, id: string) => void;
   readonly onEnd: (now: number, id: string) => void;
@@ -85,7 +91,7 @@
     this.#figures = figures;
   }
 
-  /** When a prompt given now will have been read. */
+  /** Queues a prompt and returns the time at which its prefill completes. */
   read(now: number, tokens: number): number {
     this.#busyUntil = Math.max(now, this.#busyUntil) + tokens / this.#figures.prefillTokensPerMs;
     return this.#busyUntil + this.#figures.prefillBaseMs;
@@ -94,9 +100,10 @@
 
 interface Running {
   readonly job: EngineJob;
-  made: number;
-  /** Prompt tokens that are still to be read here. */
-  unread: number;
+  /** Output tokens produced. */
+  produced: number;
+  /** Prompt tokens that are still to be prefilled locally. */
+  prefillLeft: number;
 }
 
 /** A decode runner. */
@@ -111,7 +118,7 @@
 
   #stepping = false;
 
-  /** Prompt tokens read a second time after a request was pushed out. */
+  /** Tokens that have to be prefilled again after a preemption. */
   readAgain = 0;
 
   constructor(figures: MemoryFigures, schedule: Schedule, listener: EngineListener) {
@@ -120,20 +127,26 @@
     this.#listener = listener;
   }
 
+  /** Memory in use. */
   get usedTokens(): number {
     let used = 0;
-    for (const { job, made } of this.#running.values()) used += job.promptTokens + made;
+    for (const { job, produced } of this.#running.values()) used += job.promptTokens + produced;
     return used;
   }
 
-  /** Takes a request, or turns it away for want of memory. `read` is what it already has of the prompt. */
-  take(now: number, job: EngineJob, read: number): boolean {
+  /** Admits a request; false if the memory does not suffice. `prefilledTokens` of its prompt need no local prefill. */
+  take(now: number, job: EngineJob, prefilledTokens: number): boolean {
     if (this.usedTokens + job.promptTokens > this.#figures.memoryTokens) return false;
-    this.#running.set(job.id, { job, made: 0, unread: job.promptTokens - read });
+    this.#running.set(job.id, {
+      job,
+      produced: 0,
+      prefillLeft: job.promptTokens - prefilledTokens,
+    });
     if (!this.#stepping) this.#step(now);
     return true;
   }
 
+  /** Removes a request and frees its memory. */
   cancel(id: string): void {
     this.#running.delete(id);
   }
@@ -142,50 +155,52 @@
     this.#stepping = this.#running.size > 0;
     if (!this.#stepping) return;
     const { stepMs, stepSlotMs, chunkTokens, prefillTokensPerMs } = this.#figures;
-    const reader = [...this.#running.values()].find(({ unread }) => unread > 0);
-    const chunk = Math.min(chunkTokens, reader?.unread ?? 0);
-    // A decode runner reads at half the speed of a prefill runner.
-    const readMs = (2 * chunk) / prefillTokensPerMs;
-    const end = now + stepMs + stepSlotMs * this.#running.size + readMs;
+    const prefilling = [...this.#running.values()].find(({ prefillLeft }) => prefillLeft > 0);
+    const chunk = Math.min(chunkTokens, prefilling?.prefillLeft ?? 0);
+    // A decode runner prefills at half the speed of a prefill runner.
+    const prefillMs = (2 * chunk) / prefillTokensPerMs;
+    const end = now + stepMs + stepSlotMs * this.#running.size + prefillMs;
     this.#schedule.add(end, () => {
-      if (reader) reader.unread -= chunk;
-      this.#makeTokens(end);
-      this.#pushOut();
+      if (prefilling) prefilling.prefillLeft -= chunk;
+      this.#produceTokens(end);
+      this.#preempt();
       this.#step(end);
     });
   }
 
-  #makeTokens(now: number): void {
+  #produceTokens(now: number): void {
     const { eventTokens } = this.#figures;
     for (const entry of [...this.#running.values()]) {
-      const { job, unread } = entry;
-      if (unread <= 0 && this.#running.has(job.id)) {
-        entry.made += 1;
-        const ended = entry.made >= job.outputTokens;
+      const { job, prefillLeft } = entry;
+      if (prefillLeft <= 0 && this.#running.has(job.id)) {
+        entry.produced += 1;
+        const ended = entry.produced >= job.outputTokens;
         if (ended) this.#running.delete(job.id);
-        if (ended || entry.made % eventTokens === 0) this.#listener.onEvent(now, job.id);
+        if (ended || entry.produced % eventTokens === 0) this.#listener.onEvent(now, job.id);
         if (ended) this.#listener.onEnd(now, job.id);
       }
     }
   }
 
-  #pushOut(): void {
+  #preempt(): void {
     while (this.usedTokens > this.#figures.memoryTokens) {
-      const newest = [...this.#running.values()].filter(({ unread }) => unread <= 0).at(-1);
+      const newest = [...this.#running.values()]
+        .filter(({ prefillLeft }) => prefillLeft <= 0)
+        .at(-1);
       if (!newest) return;
-      const { job, made } = newest;
-      this.readAgain += job.promptTokens + made;
-      // It is read again from the start once there is room; until then it holds nothing.
+      const { job, produced } = newest;
+      this.readAgain += job.promptTokens + produced;
+      // It is prefilled again from the start once there is free memory; until then it holds none.
       this.#running.delete(job.id);
-      const again = { ...job, outputTokens: Math.max(1, job.outputTokens - made) };
-      this.#retake(again);
+      const remainder = { ...job, outputTokens: Math.max(1, job.outputTokens - produced) };
+      this.#readmit(remainder);
     }
   }
 
-  #retake(job: EngineJob): void {
-    const at = this.#schedule.now + RETAKE_MS;
+  #readmit(job: EngineJob): void {
+    const at = this.#schedule.now + READMIT_INTERVAL_MS;
     this.#schedule.add(at, () => {
-      if (!this.take(at, job, 0)) this.#retake(job);
+      if (!this.take(at, job, 0)) this.#readmit(job);
     });
   }
 }
--- a/test/fakes/memory/known.ts
+++ b/test/fakes/memory/known.ts
@@ -1,13 +1,13 @@
-/** Costs of a stand-in engine as they are, for a planner that is told the truth. */
+/** Cost model with the true costs of a stand-in engine, to test the planner without estimation errors. */
 
 import type { CostModel } from '../../../src/core/memory/cost';
 import { MOVE_MS } from './bench';
 import type { MemoryFigures } from './engines';
 
-/** Requests that run beside each other when the time of a token is taken. */
-const USUAL_RUNNING = 8;
+/** Number of concurrent requests for which the time of a token is computed. */
+const TYPICAL_BATCH = 8;
 
-/** Knows the figures and learns nothing. */
+/** Takes the costs from the engine's parameters and ignores measurements. */
 export class KnownCosts implements CostModel {
   readonly prefillBaseMs: number;
 
@@ -22,7 +22,7 @@
   constructor(figures: MemoryFigures) {
     this.prefillBaseMs = figures.prefillBaseMs;
     this.prefillTokenMs = 1 / figures.prefillTokensPerMs;
-    this.tokenMs = figures.stepMs + figures.stepSlotMs * USUAL_RUNNING;
+    this.tokenMs = figures.stepMs + figures.stepSlotMs * TYPICAL_BATCH;
     this.minTokenMs = this.tokenMs;
     this.firstEventMs = MOVE_MS + figures.eventTokens * this.tokenMs;
   }
--- a/test/fakes/platform.ts
+++ b/test/fakes/platform.ts
@@ -1,7 +1,8 @@
 /**
- * Stand-in for the platform: key-value over Consul's HTTP protocol (compare-and-swap,
- * sessions as leases, blocking queries as watches) and a lagging list of VMs.
- * Faults: outage, slowness, answers lost after the write took effect, an older state.
+ * Stand-in for the platform: a key-value store with Consul's HTTP protocol
+ * (compare-and-swap, sessions as leases, blocking queries as watches) and a list
+ * of VMs, which may lag behind the VMs that run.
+ * Faults: outage, delay, lost responses to writes that took effect, restoring an older state.
  */
 
 import type { Server, ServerResponse } from 'node:http';
@@ -21,23 +22,24 @@
   readonly wake: () => void;
 }
 
-/** Faults that can be set while it runs. */
+/** Faults, set in the test process or by a request to `/fault`. */
 export interface PlatformFaults {
-  /** Every call is dropped. */
+  /** Resets the connection of every call. */
   outage: boolean;
-  /** Added to each answer, in milliseconds. */
+  /** Delay of each response, in milliseconds. */
   delayMs: number;
-  /** The next writes take effect but their answers are lost. */
+  /** Number of next writes that take effect without a response. */
   loseWriteAnswers: number;
 }
 
-/** A started platform. */
+/** Server of the platform's protocol. */
 export class PlatformServer {
   readonly faults: PlatformFaults = { outage: false, delayMs: 0, loseWriteAnswers: 0 };
 
-  /** Calls by kind: `read`, `write`, `watch`, `session`, `list`. */
+  /** Number of calls by kind: `read`, `write`, `watch`, `session`, `list`. */
   readonly calls: Record<string, number> = {};
 
+  /** Port in use once started. */
   port = 0;
 
   #entries = new Map<string, Entry>();
@@ -54,10 +56,12 @@
 
   #host = '127.0.0.1';
 
+  /** Base URL. */
   get url(): string {
     return `http://${this.#host}:${this.port}`;
   }
 
+  /** Starts listening, by default on a free port. */
   async start(port?: number, host = '127.0.0.1'): Promise<this> {
     const { server, port: bound } = await listen(
       async (req, res, url) => {
@@ -97,27 +101,30 @@
     return this;
   }
 
+  /** Stops the session timers, completes all watches and closes the server. */
   async stop(): Promise<void> {
     for (const timer of this.#sessions.values()) clearTimeout(timer);
     for (const watch of this.#watches) watch.wake();
     if (this.#server) await closeServer(this.#server);
   }
 
+  /** Replaces the list of VMs. */
   setVms(vms: readonly { id: string; address: string; leaving: boolean }[]): void {
     this.#vms = vms;
   }
 
-  /** The whole state, to bring an older one back later. */
+  /** Copies all entries, for `restore`. */
   snapshot(): ReadonlyMap<string, Entry> {
     return new Map(this.#entries);
   }
 
+  /** Replaces all entries by an older copy and wakes all watches. */
   restore(entries: ReadonlyMap<string, Entry>): void {
     this.#entries = new Map(entries);
     this.#wake('');
   }
 
-  /** Writes behind the back of the system, as a careless operator would. */
+  /** Writes a key directly, bypassing the system under test, as an operator's manual edit would. */
   poke(key: string, value: string): void {
     this.#put(key, value, undefined);
   }
@@ -161,8 +168,8 @@
     const cas = url.searchParams.get('cas');
     const acquire = url.searchParams.get('acquire');
     const held = acquire !== null && now?.session !== undefined && now.session !== acquire;
-    const lapsed = acquire !== null && !this.#sessions.has(acquire);
-    const ok = !held && !lapsed && (cas === null || Number(cas) === (now?.index ?? 0));
+    const expired = acquire !== null && !this.#sessions.has(acquire);
+    const ok = !held && !expired && (cas === null || Number(cas) === (now?.index ?? 0));
     if (ok && method === 'DELETE') this.#entries.delete(key);
     else if (ok) this.#put(key, body, acquire ?? now?.session);
     if (this.faults.loseWriteAnswers > 0) {
--- a/test/fakes/position.ts
+++ b/test/fakes/position.ts
@@ -1,7 +1,8 @@
-/** Positions in the history of a store that tells no era. */
+/** Positions in the history of a store. */
 
 import type { Position } from '../../src/core/routing/position';
 
+/** Returns the position of a revision; era 0 is that of a store that reports no era. */
 export function at(revision: number, era = 0): Position {
   return { era, revision };
 }
--- a/test/fakes/routers.ts
+++ b/test/fakes/routers.ts
@@ -1,7 +1,7 @@
 /**
- * Routers on the platform inside the test's own process: real daemons with the real
- * adapter, links and probes between them, a stand-in of the store, and stand-ins of
- * runners that speak the platform's protocol over loopback.
+ * Routers on the platform in the test process: the real daemons with the platform
+ * adapter, connections and probes between them, a stand-in for the store, and stand-ins
+ * for runners that speak the platform's protocol over loopback.
  */
 
 import { randomUUID } from 'node:crypto';
@@ -19,28 +19,28 @@
 import { closeServer, listen, readBody, sendJson } from './http';
 import { FakeStore } from './store';
 
-/** What a body holds that ends each runner which begins to run it. */
+/** Text in a request body that crashes each runner that starts to process it. */
 export const DEADLY = 'ends its runner';
 
-/** Key of a customer under which the fake itself sends requests; where there are customers, one must hold it. */
+/** API key of the warm-up requests; if customers are configured, one of them must have it. */
 export const WARM_KEY = 'key-of-the-test';
 
-/** Services of the deployment. */
+/** Names of the services. */
 export const services = { model: 'reader', plain: 'desk' } as const;
 
-/** How to start. */
+/** Options of a deployment. */
 export interface RoutersOptions {
-  /** Default: 3. */
+  /** Number of VMs. Default: 3. */
   readonly vms?: number;
-  /** Decode runners, and as many plain ones. Default: 6. */
+  /** Number of decode runners, and of plain runners. Default: 6. */
   readonly runners?: number;
-  /** Time after which a runner that ended is back under a new id, in milliseconds. Default: 600. */
+  /** Time from the crash of a runner to its restart under a new id, in milliseconds. Default: 600. */
   readonly backMs?: number;
-  /** Customers as the configuration holds them. Default: requests need no key. */
+  /** Customers in the format of the configuration. Default: requests need no key. */
   readonly customers?: readonly unknown[];
 }
 
-/** Whose a request was, as a runner saw it. */
+/** A request as a runner received it; a field is undefined if its header was absent. */
 export interface Arrival {
   readonly path: string;
   readonly stage: string | undefined;
@@ -48,21 +48,24 @@
   readonly authorization: string | undefined;
 }
 
-/** How a caller saw its request end. */
+/** Outcome of a request for its caller. */
 export interface CallerAnswer {
+  /** HTTP status; 0 if there was no response. */
   readonly status: number;
+  /** `Retry-After` header. */
   readonly retryAfter: string | undefined;
+  /** Whether the response was received completely. */
   readonly whole: boolean;
 }
 
-/** What a runner does. */
+/** Stage that a runner serves; `plain` for a runner of the plain service. */
 type Role = 'prefill' | 'decode' | 'plain';
 
-const LEASE_LAPSE_MS = 400;
-const EVENTS = 3;
-const EVENT_MS = 10;
-/** Time from the beginning of a deadly run to the end of its runner, in milliseconds. */
-const DEADLY_MS = 20;
+const LEASE_EXPIRY_MS = 400;
+const EVENT_COUNT = 3;
+const EVENT_INTERVAL_MS = 10;
+/** Time from the start of a run that crashes its runner to the crash. */
+const CRASH_DELAY_MS = 20;
 
 const configOf = (version: number, customers?: readonly unknown[]): unknown => ({
   version,
@@ -106,37 +109,40 @@
   ],
 });
 
-/** A runner on a loopback port. */
+/** A runner on a free loopback port. */
 export class RunnerServer {
   readonly id = `i-${randomUUID().slice(0, 8)}`;
 
-  /** Steady times at which requests reached it, prefills included. */
+  /** Monotonic times at which requests arrived, prefills included, in milliseconds. */
   readonly reachedAt: number[] = [];
 
+  /** Requests received, in order, prefills included. */
   readonly arrivals: Arrival[] = [];
 
-  /** What it names as its rate limit. Default: it names none. */
+  /** Rate limit that it announces in a response header. Default: none. */
   rateLimit: string | undefined;
 
   readonly #role: Role;
 
-  readonly #onEnd: (runner: RunnerServer) => void;
+  readonly #onCrash: (runner: RunnerServer) => void;
 
   #server: Server | undefined;
 
   #address = '';
 
-  #ended = false;
+  #isStopped = false;
 
-  constructor(role: Role, onEnd: (runner: RunnerServer) => void) {
+  constructor(role: Role, onCrash: (runner: RunnerServer) => void) {
     this.#role = role;
-    this.#onEnd = onEnd;
+    this.#onCrash = onCrash;
   }
 
+  /** Its role. */
   get role(): Role {
     return this.#role;
   }
 
+  /** Its entry in the store. */
   get entry(): unknown {
     const service = this.#role === 'plain' ? services.plain : services.model;
     const stage = this.#role === 'plain' ? {} : { stage: this.#role };
@@ -150,7 +156,7 @@
   }
 
   async stop(): Promise<void> {
-    this.#ended = true;
+    this.#isStopped = true;
     if (this.#server) await closeServer(this.#server);
   }
 
@@ -185,28 +191,28 @@
     res.writeHead(200, headers);
     if (body.includes(DEADLY)) {
       res.flushHeaders();
-      await pause(DEADLY_MS);
-      this.#end();
+      await pause(CRASH_DELAY_MS);
+      this.#crash();
       return;
     }
-    for (let event = 1; event <= EVENTS; event += 1) {
-      await pause(EVENT_MS);
+    for (let event = 1; event <= EVENT_COUNT; event += 1) {
+      await pause(EVENT_INTERVAL_MS);
       res.write(`id: ${event}\ndata: x\n\n`);
     }
     res.end();
   }
 
-  /** The process is gone: every connection is reset, and nothing listens any more. */
-  #end(): void {
-    if (this.#ended) return;
-    this.#ended = true;
+  /** Simulates the crash of the process: closes all connections and stops listening. */
+  #crash(): void {
+    if (this.#isStopped) return;
+    this.#isStopped = true;
     this.#server?.close();
     this.#server?.closeAllConnections();
-    this.#onEnd(this);
+    this.#onCrash(this);
   }
 }
 
-/** A port that is free now. */
+/** Returns a loopback port that is free at present. */
 async function freePort(): Promise<number> {
   const server = createServer();
   await new Promise<void>((resolve) => {
@@ -225,11 +231,11 @@
   router: Router;
 }
 
-/** A started deployment. */
+/** A deployment of routers, runners and a store. */
 export class Routers {
   readonly store = new FakeStore();
 
-  /** Runners that ended under a request, in order. */
+  /** Ids of runners that crashed while processing a request, in order. */
   readonly ended: string[] = [];
 
   readonly #options: Required<Omit<RoutersOptions, 'customers'>>;
@@ -249,41 +255,43 @@
     this.#customers = customers;
   }
 
-  /** Requests that reached runners, prefills included. */
+  /** Number of requests that arrived at runners, prefills included. */
   get reached(): number {
     return this.#runners.reduce((sum, { reachedAt }) => sum + reachedAt.length, 0);
   }
 
+  /** Starts all processes and waits until every VM serves both services. */
   async start(): Promise<void> {
     const { vms, runners } = this.#options;
     await this.store.start();
     this.store.put('op/config', configOf(this.#version, this.#customers));
-    await this.#add('prefill');
+    await this.#addRunner('prefill');
     for (let i = 0; i < runners; i += 1) {
-      await this.#add('decode');
-      await this.#add('plain');
+      await this.#addRunner('decode');
+      await this.#addRunner('plain');
     }
     for (let i = 0; i < vms; i += 1) this.#vms.push(await this.#startVm(`vm${i + 1}`));
-    await this.#settled();
+    await this.#waitUntilServing();
   }
 
-  /** Runners that do one thing. */
+  /** Runners of one role, crashed ones included. */
   runnersOf(role: Role): readonly RunnerServer[] {
     return this.#runners.filter((runner) => runner.role === role);
   }
 
-  /** What reached the runners. */
+  /** Requests received by all runners, grouped by runner. */
   get arrivals(): readonly Arrival[] {
     return this.#runners.flatMap(({ arrivals }) => arrivals);
   }
 
-  /** The operator writes a configuration with other customers. */
+  /** Writes the next version of the configuration, with other customers. */
   configure(customers: readonly unknown[]): void {
     this.#customers = customers;
     this.#version += 1;
     this.store.put('op/config', configOf(this.#version, customers));
   }
 
+  /** Stops all processes. */
   async stop(): Promise<void> {
     this.#stopping = true;
     await Promise.all(this.#vms.map(({ router }) => router.stop()));
@@ -291,28 +299,28 @@
     this.store.stop();
   }
 
-  /** Stops all VMs, and starts them anew with nothing but the store to know things from. */
+  /** Stops all VMs, then restarts them, so that the store is their only source of state. */
   async restart(): Promise<void> {
     await Promise.all(this.#vms.map(({ router }) => router.stop()));
-    for (const one of this.#vms) {
-      one.router = this.#routerOf(one.name, one.front, one.peer, one.ready);
-      await one.router.start();
+    for (const vm of this.#vms) {
+      vm.router = this.#routerOf(vm.name, vm.front, vm.peer, vm.ready);
+      await vm.router.start();
     }
-    await this.#settled();
+    await this.#waitUntilServing();
   }
 
-  /** One more VM, that knows nothing yet. */
+  /** Starts one more VM, without any state. */
   async addVm(): Promise<void> {
     this.#vms.push(await this.#startVm(`vm${this.#vms.length + 1}`));
-    await this.#settled();
+    await this.#waitUntilServing();
   }
 
-  /** Sends one request to a VM, by turns, under an id of its own. */
+  /** Sends one request with a new id to the VM at index `turn`, modulo the number of VMs. */
   async ask(
     turn: number,
     path: string,
     body: string,
-    sent: Readonly<Record<string, string | string[]>> = {},
+    extraHeaders: Readonly<Record<string, string | string[]>> = {},
   ): Promise<CallerAnswer> {
     const vm = this.#vms[turn % this.#vms.length];
     const headers = {
@@ -323,7 +331,7 @@
       ...(path.startsWith('/model/')
         ? { 'token-usage': '100,50', 'prompt-prefix': `${body.length}:100` }
         : {}),
-      ...sent,
+      ...extraHeaders,
     };
     return fetchRaw(vm?.front ?? '', path, headers, body);
   }
@@ -363,42 +371,42 @@
     );
   }
 
-  /** Every VM serves both services. */
-  async #settled(): Promise<void> {
+  /** Waits until every VM serves both services. */
+  async #waitUntilServing(): Promise<void> {
     for (let turn = 0; turn < this.#vms.length; turn += 1) {
       for (const path of ['/model/warm', '/plain/warm']) {
         await eventually(`VM ${turn} serves ${path}`, async () => {
           const body = `warm ${randomUUID()}`;
-          const { status, whole } = await this.ask(turn, path, body, this.#warmHeaders);
+          const { status, whole } = await this.ask(turn, path, body, this.#warmupHeaders);
           return status === 200 && whole;
         });
       }
     }
   }
 
-  get #warmHeaders(): Readonly<Record<string, string>> {
+  get #warmupHeaders(): Readonly<Record<string, string>> {
     return this.#customers ? { authorization: `Bearer ${WARM_KEY}` } : {};
   }
 
-  async #add(role: Role): Promise<void> {
-    const runner = new RunnerServer(role, (ended) => this.#onEnd(ended));
+  async #addRunner(role: Role): Promise<void> {
+    const runner = new RunnerServer(role, (crashed) => this.#onCrash(crashed));
     await runner.start();
     this.#runners.push(runner);
     this.store.put(`servers/${runner.id}`, runner.entry);
   }
 
-  /** Its lease runs out, and it is back under a new id. */
-  #onEnd(runner: RunnerServer): void {
+  /** Removes the runner's entry when its lease expires, and restarts the runner under a new id. */
+  #onCrash(runner: RunnerServer): void {
     this.ended.push(runner.id);
     const { backMs } = this.#options;
-    setTimeout(() => this.store.remove(`servers/${runner.id}`), LEASE_LAPSE_MS).unref();
+    setTimeout(() => this.store.remove(`servers/${runner.id}`), LEASE_EXPIRY_MS).unref();
     setTimeout(() => {
-      if (!this.#stopping) this.#add(runner.role).catch(() => undefined);
+      if (!this.#stopping) this.#addRunner(runner.role).catch(() => undefined);
     }, backMs).unref();
   }
 }
 
-/** One request whose answer may break off. */
+/** Sends one request on its own connection; never rejects, since the response may be cut off. */
 function fetchRaw(
   address: string,
   path: string,
--- a/test/fakes/runner.ts
+++ b/test/fakes/runner.ts
@@ -1,8 +1,8 @@
-/** Runners as tests need them. */
+/** Runner records for tests. */
 
 import type { Runner } from '../../src/core/routing/types';
 
-/** A runner of service `s` in failure domain `a` that stays. */
+/** Returns a runner of service `s` in failure domain `a` that is not leaving, with some fields replaced. */
 export function runnerOf(id: string, role: Runner['role'], change: Partial<Runner> = {}): Runner {
   return {
     id,
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -1,4 +1,4 @@
-/** Quarantine and runs as tests need them. */
+/** Quarantine, runs, quotas and rate limits for tests of request handling. */
 
 import pino from 'pino';
 
@@ -16,7 +16,7 @@
 
 const log = pino({ level: 'silent' });
 
-/** A quarantine that tells nobody, with parts changed. */
+/** Returns a quarantine that stores and replicates nothing, with some dependencies replaced. */
 export function quarantineOf(change: Partial<QuarantineContext> = {}): QuarantineDesk {
   return new QuarantineDesk({
     archive: { save: async () => {} },
@@ -29,14 +29,14 @@
   });
 }
 
-/** Quotas of customers who may use any amount. */
+/** Quotas that never refuse a request. */
 export const noQuotas: Pick<QuotaDesk, 'cover'> = { cover: async () => undefined };
 
-function newKnowledge(): Knowledge {
+function emptyKnowledge(): Knowledge {
   return new Knowledge(new StoreHistory(), log, silentListener);
 }
 
-/** Permits of a VM that knows no rate limit. */
+/** Permits of a VM on which no runner is rate-limited; each is granted for the first candidate. */
 export const noPermits: BalancerContext['permits'] = {
   isLimited: () => false,
   mayTake: () => true,
@@ -45,13 +45,13 @@
   ask: async (_service, [runner = '']) => ({ granted: true, runner, waitMs: 0 }),
 };
 
-/** A gate of a VM that goes by what it knows, however old that is. */
-export function gateOf(knowledge = newKnowledge()): Authorizer {
+/** Returns an authorizer that accepts configuration of any age. */
+export function gateOf(knowledge = emptyKnowledge()): Authorizer {
   return new Authorizer(knowledge, () => ({ keyMs: Infinity, finalMs: Infinity }));
 }
 
-/** Rate limits of a VM, by default one that knows no runner. */
-export function rateLimitsOf(knowledge = newKnowledge()): RateLimitDesk {
+/** Returns the rate limits of a VM, by default one without runner records. */
+export function rateLimitsOf(knowledge = emptyKnowledge()): RateLimitDesk {
   return new RateLimitDesk({
     knowledge,
     metrics: new RouterMetrics(),
@@ -60,7 +60,7 @@
   });
 }
 
-/** Runs of which nobody takes notice. */
+/** Returns runs whose metrics and log lines are discarded. */
 export function runsOf(quarantine = quarantineOf()): Runs {
   const rateLimits = rateLimitsOf();
   return new Runs({
--- a/test/fakes/service.ts
+++ b/test/fakes/service.ts
@@ -1,41 +1,44 @@
-/** Stand-in for a plain service: echoes, and counts each run by its idempotency key. */
+/** Stand-in for a plain service: describes each request in its response and counts runs by idempotency key. */
 
 import type { Server } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
 
 import { closeServer, listen, readBody, sendJson } from './http';
 
-/** What is sent of an answer that is reset. */
+/** Body that is sent before a connection is reset. */
 export const ANSWER_PART = 'part of an answer';
 
-/** Time from that part to the reset, in milliseconds. */
+/** Time from the partial body to the reset. */
 const RESET_MS = 20;
 
-/** A started service. */
+/** Server of a plain service. A request to `/fault` sets the fields for faults by name. */
 export class PlainServer {
-  /** Runs by idempotency key. */
+  /** Number of runs by idempotency key. */
   readonly runs = new Map<string, number>();
 
+  /** Port in use once started. */
   port = 0;
 
-  /** Delay of each answer in milliseconds. */
+  /** Delay of each response, in milliseconds. */
   delayMs = 0;
 
-  /** Drops the connection after the run, before the answer. */
+  /** Closes the connection after the run, before the response. */
   dropAnswers = false;
 
-  /** Sends part of an answer that has no length, then resets the connection. */
+  /** Sends part of a response without a content length, then resets the connection. */
   resetsAnswers = false;
 
+  /** Reports that the runner is leaving, and refuses requests with status 503. */
   leaving = false;
 
-  /** Breaks off each call whose body holds this text. */
+  /** Closes the connection of each request whose body contains this text; empty disables it. */
   deadly = '';
 
   #server: Server | undefined;
 
   #host = '127.0.0.1';
 
+  /** Starts listening, by default on a free port. */
   async start(port?: number, host = '127.0.0.1'): Promise<this> {
     const { server, port: bound } = await listen(
       async (req, res, url) => {
@@ -61,8 +64,8 @@
         const run = (this.runs.get(key) ?? 0) + 1;
         this.runs.set(key, run);
         await pause(this.delayMs);
-        const ends = this.deadly !== '' && body.includes(this.deadly);
-        if (this.dropAnswers || ends) res.destroy();
+        const crashes = this.deadly !== '' && body.includes(this.deadly);
+        if (this.dropAnswers || crashes) res.destroy();
         else if (this.resetsAnswers) {
           const { socket } = req;
           socket.write(`HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n${ANSWER_PART}`);
@@ -87,10 +90,12 @@
     return this;
   }
 
+  /** Base URL. */
   get url(): string {
     return `http://${this.#host}:${this.port}`;
   }
 
+  /** Closes the server and its connections. */
   async stop(): Promise<void> {
     if (this.#server) await closeServer(this.#server);
   }
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's store: keys with revisions, watches, leases, and ways to misbehave. */
+/** Stand-in for the platform's store: keys with revisions, watches, leases and injected faults. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -10,7 +10,7 @@
 import { EraReader } from '../../src/platform/era';
 import { StoreClient } from '../../src/platform/store';
 
-const silent = pino({ level: 'silent' });
+const silentLog = pino({ level: 'silent' });
 
 interface Item {
   readonly key: string;
@@ -21,13 +21,16 @@
 
 type Change = Item | { readonly key: string; readonly revision: number; readonly deleted: true };
 
-/** A copy of all that the store holds. */
+/** A copy of the store's whole state. */
 export interface StoreCopy {
+  /** Latest revision. */
   readonly revision: number;
   readonly items: ReadonlyMap<string, Item>;
+  /** Changes since the last compaction. */
   readonly history: readonly Change[];
+  /** Leases that have not expired. */
   readonly leases: readonly number[];
-  /** Number of the lease given last. */
+  /** Number of the lease granted last. */
   readonly leaseCount: number;
 }
 
@@ -36,23 +39,24 @@
   readonly writes: readonly { key: string; value: string; lease: number }[];
 }
 
-/** How it treats calls: `silent` never answers, `busy` answers 503, `deaf` does writes and loses their answers. */
+/** How calls are handled: `well` normally, `silent` without a response, `busy` with status 503; `deaf` executes POST requests, but sends them no response. */
 export type StoreMood = 'well' | 'silent' | 'busy' | 'deaf';
 
-/** Items in one page of a range. */
-const PAGE = 3;
+/** Most items in one page of a range. */
+const PAGE_ITEMS = 3;
 
-/** A store on a loopback port. */
+/** Server of the store's protocol on a free loopback port. */
 export class FakeStore {
+  /** Injected fault. */
   mood: StoreMood = 'well';
 
-  /** Calls by path. */
+  /** Paths of all calls, in order. */
   readonly calls: string[] = [];
 
-  /** Called after each page of a range, to change what the next one holds. */
+  /** Called with the request's `after` key once a page of a range is read, so that a test can change the following pages. */
   onPage: ((after: string) => void) | undefined;
 
-  /** Number of this life of the store, in all answers. Default: it tells none. */
+  /** Era of the store, sent in a header of all responses. Default: none is sent. */
   era: string | undefined;
 
   #revision = 0;
@@ -61,12 +65,12 @@
 
   #history: Change[] = [];
 
-  /** Revisions up to this one are no longer told to watches. */
-  #forgotten = 0;
+  /** Watches cannot start before this revision, because older history is dropped. */
+  #compactedRevision = 0;
 
-  #leases = 0;
+  #lastLease = 0;
 
-  readonly #live = new Set<number>();
+  readonly #liveLeases = new Set<number>();
 
   readonly #watches = new Set<() => void>();
 
@@ -78,80 +82,88 @@
     });
   }
 
+  /** Starts listening. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.#server.listen(0, '127.0.0.1', resolve);
     });
   }
 
+  /** Closes the server and its connections. */
   stop(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
+  /** Address as `host:port`. */
   get address(): string {
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
+  /** Writes a key directly; objects are stored as JSON. Lease 0 means none. */
   put(key: string, value: unknown, lease = 0): void {
     const text = typeof value === 'string' ? value : JSON.stringify(value);
     const bytes = Buffer.isBuffer(value) ? value : Buffer.from(text);
     this.#write(key, bytes.toString('base64'), lease);
-    this.#wake();
+    this.#notifyWatches();
   }
 
+  /** Deletes a key directly. */
   remove(key: string): void {
     this.#revision += 1;
     this.#items.delete(key);
     this.#history.push({ key, revision: this.#revision, deleted: true });
-    this.#wake();
+    this.#notifyWatches();
   }
 
-  /** Drops the history: watches get 410 and have to read everything again. */
+  /** Drops the history: watches from an older revision get 410, and their clients have to read all keys again. */
   compact(): void {
-    this.#forgotten = this.#revision;
+    this.#compactedRevision = this.#revision;
     this.#history = [];
-    this.#wake();
+    this.#notifyWatches();
   }
 
+  /** Copies the whole state. */
   copy(): StoreCopy {
     return {
       revision: this.#revision,
       items: new Map(this.#items),
       history: [...this.#history],
       leases: this.leases,
-      leaseCount: this.#leases,
+      leaseCount: this.#lastLease,
     };
   }
 
-  /** Comes back from an older copy: what was acknowledged since is lost, and revisions and leases' numbers are given out again. */
+  /** Restores the store from an older copy in a new era: acknowledged writes since the copy are lost, and revisions and lease numbers are used a second time. */
   comeBack({ revision, items, history, leases, leaseCount }: StoreCopy): void {
-    this.#leases = leaseCount;
+    this.#lastLease = leaseCount;
     this.era = String(Number(this.era ?? 0) + 1);
     this.#revision = revision;
     this.#items.clear();
     for (const [key, item] of items) this.#items.set(key, item);
     this.#history = [...history];
-    this.#live.clear();
-    for (const lease of leases) this.#live.add(lease);
+    this.#liveLeases.clear();
+    for (const lease of leases) this.#liveLeases.add(lease);
     this.#server.closeAllConnections();
-    this.#wake();
+    this.#notifyWatches();
   }
 
-  /** Lets a lease run out. */
+  /** Expires a lease and deletes its keys. */
   expire(lease: number): void {
-    this.#live.delete(lease);
-    for (const { key, lease: held } of [...this.#items.values()]) {
-      if (held === lease) this.remove(key);
+    this.#liveLeases.delete(lease);
+    for (const { key, lease: itemLease } of [...this.#items.values()]) {
+      if (itemLease === lease) this.remove(key);
     }
   }
 
+  /** All keys, in the order in which they were first written. */
   get keys(): readonly string[] {
     return [...this.#items.keys()];
   }
 
+  /** Leases that have not expired. */
   get leases(): readonly number[] {
-    return [...this.#live];
+    return [...this.#liveLeases];
   }
 
   #write(key: string, value: string, lease: number): void {
@@ -161,7 +173,7 @@
     this.#history.push(item);
   }
 
-  #wake(): void {
+  #notifyWatches(): void {
     for (const watch of [...this.#watches]) watch();
   }
 
@@ -191,21 +203,21 @@
     }
     if (path === '/v1/kv-txn') return this.#commit(JSON.parse(body) as Txn);
     if (path === '/v1/kv-lease') {
-      this.#leases += 1;
-      this.#live.add(this.#leases);
-      return [200, { lease: this.#leases, 'ttl-ms': 6000 }];
+      this.#lastLease += 1;
+      this.#liveLeases.add(this.#lastLease);
+      return [200, { lease: this.#lastLease, 'ttl-ms': 6000 }];
     }
     const lease = Number(path.split('/').at(-1));
     if (method === 'DELETE') this.expire(lease);
-    return [this.#live.has(lease) || method === 'DELETE' ? 200 : 404, {}];
+    return [this.#liveLeases.has(lease) || method === 'DELETE' ? 200 : 404, {}];
   }
 
   #range(prefix: string, after: string): unknown {
     const keys = [...this.#items.keys()].filter((key) => key.startsWith(prefix) && key > after);
-    const page = keys.sort().slice(0, PAGE);
+    const page = keys.sort().slice(0, PAGE_ITEMS);
     const answer = {
       items: page.map((key) => this.#items.get(key)),
-      truncated: keys.length > PAGE,
+      truncated: keys.length > PAGE_ITEMS,
       'as-of': this.#revision,
     };
     this.onPage?.(after);
@@ -213,9 +225,9 @@
   }
 
   async #watch(prefix: string, after: number, waitMs: number): Promise<[number, unknown]> {
-    const news = (): Change[] =>
+    const changes = (): Change[] =>
       this.#history.filter(({ key, revision }) => key.startsWith(prefix) && revision > after);
-    if (after >= this.#forgotten && after <= this.#revision && news().length === 0) {
+    if (after >= this.#compactedRevision && after <= this.#revision && changes().length === 0) {
       await new Promise<void>((resolve) => {
         const done = (): void => {
           this.#watches.delete(done);
@@ -225,8 +237,8 @@
         setTimeout(done, waitMs).unref();
       });
     }
-    if (after < this.#forgotten || after > this.#revision) return [410, {}];
-    return [200, { events: news(), 'as-of': this.#revision }];
+    if (after < this.#compactedRevision || after > this.#revision) return [410, {}];
+    return [200, { events: changes(), 'as-of': this.#revision }];
   }
 
   #commit({ expected, writes }: Txn): [number, unknown] {
@@ -234,18 +246,18 @@
       ({ key, revision }) => (this.#items.get(key)?.revision ?? 0) === revision,
     );
     if (!holds) return [412, { items: [] }];
-    if (writes.some(({ lease }) => lease !== 0 && !this.#live.has(lease))) return [404, {}];
+    if (writes.some(({ lease }) => lease !== 0 && !this.#liveLeases.has(lease))) return [404, {}];
     for (const { key, value, lease } of writes) this.#write(key, value, lease);
-    this.#wake();
+    this.#notifyWatches();
     return [200, { revision: this.#revision }];
   }
 }
 
-/** A client of a store that knows nothing of its history yet. */
+/** Returns a client of the store, by default with an empty record of its history. */
 export function clientOf(
   store: FakeStore,
   history = new StoreHistory(),
-  log = silent,
+  log = silentLog,
 ): StoreClient {
   return new StoreClient(store.address, new EraReader(history, log));
 }
