--- a/scripts/soak/faults.ts
+++ b/scripts/soak/faults.ts
@@ -251,19 +251,19 @@
     return this.#busy.has('store') ? undefined : { target: 'store', over: work() };
   }
 
-  #storeMood(mood: FakeStore['mood']): Begun | undefined {
+  #storeMood(mood: FakeStore['fault']): Begun | undefined {
     return this.#onStore(async () => {
       const { store } = this.#context;
-      store.mood = mood;
+      store.fault = mood;
       await pause(this.#time());
-      store.mood = 'well';
+      store.fault = 'well';
     });
   }
 
   /** Operator and runners write again what the copy lacks. */
   async #comeBack(): Promise<void> {
     const { store, pool, onReturn } = this.#context;
-    if (this.#copy) store.comeBack(this.#copy);
+    if (this.#copy) store.restore(this.#copy);
     await pause(STALE_MS);
     onReturn();
     for (const place of pool.places) pool.list(place.runner);
--- a/test/fakes/caller.ts
+++ b/test/fakes/caller.ts
@@ -7,7 +7,7 @@
 import { call } from './http';
 
 /** Options of a completion request. */
-export interface AskOptions {
+export interface CompletionOptions {
   /** Idempotency key. Default: none. */
   readonly key?: string;
   /** Bearer token. Default: the token of customer `clerks`. */
@@ -16,7 +16,7 @@
   readonly model?: string;
 }
 
-function headersOf({ key, token = tokens.clerks }: AskOptions): Record<string, string> {
+function headersOf({ key, token = tokens.clerks }: CompletionOptions): Record<string, string> {
   return {
     authorization: `Bearer ${token}`,
     ...(key === undefined ? {} : { 'idempotency-key': key }),
@@ -24,11 +24,11 @@
 }
 
 /** Sends a non-streaming completion request; `text` is undefined if the response has no choices. */
-export async function ask(
+export async function requestCompletion(
   gateway: string,
   prompt: string,
   maxTokens: number,
-  options: AskOptions = {},
+  options: CompletionOptions = {},
 ): Promise<{ status: number; text: string | undefined; body: unknown }> {
   const body = { model: options.model ?? 'deeds', prompt, max_tokens: maxTokens };
   const answer = await call('POST', `${gateway}/v1/completions`, body, headersOf(options));
@@ -92,7 +92,7 @@
   gateway: string,
   prompt: string,
   maxTokens: number,
-  options: AskOptions = {},
+  options: CompletionOptions = {},
 ): OpenStream {
   const req = request(`${gateway}/v1/completions`, {
     method: 'POST',
--- a/test/fakes/cluster.ts
+++ b/test/fakes/cluster.ts
@@ -45,7 +45,7 @@
 const DOMAINS = ['north', 'centre', 'south'];
 
 /** Polls until `condition` is true; throws after `limitMs` milliseconds. */
-export async function eventually(
+export async function waitUntil(
   what: string,
   condition: () => boolean | Promise<boolean>,
   limitMs = 10_000,
@@ -108,7 +108,7 @@
   }
 
   /** Ids of requests that any engine has queued or holds memory for. */
-  get held(): readonly string[] {
+  get heldRequests(): readonly string[] {
     return this.engines.flatMap(({ model }) => model.held);
   }
 
@@ -157,7 +157,7 @@
   /** Waits until every gateway is ready and lists the addresses of all VMs. */
   async ready(): Promise<void> {
     for (let vm = 0; vm < this.vms; vm += 1) {
-      await eventually(`vm ${vm}`, async () => {
+      await waitUntil(`vm ${vm}`, async () => {
         const { body } = await call('GET', `${this.callers(vm)}/v1/addresses`);
         const { status } = await call('GET', `${this.callers(vm)}/readyz`);
         return status === 200 && (body as { addresses: string[] }).addresses.length === this.vms;
@@ -186,7 +186,7 @@
 
   #seed(): void {
     const put = (path: string, value: object): void =>
-      this.platform.poke(
+      this.platform.writeDirectly(
         `settings/${path}`,
         JSON.stringify({ revision: 1, nonce: 'seed', text: JSON.stringify(value) }),
       );
--- a/test/fakes/deployment.ts
+++ b/test/fakes/deployment.ts
@@ -15,7 +15,7 @@
 export interface DeploymentSpec {
   readonly name: 'dosel' | 'bagmati';
   /** First two octets of its loopback addresses. */
-  readonly net: string;
+  readonly loopbackPrefix: string;
   /** Failure domains; VMs are assigned to them in turn. */
   readonly domains: readonly string[];
   /** Customers whose settings are written at the start. */
@@ -28,7 +28,7 @@
 /** Deployment of Dosel Urbano Cartografía. */
 export const dosel: DeploymentSpec = {
   name: 'dosel',
-  net: '127.10',
+  loopbackPrefix: '127.10',
   domains: ['quito-norte', 'quito-centro', 'quito-sur'],
   teams: ['crew-norte', 'crew-centro', 'crew-sur'],
   operatorToken: 'dosel-operator-token',
@@ -38,7 +38,7 @@
 /** Deployment of Bagmati Lekhapadhi & Sons. */
 export const bagmati: DeploymentSpec = {
   name: 'bagmati',
-  net: '127.20',
+  loopbackPrefix: '127.20',
   domains: ['putalisadak-hall', 'lalitpur-hall', 'bhaktapur-hall'],
   teams: ['clerks', 'lawyers', 'loan-officers'],
   operatorToken: 'bagmati-operator-token',
@@ -50,7 +50,7 @@
 const START_LIMIT_MS = 30_000;
 
 /** Polls until `condition` is true, counting its errors as false; throws after `limitMs` milliseconds. */
-export async function until(
+export async function waitUntil(
   what: string,
   condition: () => Promise<boolean>,
   limitMs = START_LIMIT_MS,
@@ -75,8 +75,8 @@
   }
 
   /** Base URL of the platform. */
-  get platform(): string {
-    return `http://${this.spec.net}.9.1:8500`;
+  get platformUrl(): string {
+    return `http://${this.spec.loopbackPrefix}.9.1:8500`;
   }
 
   /** Consortium settings from the deployment's example. */
@@ -88,12 +88,12 @@
 
   /** Address of a VM's gateway for callers, as `host:port`; VMs are counted from 1. */
   callers(vm: number): string {
-    return `${this.spec.net}.0.${vm}:8080`;
+    return `${this.spec.loopbackPrefix}.0.${vm}:8080`;
   }
 
   /** Address of a VM's gateway for operators, as `host:port`. */
   operators(vm: number): string {
-    return `${this.spec.net}.0.${vm}:8081`;
+    return `${this.spec.loopbackPrefix}.0.${vm}:8081`;
   }
 
   /** Process by name: `platform`, `gateway-1`, `scheduler-1` or a runner's id; undefined if none was started. */
@@ -108,21 +108,21 @@
 
   /** Starts all processes and waits until they are ready. */
   async start(): Promise<void> {
-    const { net, vms, domains } = this.spec;
-    this.#spawn('platform', ['build/fakes.cjs', 'platform', `${net}.9.1`, '8500']);
+    const { loopbackPrefix, vms, domains } = this.spec;
+    this.#spawn('platform', ['build/fakes.cjs', 'platform', `${loopbackPrefix}.9.1`, '8500']);
     for (const [pool, { runners }] of Object.entries(this.consortium.pools)) {
       for (const { id, url, role } of runners) this.startRunner(pool, id, url, role);
     }
-    await until(
+    await waitUntil(
       'platform',
-      async () => (await call('GET', `${this.platform}/calls`)).status === 200,
+      async () => (await call('GET', `${this.platformUrl}/calls`)).status === 200,
     );
     const list = Array.from({ length: vms }, (_, i) => ({
       id: `vm${i + 1}`,
-      address: `${net}.0.${i + 1}`,
+      address: `${loopbackPrefix}.0.${i + 1}`,
       leaving: false,
     }));
-    await call('PUT', `${this.platform}/vms`, { vms: list });
+    await call('PUT', `${this.platformUrl}/vms`, { vms: list });
     await this.#seed();
     for (let vm = 1; vm <= vms; vm += 1) {
       this.startScheduler(vm, domains[(vm - 1) % domains.length] as string);
@@ -135,7 +135,7 @@
   async ready(): Promise<void> {
     const { vms } = this.spec;
     for (let vm = 1; vm <= vms; vm += 1) {
-      await until(`gateway ${vm}`, async () => {
+      await waitUntil(`gateway ${vm}`, async () => {
         const ready = await call('GET', `http://${this.callers(vm)}/readyz`);
         const { body } = await call('GET', `http://${this.callers(vm)}/v1/addresses`);
         return ready.status === 200 && (body as { addresses: string[] }).addresses.length === vms;
@@ -152,13 +152,13 @@
 
   /** Starts the scheduler of a VM. */
   startScheduler(vm: number, domain: string): void {
-    const { net } = this.spec;
+    const { loopbackPrefix } = this.spec;
     const config = {
       role: 'scheduler',
       vm: `vm${vm}`,
       domain,
-      peer: { host: `${net}.0.${vm}`, port: 9000 },
-      platform: this.platform,
+      peer: { host: `${loopbackPrefix}.0.${vm}`, port: 9000 },
+      platform: this.platformUrl,
       peerKey: PEER_KEY,
       log: process.env.GOLDCRESTDOCK_LOG ?? 'error',
       probeMs: 300,
@@ -173,7 +173,7 @@
 
   /** Starts the gateway of a VM. */
   startGateway(vm: number, domain: string): void {
-    const host = `${this.spec.net}.0.${vm}`;
+    const host = `${this.spec.loopbackPrefix}.0.${vm}`;
     const config = {
       role: 'gateway',
       vm: `vm${vm}`,
@@ -181,7 +181,7 @@
       listen: { host, port: 8080 },
       operator: { host, port: 8081 },
       scheduler: `${host}:9000`,
-      platform: this.platform,
+      platform: this.platformUrl,
       peerKey: PEER_KEY,
       log: process.env.GOLDCRESTDOCK_LOG ?? 'error',
       addressTtlMs: 1000,
@@ -234,7 +234,7 @@
       const envelope = JSON.stringify({ revision: 1, nonce: 'seed', text });
       await call(
         'PUT',
-        `${this.platform}/v1/kv/${encodeURIComponent(`settings/${path}`)}?cas=0`,
+        `${this.platformUrl}/v1/kv/${encodeURIComponent(`settings/${path}`)}?cas=0`,
         envelope,
       );
     };
--- a/test/fakes/engine/text.ts
+++ b/test/fakes/engine/text.ts
@@ -7,7 +7,7 @@
 }
 
 /** Number of output tokens for a prompt. */
-export function answerLength(prompt: string, maxTokens: number): number {
+export function outputLength(prompt: string, maxTokens: number): number {
   const fraction = digest(prompt).readUInt32BE(0) / 2 ** 32;
   return Math.max(
     1,
@@ -16,14 +16,14 @@
 }
 
 /** Output token at an index. */
-export function answerToken(prompt: string, index: number): string {
+export function outputToken(prompt: string, index: number): string {
   return ` ${digest(prompt).readUInt16BE(4).toString(36)}-${index}`;
 }
 
 /** Complete output for a prompt. */
-export function answerText(prompt: string, maxTokens: number): string {
-  const length = answerLength(prompt, maxTokens);
-  return Array.from({ length }, (_, index) => answerToken(prompt, index)).join('');
+export function outputText(prompt: string, maxTokens: number): string {
+  const length = outputLength(prompt, maxTokens);
+  return Array.from({ length }, (_, index) => outputToken(prompt, index)).join('');
 }
 
 /** A prompt separated from the part of the output that a resumed run appends to it. */
@@ -39,6 +39,6 @@
   const tail = /(?: [0-9a-z]+-\d+)+$/.exec(prompt)?.[0] ?? '';
   const done = tail.split(' ').length - 1;
   const base = prompt.slice(0, prompt.length - tail.length);
-  const expected = Array.from({ length: done }, (_, index) => answerToken(base, index)).join('');
+  const expected = Array.from({ length: done }, (_, index) => outputToken(base, index)).join('');
   return tail !== '' && tail === expected ? { base, done } : { base: prompt, done: 0 };
 }
--- a/test/fakes/exchange.ts
+++ b/test/fakes/exchange.ts
@@ -77,7 +77,7 @@
 }
 
 /** Entry that `exchangeInto` appends when the response is aborted. */
-export const CUT = 'cut';
+export const ABORTED = 'cut';
 
 /** An exchange that appends the status and the chunks of its response to `out`. */
 export function exchangeInto(
@@ -103,7 +103,7 @@
       events.emit('close');
     },
     destroy() {
-      out.push(CUT);
+      out.push(ABORTED);
       events.emit('close');
     },
   });
--- a/test/fakes/listener.ts
+++ b/test/fakes/listener.ts
@@ -2,4 +2,4 @@
 
 import type { KnowledgeListener } from '../../src/node/router/knowledge';
 
-export const silentListener: KnowledgeListener = { onNews: () => {}, onUnfitEntry: () => {} };
+export const noopListener: KnowledgeListener = { onNews: () => {}, onUnfitEntry: () => {} };
--- a/test/fakes/memory/baselines.ts
+++ b/test/fakes/memory/baselines.ts
@@ -1,13 +1,13 @@
 /** Simple placement policies to compare the planner with. */
 
 import type { Demand, PlanAction, PlanEvent } from '../../../src/core/memory/types';
-import type { PlacePolicy } from './bench';
+import type { PlacementPolicy } from './bench';
 
 /** Delay after which a caller without a free slot may retry. */
 const RETRY_AFTER_MS = 1000;
 
 /** Starts each prefill at once and decodes at the runner with the fewest requests, up to a number of slots for each runner. */
-export class SlotPolicy implements PlacePolicy {
+export class SlotPolicy implements PlacementPolicy {
   readonly #slots: number;
 
   readonly #prefillTokens = new Map<string, number>();
--- a/test/fakes/memory/bench.ts
+++ b/test/fakes/memory/bench.ts
@@ -7,13 +7,13 @@
 import type { Engine, Runner } from '../../../src/core/routing/types';
 import { runnerOf } from '../runner';
 import { Schedule } from '../virtual/schedule';
-import { AIM_MS, MemoryCaller, PAUSE_MS } from './caller';
+import { TARGET_MS, MemoryCaller, MAX_GAP_MS } from './caller';
 import type { MemoryFigures } from './engines';
 import { DecodeEngine, PrefillEngine } from './engines';
 import type { MemoryJob } from './load';
 
 /** Decides when and at which runner each request starts: the planner or a baseline. */
-export interface PlacePolicy {
+export interface PlacementPolicy {
   /** Processes an event and returns the resulting actions; `now` is in milliseconds. */
   handle(now: number, event: PlanEvent): readonly PlanAction[];
 }
@@ -21,7 +21,7 @@
 /** Inputs of a simulation. */
 export interface MemoryBenchOptions {
   readonly jobs: readonly MemoryJob[];
-  readonly policy: PlacePolicy;
+  readonly policy: PlacementPolicy;
   readonly figures: MemoryFigures;
   readonly prefillRunners: number;
   readonly decodeRunners: number;
@@ -50,7 +50,7 @@
 const DEADLINE_MS = 14_000;
 const KEEP_MS = 500;
 /** Time of a KV transfer between runners. */
-export const MOVE_MS = 20;
+export const KV_TRANSFER_MS = 20;
 const WAKE_INTERVAL_MS = 25;
 const REPORT_INTERVAL_MS = 1000;
 const MAX_ATTEMPTS = 2;
@@ -139,10 +139,10 @@
 
   #send(now: number, caller: MemoryCaller): void {
     const { job } = caller;
-    caller.ask(now);
-    const { tries } = caller;
+    caller.startAttempt(now);
+    const { attempts } = caller;
     const giveUpAt = Math.min(now + MAX_WAIT_MS, job.at + DEADLINE_MS);
-    this.#schedule.add(giveUpAt, () => this.#disconnect(giveUpAt, caller, tries));
+    this.#schedule.add(giveUpAt, () => this.#disconnect(giveUpAt, caller, attempts));
     const demand: Demand = {
       id: job.id,
       vm: 'vm1',
@@ -152,10 +152,10 @@
       promptTokens: job.promptTokens,
       maxOutputTokens: job.maxOutputTokens,
       hintTokens: job.hintTokens,
-      dueAt: job.at + AIM_MS,
-      gapMs: PAUSE_MS,
+      dueAt: job.at + TARGET_MS,
+      gapMs: MAX_GAP_MS,
       lostAt: giveUpAt,
-      returned: tries > 1,
+      returned: attempts > 1,
       resuming: false,
       avoid: [],
     };
@@ -163,10 +163,10 @@
   }
 
   /** Disconnects a caller that received no event within its waiting time. */
-  #disconnect(now: number, caller: MemoryCaller, tries: number): void {
-    if (caller.state !== 'waiting' || caller.tries !== tries || caller.hasEvents) return;
+  #disconnect(now: number, caller: MemoryCaller, attempts: number): void {
+    if (caller.state !== 'waiting' || caller.attempts !== attempts || caller.hasEvents) return;
     const { job, prefilled, decode } = caller;
-    caller.leave();
+    caller.disconnect();
     if (prefilled) this.#wastedTokens += job.promptTokens;
     this.#decodes.get(decode ?? '')?.cancel(job.id);
     this.#dispatch(now, { kind: 'released', id: job.id, blame: undefined });
@@ -191,8 +191,8 @@
   #prefill(now: number, caller: MemoryCaller, runner: string): void {
     const { id, promptTokens } = caller.job;
     if (caller.prefilled) this.#wastedTokens += promptTokens;
-    caller.prefillBegan();
-    const doneAt = this.#prefills.get(runner)?.read(now, promptTokens) ?? now;
+    caller.startPrefill();
+    const doneAt = this.#prefills.get(runner)?.prefill(now, promptTokens) ?? now;
     this.#schedule.add(doneAt + LATENCY_MS, () => {
       if (caller.state !== 'waiting') return;
       const prefilled = { kind: 'prefilled', id, ms: doneAt - now } as const;
@@ -206,13 +206,13 @@
 
   #decode(now: number, caller: MemoryCaller, runner: string, transferred: boolean): void {
     const { job } = caller;
-    caller.sentTo(runner);
-    this.#after(transferred ? MOVE_MS : LATENCY_MS, (at) => {
-      const prefilled = transferred ? job.promptTokens : 0;
-      if (caller.state !== 'waiting' || this.#decodes.get(runner)?.take(at, job, prefilled)) return;
+    caller.assignDecode(runner);
+    this.#after(transferred ? KV_TRANSFER_MS : LATENCY_MS, (at) => {
+      const cached = transferred ? job.promptTokens : 0;
+      if (caller.state !== 'waiting' || this.#decodes.get(runner)?.admit(at, job, cached)) return;
       if (transferred) this.#wastedTokens += job.promptTokens;
       this.#dispatch(now, { kind: 'released', id: job.id, blame: undefined });
-      this.#refuse(at, caller, AIM_MS);
+      this.#refuse(at, caller, TARGET_MS);
     });
   }
 
@@ -242,7 +242,7 @@
     const sizes = callers.map(({ job }) => job.promptTokens).sort((a, b) => a - b);
     const large = percentile(sizes, LARGE_QUANTILE);
     let wastedTokens = this.#wastedTokens;
-    for (const { readAgain } of this.#decodes.values()) wastedTokens += readAgain;
+    for (const { recomputedTokens } of this.#decodes.values()) wastedTokens += recomputedTokens;
     const refused = callers.filter(({ state }) => state === 'refused');
     const completed = callers.filter(({ state }) => state === 'done').length;
     const inTime = callers.filter((caller) => caller.inTime).length;
@@ -255,7 +255,7 @@
       worth: earnedFraction(callers),
       wasted: wastedTokens / sizes.reduce((sum, tokens) => sum + tokens, 0),
       refusedAfterMs: percentile(
-        refused.map(({ heldMs }) => heldMs).sort((a, b) => a - b),
+        refused.map(({ waitedMs }) => waitedMs).sort((a, b) => a - b),
         0.95,
       ),
       worthOfLargest: earnedFraction(callers.filter(({ job }) => job.promptTokens >= large)),
--- a/test/fakes/memory/caller.ts
+++ b/test/fakes/memory/caller.ts
@@ -3,9 +3,9 @@
 import type { MemoryJob } from './load';
 
 /** Target for the time to the first event; a later response is not in time. */
-export const AIM_MS = 900;
+export const TARGET_MS = 900;
 /** Longest gap between events of a response that is in time. */
-export const PAUSE_MS = 300;
+export const MAX_GAP_MS = 300;
 /** Fraction of its value that a late response earns. */
 const LATE_FRACTION = 0.2;
 
@@ -44,12 +44,12 @@
   }
 
   /** Attempts so far. */
-  get tries(): number {
+  get attempts(): number {
     return this.#attempts;
   }
 
   /** Time spent waiting in attempts that were refused. */
-  get heldMs(): number {
+  get waitedMs(): number {
     return this.#waitedMs;
   }
 
@@ -69,17 +69,17 @@
   }
 
   /** Records the start of a prefill. */
-  prefillBegan(): void {
+  startPrefill(): void {
     this.#prefilled = true;
   }
 
   /** Records the decode runner. */
-  sentTo(runner: string): void {
+  assignDecode(runner: string): void {
     this.#decode = runner;
   }
 
   /** Starts an attempt. */
-  ask(now: number): void {
+  startAttempt(now: number): void {
     this.#attempts += 1;
     this.#attemptedAt = now;
     this.#state = 'waiting';
@@ -93,7 +93,7 @@
   }
 
   /** Records that the caller disconnected. */
-  leave(): void {
+  disconnect(): void {
     this.#state = 'left';
   }
 
@@ -101,7 +101,7 @@
   takeEvent(now: number): boolean {
     const first = this.#firstEventAt === undefined;
     this.#firstEventAt ??= now;
-    if (!first && now - this.#lastEventAt > PAUSE_MS) this.#exceededGap = true;
+    if (!first && now - this.#lastEventAt > MAX_GAP_MS) this.#exceededGap = true;
     this.#lastEventAt = now;
     return first;
   }
@@ -114,7 +114,7 @@
   /** Whether the response is complete and met the target for the first event and for gaps. */
   get inTime(): boolean {
     const firstMs = (this.#firstEventAt ?? Infinity) - this.job.at;
-    return this.#state === 'done' && !this.#exceededGap && firstMs <= AIM_MS;
+    return this.#state === 'done' && !this.#exceededGap && firstMs <= TARGET_MS;
   }
 
   /** Value earned by the response. */
--- a/test/fakes/memory/known.ts
+++ b/test/fakes/memory/costs.ts
@@ -1,7 +1,7 @@
 /** Cost model with the true costs of a stand-in engine, to test the planner without estimation errors. */
 
 import type { CostModel } from '../../../src/core/memory/cost';
-import { MOVE_MS } from './bench';
+import { KV_TRANSFER_MS } from './bench';
 import type { MemoryFigures } from './engines';
 
 /** Number of concurrent requests for which the time of a token is computed. */
@@ -24,7 +24,7 @@
     this.prefillTokenMs = 1 / figures.prefillTokensPerMs;
     this.tokenMs = figures.stepMs + figures.stepSlotMs * TYPICAL_BATCH;
     this.minTokenMs = this.tokenMs;
-    this.firstEventMs = MOVE_MS + figures.eventTokens * this.tokenMs;
+    this.firstEventMs = KV_TRANSFER_MS + figures.eventTokens * this.tokenMs;
   }
 
   recordPrefill(): void {}
--- a/test/fakes/memory/engines.ts
+++ b/test/fakes/memory/engines.ts
@@ -29,7 +29,7 @@
 }
 
 /** An engine whose memory holds about eleven requests, against 64 slots. */
-export const tightFigures: MemoryFigures = {
+export const smallMemoryFigures: MemoryFigures = {
   memoryTokens: 65_000,
   stepMs: 5.6,
   stepSlotMs: 0.121,
@@ -39,7 +39,7 @@
   eventTokens: 7,
 };
 
-/** An engine that takes about a seventh of the time of `tightFigures` for a token, with outputs of the same length in events of many tokens. */
+/** An engine that takes about a seventh of the time of `smallMemoryFigures` for a token, with outputs of the same length in events of many tokens. */
 export const fastFigures: MemoryFigures = {
   memoryTokens: 90_000,
   stepMs: 0.7,
@@ -62,8 +62,8 @@
 };
 
 /** An engine with very fast prefill, for short outputs. */
-export const readerFigures: MemoryFigures = {
-  ...tightFigures,
+export const fastPrefillFigures: MemoryFigures = {
+  ...smallMemoryFigures,
   prefillTokensPerMs: 200,
   prefillBaseMs: 20,
 };
@@ -92,7 +92,7 @@
   }
 
   /** Queues a prompt and returns the time at which its prefill completes. */
-  read(now: number, tokens: number): number {
+  prefill(now: number, tokens: number): number {
     this.#busyUntil = Math.max(now, this.#busyUntil) + tokens / this.#figures.prefillTokensPerMs;
     return this.#busyUntil + this.#figures.prefillBaseMs;
   }
@@ -119,7 +119,7 @@
   #stepping = false;
 
   /** Tokens that have to be prefilled again after a preemption. */
-  readAgain = 0;
+  recomputedTokens = 0;
 
   constructor(figures: MemoryFigures, schedule: Schedule, listener: EngineListener) {
     this.#figures = figures;
@@ -135,7 +135,7 @@
   }
 
   /** Admits a request; false if the memory does not suffice. `prefilledTokens` of its prompt need no local prefill. */
-  take(now: number, job: EngineJob, prefilledTokens: number): boolean {
+  admit(now: number, job: EngineJob, prefilledTokens: number): boolean {
     if (this.usedTokens + job.promptTokens > this.#figures.memoryTokens) return false;
     this.#running.set(job.id, {
       job,
@@ -189,7 +189,7 @@
         .at(-1);
       if (!newest) return;
       const { job, produced } = newest;
-      this.readAgain += job.promptTokens + produced;
+      this.recomputedTokens += job.promptTokens + produced;
       // It is prefilled again from the start once there is free memory; until then it holds none.
       this.#running.delete(job.id);
       const remainder = { ...job, outputTokens: Math.max(1, job.outputTokens - produced) };
@@ -200,7 +200,7 @@
   #readmit(job: EngineJob): void {
     const at = this.#schedule.now + READMIT_INTERVAL_MS;
     this.#schedule.add(at, () => {
-      if (!this.take(at, job, 0)) this.#readmit(job);
+      if (!this.admit(at, job, 0)) this.#readmit(job);
     });
   }
 }
--- a/test/fakes/memory/load.ts
+++ b/test/fakes/memory/load.ts
@@ -28,7 +28,7 @@
 export interface MemoryLoad {
   /** Arrival rate outside of bursts. */
   readonly perSecond: number;
-  /** Mean and maximum of the output tokens. Default: those of the engine of `tightFigures`. */
+  /** Mean and maximum of the output tokens. Default: those of the engine of `smallMemoryFigures`. */
   readonly output?: { readonly mean: number; readonly most: number };
   readonly bursts: readonly Burst[];
   readonly untilMs: number;
--- a/test/fakes/platform.ts
+++ b/test/fakes/platform.ts
@@ -125,7 +125,7 @@
   }
 
   /** Writes a key directly, bypassing the system under test, as an operator's manual edit would. */
-  poke(key: string, value: string): void {
+  writeDirectly(key: string, value: string): void {
     this.#put(key, value, undefined);
   }
 
--- a/test/fakes/routers.ts
+++ b/test/fakes/routers.ts
@@ -14,28 +14,28 @@
 
 import type { Router } from '../../src/node/router/daemon';
 import { createRouter } from '../../src/platform/run';
-import { eventually } from './cluster';
+import { waitUntil } from './cluster';
 import { entryOf } from './entry';
 import { closeServer, listen, readBody, sendJson } from './http';
 import { FakeStore } from './store';
 
 /** Text in a request body that crashes each runner that starts to process it. */
-export const DEADLY = 'ends its runner';
+export const CRASH_TEXT = 'ends its runner';
 
 /** API key of the warm-up requests; if customers are configured, one of them must have it. */
-export const WARM_KEY = 'key-of-the-test';
+export const WARMUP_KEY = 'key-of-the-test';
 
 /** Names of the services. */
 export const services = { model: 'reader', plain: 'desk' } as const;
 
 /** Options of a deployment. */
-export interface RoutersOptions {
+export interface RouterClusterOptions {
   /** Number of VMs. Default: 3. */
   readonly vms?: number;
   /** Number of decode runners, and of plain runners. Default: 6. */
   readonly runners?: number;
   /** Time from the crash of a runner to its restart under a new id, in milliseconds. Default: 600. */
-  readonly backMs?: number;
+  readonly restartMs?: number;
   /** Customers in the format of the configuration. Default: requests need no key. */
   readonly customers?: readonly unknown[];
 }
@@ -114,7 +114,7 @@
   readonly id = `i-${randomUUID().slice(0, 8)}`;
 
   /** Monotonic times at which requests arrived, prefills included, in milliseconds. */
-  readonly reachedAt: number[] = [];
+  readonly arrivedAt: number[] = [];
 
   /** Requests received, in order, prefills included. */
   readonly arrivals: Arrival[] = [];
@@ -170,7 +170,7 @@
       sendJson(res, 200, {});
       return;
     }
-    this.reachedAt.push(performance.now());
+    this.arrivedAt.push(performance.now());
     const { 'tenant-id': customer, 'serving-stage': stage, authorization } = req.headers;
     this.arrivals.push({
       path: pathname,
@@ -189,7 +189,7 @@
       return;
     }
     res.writeHead(200, headers);
-    if (body.includes(DEADLY)) {
+    if (body.includes(CRASH_TEXT)) {
       res.flushHeaders();
       await pause(CRASH_DELAY_MS);
       this.#crash();
@@ -232,13 +232,13 @@
 }
 
 /** A deployment of routers, runners and a store. */
-export class Routers {
+export class RouterCluster {
   readonly store = new FakeStore();
 
   /** Ids of runners that crashed while processing a request, in order. */
-  readonly ended: string[] = [];
+  readonly crashed: string[] = [];
 
-  readonly #options: Required<Omit<RoutersOptions, 'customers'>>;
+  readonly #options: Required<Omit<RouterClusterOptions, 'customers'>>;
 
   #customers: readonly unknown[] | undefined;
 
@@ -250,14 +250,14 @@
 
   #stopping = false;
 
-  constructor({ vms = 3, runners = 6, backMs = 600, customers }: RoutersOptions = {}) {
-    this.#options = { vms, runners, backMs };
+  constructor({ vms = 3, runners = 6, restartMs = 600, customers }: RouterClusterOptions = {}) {
+    this.#options = { vms, runners, restartMs };
     this.#customers = customers;
   }
 
   /** Number of requests that arrived at runners, prefills included. */
-  get reached(): number {
-    return this.#runners.reduce((sum, { reachedAt }) => sum + reachedAt.length, 0);
+  get arrivalCount(): number {
+    return this.#runners.reduce((sum, { arrivedAt }) => sum + arrivedAt.length, 0);
   }
 
   /** Starts all processes and waits until every VM serves both services. */
@@ -316,7 +316,7 @@
   }
 
   /** Sends one request with a new id to the VM at index `turn`, modulo the number of VMs. */
-  async ask(
+  async sendRequest(
     turn: number,
     path: string,
     body: string,
@@ -375,9 +375,9 @@
   async #waitUntilServing(): Promise<void> {
     for (let turn = 0; turn < this.#vms.length; turn += 1) {
       for (const path of ['/model/warm', '/plain/warm']) {
-        await eventually(`VM ${turn} serves ${path}`, async () => {
+        await waitUntil(`VM ${turn} serves ${path}`, async () => {
           const body = `warm ${randomUUID()}`;
-          const { status, whole } = await this.ask(turn, path, body, this.#warmupHeaders);
+          const { status, whole } = await this.sendRequest(turn, path, body, this.#warmupHeaders);
           return status === 200 && whole;
         });
       }
@@ -385,7 +385,7 @@
   }
 
   get #warmupHeaders(): Readonly<Record<string, string>> {
-    return this.#customers ? { authorization: `Bearer ${WARM_KEY}` } : {};
+    return this.#customers ? { authorization: `Bearer ${WARMUP_KEY}` } : {};
   }
 
   async #addRunner(role: Role): Promise<void> {
@@ -397,12 +397,12 @@
 
   /** Removes the runner's entry when its lease expires, and restarts the runner under a new id. */
   #onCrash(runner: RunnerServer): void {
-    this.ended.push(runner.id);
-    const { backMs } = this.#options;
+    this.crashed.push(runner.id);
+    const { restartMs } = this.#options;
     setTimeout(() => this.store.remove(`servers/${runner.id}`), LEASE_EXPIRY_MS).unref();
     setTimeout(() => {
       if (!this.#stopping) this.#addRunner(runner.role).catch(() => undefined);
-    }, backMs).unref();
+    }, restartMs).unref();
   }
 }
 
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -12,7 +12,7 @@
 import type { QuotaDesk } from '../../src/node/router/quotas';
 import { RateLimitDesk } from '../../src/node/router/ratelimits';
 import { Runs } from '../../src/node/router/runs';
-import { silentListener } from './listener';
+import { noopListener } from './listener';
 
 const log = pino({ level: 'silent' });
 
@@ -30,14 +30,14 @@
 }
 
 /** Quotas that never refuse a request. */
-export const noQuotas: Pick<QuotaDesk, 'cover'> = { cover: async () => undefined };
+export const unlimitedQuotas: Pick<QuotaDesk, 'cover'> = { cover: async () => undefined };
 
 function emptyKnowledge(): Knowledge {
-  return new Knowledge(new StoreHistory(), log, silentListener);
+  return new Knowledge(new StoreHistory(), log, noopListener);
 }
 
 /** Permits of a VM on which no runner is rate-limited; each is granted for the first candidate. */
-export const noPermits: BalancerContext['permits'] = {
+export const unlimitedPermits: BalancerContext['permits'] = {
   isLimited: () => false,
   mayTake: () => true,
   isTrialDue: () => false,
@@ -46,7 +46,7 @@
 };
 
 /** Returns an authorizer that accepts configuration of any age. */
-export function gateOf(knowledge = emptyKnowledge()): Authorizer {
+export function authorizerOf(knowledge = emptyKnowledge()): Authorizer {
   return new Authorizer(knowledge, () => ({ keyMs: Infinity, finalMs: Infinity }));
 }
 
@@ -65,7 +65,7 @@
   const rateLimits = rateLimitsOf();
   return new Runs({
     quarantine,
-    authorizer: gateOf(),
+    authorizer: authorizerOf(),
     rateLimits,
     metrics: new RouterMetrics(),
     log,
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -40,7 +40,7 @@
 }
 
 /** How calls are handled: `well` normally, `silent` without a response, `busy` with status 503; `deaf` executes POST requests, but sends them no response. */
-export type StoreMood = 'well' | 'silent' | 'busy' | 'deaf';
+export type StoreFault = 'well' | 'silent' | 'busy' | 'deaf';
 
 /** Most items in one page of a range. */
 const PAGE_ITEMS = 3;
@@ -48,7 +48,7 @@
 /** Server of the store's protocol on a free loopback port. */
 export class FakeStore {
   /** Injected fault. */
-  mood: StoreMood = 'well';
+  fault: StoreFault = 'well';
 
   /** Paths of all calls, in order. */
   readonly calls: string[] = [];
@@ -135,7 +135,7 @@
   }
 
   /** Restores the store from an older copy in a new era: acknowledged writes since the copy are lost, and revisions and lease numbers are used a second time. */
-  comeBack({ revision, items, history, leases, leaseCount }: StoreCopy): void {
+  restore({ revision, items, history, leases, leaseCount }: StoreCopy): void {
     this.#lastLease = leaseCount;
     this.era = String(Number(this.era ?? 0) + 1);
     this.#revision = revision;
@@ -181,8 +181,8 @@
     const url = new URL(req.url ?? '/', 'http://store');
     this.calls.push(url.pathname);
     if (this.era !== undefined) res.setHeader('store-era', this.era);
-    if (this.mood === 'silent') return;
-    if (this.mood === 'busy') {
+    if (this.fault === 'silent') return;
+    if (this.fault === 'busy') {
       res.writeHead(503).end();
       return;
     }
@@ -190,7 +190,7 @@
     for await (const chunk of req) chunks.push(chunk as Buffer);
     const body = Buffer.concat(chunks).toString();
     const [status, answer] = await this.#answer(url, req.method ?? 'GET', body);
-    if (this.mood === 'deaf' && req.method === 'POST') return;
+    if (this.fault === 'deaf' && req.method === 'POST') return;
     res.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(answer));
   }
 
--- a/test/router/news.test.ts
+++ b/test/router/news.test.ts
@@ -6,8 +6,8 @@
 import type { NewsContext } from '../../src/node/router/news';
 import { NewsDesk } from '../../src/node/router/news';
 import { RouterMetrics } from '../../src/node/router/metrics';
-import { silentListener } from '../fakes/listener';
-import { gateOf, quarantineOf } from '../fakes/runs';
+import { noopListener } from '../fakes/listener';
+import { authorizerOf, quarantineOf } from '../fakes/runs';
 
 const memberOf = (vm: string): Member => ({
   vm,
@@ -36,10 +36,10 @@
     const log = pino({ base: null }, { write: (line) => this.lines.push(line) });
     const self = memberOf('new');
     const all = [self, ...others.map(memberOf)];
-    const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
+    const knowledge = new Knowledge(new StoreHistory(), log, noopListener);
     this.desk = new NewsDesk({
       knowledge,
-      gate: gateOf(knowledge),
+      gate: authorizerOf(knowledge),
       quarantine: quarantineOf(),
       fleet: { self, all, members: { heardAt: 0 }, contact: () => {} },
       feed: {
--- a/test/router/sync.test.ts
+++ b/test/router/sync.test.ts
@@ -5,8 +5,8 @@
 import type { RouterFleet } from '../../src/node/router/fleet';
 import { Knowledge } from '../../src/node/router/knowledge';
 import { FactSync, decodeFact, encodeFact } from '../../src/node/router/sync';
-import { silentListener } from '../fakes/listener';
-import { at } from '../fakes/position';
+import { noopListener } from '../fakes/listener';
+import { positionAt } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
 import { quarantineOf, rateLimitsOf } from '../fakes/runs';
 
@@ -19,9 +19,9 @@
 
 /** Two VMs: what one asks, the other answers. */
 class Pair {
-  readonly asking = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly asking = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
-  readonly asked = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly asked = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
   readonly quarantines = { asking: quarantineOf(), asked: quarantineOf() };
 
@@ -55,7 +55,7 @@
 
 const fact = (id: string, revision: number): Parameters<Knowledge['learnRunners']>[1][number] => ({
   id,
-  position: at(revision),
+  position: positionAt(revision),
   runner: runnerOf(id, 'plain'),
 });
 
@@ -71,7 +71,11 @@
     await pair.exchange();
     expect(pair.asking.configVersion).toBe(7);
     expect(pair.asking.digest).toBe(pair.asked.digest);
-    pair.asked.learnRunners(0, [{ id: 'r9', position: at(900), runner: undefined }], 'store');
+    pair.asked.learnRunners(
+      0,
+      [{ id: 'r9', position: positionAt(900), runner: undefined }],
+      'store',
+    );
     expect(pair.asking.digest).not.toBe(pair.asked.digest);
     await pair.exchange();
     expect(pair.asking.digest).toBe(pair.asked.digest);
@@ -101,7 +105,7 @@
     pair.asked.learnRunners(0, [fact('r1', 1)], 'store');
     pair.asking.learnRunners(0, [fact('r1', 1)], 'peer');
     pair.asked.storeFailed(1000);
-    pair.asked.learnList(1500, new Set(), at(8));
+    pair.asked.learnList(1500, new Set(), positionAt(8));
     const [gone] = pair.asked.factsBeside(2000, pair.asking.digestParts, 100);
     expect(gone?.graceMs).toBe(2000);
     pair.asking.learnRunners(2000, gone ? [decodeFact(encodeFact(gone))] : [], 'peer');
