--- a/scripts/memory.ts
+++ b/scripts/memory.ts
@@ -38,7 +38,7 @@
 
 interface Case {
   readonly name: string;
-  /** Default: `tightFigures`. */
+  /** Default: `smallMemoryFigures`. */
   readonly figures?: MemoryFigures;
   readonly load: MemoryLoad;
   readonly prefill: number;
@@ -47,7 +47,7 @@
 
 const UNTIL_MS = 34_000;
 
-/** Engines unlike the one of `tightFigures`, each near what its memory bears, with bursts above. */
+/** Engines unlike the one of `smallMemoryFigures`, each near what its memory bears, with bursts above. */
 const unlike: readonly Case[] = [
   {
     name: 'fast tokens, long answers',
