--- a/test/fakes/listener.ts
+++ b/test/fakes/listener.ts
@@ -1,5 +1,5 @@
 /** Listener of the router's knowledge that ignores all events. */
 
-import type { KnowledgeListener } from '../../src/node/router/knowledge';
+import type { RoutingStateListener } from '../../src/node/router/routingstate';
 
-export const noopListener: KnowledgeListener = { onNews: () => {}, onUnfitEntry: () => {} };
+export const noopListener: RoutingStateListener = { onChange: () => {}, onInvalidEntry: () => {} };
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -4,36 +4,36 @@
 
 import { StoreHistory } from '../../src/core/routing/position';
 import { Authorizer } from '../../src/node/router/authorizer';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { RouterMetrics } from '../../src/node/router/metrics';
 import type { BalancerContext } from '../../src/node/router/plainbalancer';
 import type { QuarantineContext } from '../../src/node/router/quarantine';
-import { QuarantineDesk } from '../../src/node/router/quarantine';
-import type { QuotaDesk } from '../../src/node/router/quotas';
-import { RateLimitDesk } from '../../src/node/router/ratelimits';
+import { QuarantineController } from '../../src/node/router/quarantine';
+import type { QuotaController } from '../../src/node/router/quotas';
+import { RateLimitController } from '../../src/node/router/ratelimits';
 import { Runs } from '../../src/node/router/runs';
 import { noopListener } from './listener';
 
 const log = pino({ level: 'silent' });
 
 /** Returns a quarantine that stores and replicates nothing, with some dependencies replaced. */
-export function quarantineOf(change: Partial<QuarantineContext> = {}): QuarantineDesk {
-  return new QuarantineDesk({
+export function quarantineOf(change: Partial<QuarantineContext> = {}): QuarantineController {
+  return new QuarantineController({
     archive: { save: async () => {} },
     readsStore: () => false,
     metrics: new RouterMetrics(),
     log,
-    onNews: () => {},
-    onRefused: () => {},
+    onChanges: () => {},
+    onRefusedChange: () => {},
     ...change,
   });
 }
 
 /** Quotas that never refuse a request. */
-export const unlimitedQuotas: Pick<QuotaDesk, 'cover'> = { cover: async () => undefined };
+export const unlimitedQuotas: Pick<QuotaController, 'cover'> = { cover: async () => undefined };
 
-function emptyKnowledge(): Knowledge {
-  return new Knowledge(new StoreHistory(), log, noopListener);
+function emptyKnowledge(): RoutingState {
+  return new RoutingState(new StoreHistory(), log, noopListener);
 }
 
 /** Permits of a VM on which no runner is rate-limited; each is granted for the first candidate. */
@@ -51,12 +51,12 @@
 }
 
 /** Returns the rate limits of a VM, by default one without runner records. */
-export function rateLimitsOf(knowledge = emptyKnowledge()): RateLimitDesk {
-  return new RateLimitDesk({
+export function rateLimitsOf(knowledge = emptyKnowledge()): RateLimitController {
+  return new RateLimitController({
     knowledge,
     metrics: new RouterMetrics(),
     log,
-    onNews: () => {},
+    onChanges: () => {},
   });
 }
 
