--- a/test/fakes/listener.ts
+++ b/test/fakes/listener.ts
@@ -1,8 +1,5 @@
-/** A listener of knowledge that takes no notice. */
+/** Listener of the router's knowledge that ignores all events. */
 
 import type { RoutingStateListener } from '../../src/node/router/routingstate';
 
-export const silentListener: RoutingStateListener = {
-  onChange: () => {},
-  onInvalidEntry: () => {},
-};
+export const noopListener: RoutingStateListener = { onChange: () => {}, onInvalidEntry: () => {} };
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -1,4 +1,4 @@
-/** Quarantine and runs as tests need them. */
+/** Quarantine, runs, quotas and rate limits for tests of request handling. */
 
 import pino from 'pino';
 
@@ -12,11 +12,11 @@
 import type { QuotaController } from '../../src/node/router/quotas';
 import { RateLimitController } from '../../src/node/router/ratelimits';
 import { Runs } from '../../src/node/router/runs';
-import { silentListener } from './listener';
+import { noopListener } from './listener';
 
 const log = pino({ level: 'silent' });
 
-/** A quarantine that tells nobody, with parts changed. */
+/** Returns a quarantine that stores and replicates nothing, with some dependencies replaced. */
 export function quarantineOf(change: Partial<QuarantineContext> = {}): QuarantineController {
   return new QuarantineController({
     archive: { save: async () => {} },
@@ -29,15 +29,15 @@
   });
 }
 
-/** Quotas of customers who may use any amount. */
-export const noQuotas: Pick<QuotaController, 'cover'> = { cover: async () => undefined };
+/** Quotas that never refuse a request. */
+export const unlimitedQuotas: Pick<QuotaController, 'cover'> = { cover: async () => undefined };
 
-function newKnowledge(): RoutingState {
-  return new RoutingState(new StoreHistory(), log, silentListener);
+function emptyKnowledge(): RoutingState {
+  return new RoutingState(new StoreHistory(), log, noopListener);
 }
 
-/** Permits of a VM that knows no rate limit. */
-export const noPermits: BalancerContext['permits'] = {
+/** Permits of a VM on which no runner is rate-limited; each is granted for the first candidate. */
+export const unlimitedPermits: BalancerContext['permits'] = {
   isLimited: () => false,
   mayTake: () => true,
   isTrialDue: () => false,
@@ -45,13 +45,13 @@
   ask: async (_service, [runner = '']) => ({ granted: true, runner, waitMs: 0 }),
 };
 
-/** A gate of a VM that goes by what it knows, however old that is. */
-export function gateOf(knowledge = newKnowledge()): Authorizer {
+/** Returns an authorizer that accepts configuration of any age. */
+export function authorizerOf(knowledge = emptyKnowledge()): Authorizer {
   return new Authorizer(knowledge, () => ({ keyMs: Infinity, finalMs: Infinity }));
 }
 
-/** Rate limits of a VM, by default one that knows no runner. */
-export function rateLimitsOf(knowledge = newKnowledge()): RateLimitController {
+/** Returns the rate limits of a VM, by default one without runner records. */
+export function rateLimitsOf(knowledge = emptyKnowledge()): RateLimitController {
   return new RateLimitController({
     knowledge,
     metrics: new RouterMetrics(),
@@ -60,12 +60,12 @@
   });
 }
 
-/** Runs of which nobody takes notice. */
+/** Returns runs whose metrics and log lines are discarded. */
 export function runsOf(quarantine = quarantineOf()): Runs {
   const rateLimits = rateLimitsOf();
   return new Runs({
     quarantine,
-    authorizer: gateOf(),
+    authorizer: authorizerOf(),
     rateLimits,
     metrics: new RouterMetrics(),
     log,
--- a/test/node/answers.test.ts
+++ b/test/node/answers.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'node:http';
 
 import { Cluster, tokens } from '../fakes/cluster';
-import { ANSWER_PART } from '../fakes/service';
+import { PARTIAL_BODY } from '../fakes/service';
 
 /** Calls a plain service; returns status, whether the response is complete, and its error name or text. */
 function outcomeOf(url: string, method: string, key?: string): Promise<string> {
@@ -39,7 +39,7 @@
   // Guards against a truncated response that looks complete.
   test('is truncated for the caller as well', async () => {
     const url = `${cluster.callers(0)}/services/registry/tiles`;
-    expect(await outcomeOf(url, 'GET')).toBe(`200 cut ${ANSWER_PART}`);
+    expect(await outcomeOf(url, 'GET')).toBe(`200 cut ${PARTIAL_BODY}`);
   });
 
   // Guards against a truncated response that is stored and replayed to each repeat of the call.
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -8,7 +8,7 @@
 import { StoreFeed } from '../../src/platform/feed';
 import { StoreLock } from '../../src/platform/lock';
 import { StoreClient } from '../../src/platform/store';
-import { eventually } from '../fakes/cluster';
+import { waitUntil } from '../fakes/cluster';
 import { entryOf } from '../fakes/entry';
 import { closeServer, listen, sendJson } from '../fakes/http';
 import { FakeStore, clientOf } from '../fakes/store';
@@ -72,7 +72,7 @@
     feed = new StoreFeed(client, { vm: 'vm1', address: '10.0.0.9:1' }, history, log);
     feed.start(listener);
     feed.setReading(true);
-    await eventually('all entries are read', () => listener.listed.length > 0);
+    await waitUntil('all entries are read', () => listener.listed.length > 0);
   });
 
   afterEach(() => {
@@ -85,14 +85,14 @@
     const wrong = { ...(config(9) as object), tenants: [{ name: 'ada', 'rate-per-s': -1 }] };
     store.put('op/config', wrong);
     store.put('servers/i-1', runner('draining'));
-    await eventually('the change after it is reported', () =>
+    await waitUntil('the change after it is reported', () =>
       listener.runners.includes('i-1 leaving'),
     );
     store.put('servers/i-2', runner('draining'));
     store.compact();
-    await eventually('all entries are read again', () => listener.listed.length > 1);
+    await waitUntil('all entries are read again', () => listener.listed.length > 1);
     store.put('op/config', config(11));
-    await eventually('the next configuration is reported', () => listener.versions.includes(11));
+    await waitUntil('the next configuration is reported', () => listener.versions.includes(11));
     expect(listener.versions).toEqual([3, 11]);
     expect(lines.filter((line) => line.includes('[503]'))).toHaveLength(1);
   });
@@ -102,7 +102,7 @@
     store.put('op/config', config(9));
     store.put('servers/i-2', runner('draining'));
     store.remove('servers/i-3');
-    await eventually('changes are reported', () => listener.runners.includes('i-3 gone'));
+    await waitUntil('changes are reported', () => listener.runners.includes('i-3 gone'));
     expect(listener.versions).toEqual([3, 9]);
     expect(listener.runners.slice(4)).toEqual(['i-2 leaving', 'i-3 gone']);
   });
@@ -113,11 +113,11 @@
    * version.
    */
   test('abandons a watch that hangs and reads all entries again', async () => {
-    store.mood = 'silent';
-    await eventually('the failure is detected', () => listener.store.at(-1) === false);
-    store.mood = 'well';
+    store.fault = 'silent';
+    await waitUntil('the failure is detected', () => listener.store.at(-1) === false);
+    store.fault = 'well';
     store.put('op/config', config(12));
-    await eventually('it is read again', () => listener.versions.at(-1) === 12);
+    await waitUntil('it is read again', () => listener.versions.at(-1) === 12);
     expect(listener.store).toEqual([true, false, true]);
   }, 15_000);
 
@@ -125,7 +125,7 @@
   test('reads the full list when the history was discarded', async () => {
     store.remove('servers/i-4');
     store.compact();
-    await eventually('the list is read', () => listener.listed.length > 1);
+    await waitUntil('the list is read', () => listener.listed.length > 1);
     expect(listener.listed.at(-1)).toEqual(['i-1', 'i-2', 'i-3']);
   });
 
@@ -137,7 +137,7 @@
   test('accepts no runner from entries of another writer', async () => {
     store.put('servers/i-2', entryOf({ slots: '32' }));
     store.put('servers/i-9', Buffer.from([0xff, 0xfe, 0x00]));
-    await eventually('both are reported', () => listener.runners.includes('i-9 unreadable'));
+    await waitUntil('both are reported', () => listener.runners.includes('i-9 unreadable'));
     expect(listener.runners.slice(4)).toEqual(['i-2 unreadable', 'i-9 unreadable']);
     expect(listener.store).toEqual([true]);
   });
@@ -158,7 +158,7 @@
       store.put('servers/j-400', runner('draining'));
       store.put('servers/j-999', runner('ready'));
     };
-    await eventually('the removal is reported', () => listener.runners.includes('j-000 gone'));
+    await waitUntil('the removal is reported', () => listener.runners.includes('j-000 gone'));
     expect(listener.runners).toContain('j-400 leaving');
     expect(listener.runners).toContain('j-999 ready');
     expect(listener.listed.at(-1)?.length).toBe(515);
@@ -178,7 +178,7 @@
     });
     expect(store.calls.length).toBe(calls);
     feed.setReading(true);
-    await eventually('it is read again', () => listener.versions.at(-1) === 5);
+    await waitUntil('it is read again', () => listener.versions.at(-1) === 5);
     // This VM's entry was written after the first read, and is not written again.
     expect(store.calls.filter((path) => path === '/v1/kv-txn').length).toBe(1);
   }, 15_000);
@@ -187,7 +187,7 @@
   test('ignores an entry that cannot be decoded', async () => {
     store.put('op/config', '{"version": 4');
     store.put('servers/i-1', runner('draining'));
-    await eventually('the other entry is reported', () => listener.runners.includes('i-1 leaving'));
+    await waitUntil('the other entry is reported', () => listener.runners.includes('i-1 leaving'));
     expect(listener.versions).toEqual([3]);
   });
 });
@@ -223,7 +223,7 @@
 
   /* The write was applied but its response was lost: the VM cannot know, and must act as if the write had failed. */
   test('is not assumed to be held when the response to the write is lost', async () => {
-    store.mood = 'deaf';
+    store.fault = 'deaf';
     await expect(lockOf('vm1').acquire()).rejects.toThrow();
   });
 });
--- a/test/router/quarantine.test.ts
+++ b/test/router/quarantine.test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
-import { eventually } from '../fakes/cluster';
-import { DEADLY, Routers } from '../fakes/routers';
+import { waitUntil } from '../fakes/cluster';
+import { CRASH_TEXT, RouterCluster } from '../fakes/routers';
 
 /** Time between two attempts of the caller, in milliseconds: gossip reaches all VMs well before. */
 const ATTEMPT_MS = 300;
@@ -20,7 +20,7 @@
  * where a prefill runner got it a second time, and in some 275 ms otherwise.
  */
 describe('a request that crashes each runner that starts to process it', () => {
-  const routers = new Routers();
+  const routers = new RouterCluster();
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -28,19 +28,19 @@
   test.each(['/model/deadly', '/plain/deadly'])(
     'is quarantined once it has crashed three runners: %s',
     async (path) => {
-      const crashedBefore = routers.ended.length;
+      const crashedBefore = routers.crashed.length;
       const reached: number[] = [];
       const statuses: number[] = [];
       for (let turn = 0; turn < ATTEMPTS; turn += 1) {
-        const before = routers.reached;
-        const isKnown = routers.ended.length - crashedBefore >= ENDS;
-        const { status } = await routers.ask(turn, path, DEADLY);
-        if (isKnown) reached.push(routers.reached - before);
+        const before = routers.arrivalCount;
+        const isKnown = routers.crashed.length - crashedBefore >= ENDS;
+        const { status } = await routers.sendRequest(turn, path, CRASH_TEXT);
+        if (isKnown) reached.push(routers.arrivalCount - before);
         statuses.push(status);
         await pause(ATTEMPT_MS);
       }
       expect(reached.filter((sends) => sends > 0).length).toBeLessThanOrEqual(LATE_SENDS);
-      expect(routers.ended.length - crashedBefore).toBeLessThanOrEqual(ENDS + LATE_SENDS);
+      expect(routers.crashed.length - crashedBefore).toBeLessThanOrEqual(ENDS + LATE_SENDS);
       expect(statuses.slice(-3)).toEqual([503, 503, 503]);
     },
     30_000,
@@ -48,7 +48,7 @@
 });
 
 describe('a quarantined request', () => {
-  const routers = new Routers();
+  const routers = new RouterCluster();
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -57,7 +57,7 @@
   const askAll = async (vms: number, body: string): Promise<readonly number[]> => {
     const statuses: number[] = [];
     for (let turn = 0; turn < vms; turn += 1) {
-      statuses.push((await routers.ask(turn, '/model/x', body)).status);
+      statuses.push((await routers.sendRequest(turn, '/model/x', body)).status);
       await pause(ATTEMPT_MS);
     }
     return statuses;
@@ -69,17 +69,17 @@
    * of all VMs it is known before a runner gets it again.
    */
   test('is known to new VMs, and after a restart of all VMs', async () => {
-    expect(await askAll(2, DEADLY)).toEqual([502, 502]);
-    routers.store.mood = 'busy';
-    expect(await askAll(4, DEADLY)).toEqual([502, 503, 503, 503]);
-    routers.store.mood = 'well';
+    expect(await askAll(2, CRASH_TEXT)).toEqual([502, 502]);
+    routers.store.fault = 'busy';
+    expect(await askAll(4, CRASH_TEXT)).toEqual([502, 503, 503, 503]);
+    routers.store.fault = 'well';
     const saved = (): boolean => routers.store.keys.some((key) => key.includes('/suspects/'));
-    await eventually('it is saved', saved);
+    await waitUntil('it is saved', saved);
     await routers.addVm();
-    expect(await askAll(4, DEADLY)).toEqual([503, 503, 503, 503]);
+    expect(await askAll(4, CRASH_TEXT)).toEqual([503, 503, 503, 503]);
     await routers.restart();
-    expect(await askAll(4, DEADLY)).toEqual([503, 503, 503, 503]);
-    expect(routers.ended.length).toBe(3);
+    expect(await askAll(4, CRASH_TEXT)).toEqual([503, 503, 503, 503]);
+    expect(routers.crashed.length).toBe(3);
   }, 30_000);
 
   /* The store is restored from a copy that lacks the request: the VMs that read the store save it again. */
@@ -89,13 +89,13 @@
     const [saved = ''] = suspects();
     routers.store.remove(saved);
     const copy = routers.store.copy();
-    routers.store.comeBack(copy);
-    await eventually('it is saved again', () => suspects().includes(saved));
-    expect(await askAll(2, DEADLY)).toEqual([503, 503]);
+    routers.store.restore(copy);
+    await waitUntil('it is saved again', () => suspects().includes(saved));
+    expect(await askAll(2, CRASH_TEXT)).toEqual([503, 503]);
   }, 20_000);
 
   test('is rejected with a retry time, and no other request is rejected', async () => {
-    const { status, retryAfter } = await routers.ask(0, '/model/x', DEADLY);
+    const { status, retryAfter } = await routers.sendRequest(0, '/model/x', CRASH_TEXT);
     // A third of the five seconds that the caller waits.
     expect([status, retryAfter]).toEqual([503, '1.7']);
     expect(await askAll(4, 'another')).toEqual([200, 200, 200, 200]);
--- a/test/router/ratelimits.test.ts
+++ b/test/router/ratelimits.test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
-import { eventually } from '../fakes/cluster';
-import { Routers } from '../fakes/routers';
+import { waitUntil } from '../fakes/cluster';
+import { RouterCluster } from '../fakes/routers';
 import type { CallerAnswer, RunnerServer } from '../fakes/routers';
 
 /** Length of the window in which requests are counted, in milliseconds. */
@@ -17,7 +17,7 @@
 const SLACK = 5;
 
 /** The most requests that reached a runner in any window after it announced its limit. */
-function mostAfter(announcedAt: number, { reachedAt }: RunnerServer): number {
+function mostAfter(announcedAt: number, { arrivedAt: reachedAt }: RunnerServer): number {
   const counted = reachedAt.filter((at) => at >= announcedAt + KNOWN_MS);
   const ends = counted.filter((at) => at >= announcedAt + SETTLED_MS);
   const counts = ends.map((end) => counted.filter((at) => at > end - WINDOW_MS && at <= end));
@@ -40,7 +40,7 @@
 
 /** Sends requests at a steady rate to all VMs in turn, starting before some runners announce their limits. */
 async function load(
-  routers: Routers,
+  routers: RouterCluster,
   path: string,
   perS: number,
   limits: readonly (readonly [RunnerServer, number])[],
@@ -53,7 +53,7 @@
       announcedAt = performance.now();
       for (const [runner, ratePerS] of limits) runner.rateLimit = String(ratePerS);
     }
-    asked.push(routers.ask(i, path, `${path} ${i}`));
+    asked.push(routers.sendRequest(i, path, `${path} ${i}`));
     await pause(1000 / perS);
   }
   for (const [runner] of limits) runner.rateLimit = undefined;
@@ -61,7 +61,7 @@
 }
 
 describe('runners that announce a rate limit', () => {
-  const routers = new Routers({ vms: 7, runners: 3 });
+  const routers = new RouterCluster({ vms: 7, runners: 3 });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -127,16 +127,16 @@
     const since = performance.now();
     let turn = 0;
     while (performance.now() - since < RECOVERY_MS) {
-      await routers.ask(turn, '/plain/recovered', `${turn}`);
+      await routers.sendRequest(turn, '/plain/recovered', `${turn}`);
       turn += 1;
     }
-    const got = runner.reachedAt.filter((at) => at > since + RECOVERY_MS - 1000).length;
+    const got = runner.arrivedAt.filter((at) => at > since + RECOVERY_MS - 1000).length;
     expect(got).toBeGreaterThan(3);
   }, 30_000);
 });
 
 describe('a runner that announces a rate limit to one VM', () => {
-  const routers = new Routers({ vms: 7, runners: 3 });
+  const routers = new RouterCluster({ vms: 7, runners: 3 });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -149,16 +149,16 @@
     await pause(JOINED_MS);
     const [runner] = routers.runnersOf('plain') as [RunnerServer];
     runner.rateLimit = '0';
-    const before = runner.reachedAt.length;
-    await eventually('one VM got an answer', async () => {
-      await routers.ask(0, '/plain/first', 'first');
-      return runner.reachedAt.length > before;
+    const before = runner.arrivedAt.length;
+    await waitUntil('one VM got an answer', async () => {
+      await routers.sendRequest(0, '/plain/first', 'first');
+      return runner.arrivedAt.length > before;
     });
     await pause(GOSSIP_MS);
-    const reachedWhenKnown = runner.reachedAt.length;
-    for (let i = 0; i < 42; i += 1) await routers.ask(i, '/plain/heard', `${i}`);
+    const reachedWhenKnown = runner.arrivedAt.length;
+    for (let i = 0; i < 42; i += 1) await routers.sendRequest(i, '/plain/heard', `${i}`);
     // One trial request in four seconds tests whether the limit still holds.
-    expect(runner.reachedAt.length - reachedWhenKnown).toBeLessThanOrEqual(1);
+    expect(runner.arrivedAt.length - reachedWhenKnown).toBeLessThanOrEqual(1);
     runner.rateLimit = undefined;
   }, 30_000);
 });
--- a/test/router/routingstate.test.ts
+++ b/test/router/routingstate.test.ts
@@ -5,9 +5,9 @@
 import { StoreHistory } from '../../src/core/routing/position';
 import { instanceId } from '../../src/core/routing/types';
 import { RoutingState } from '../../src/node/router/routingstate';
-import { at } from '../fakes/position';
+import { positionAt } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
-import { silentListener } from '../fakes/listener';
+import { noopListener } from '../fakes/listener';
 
 const runner = (id: string, change: Partial<Runner> = {}): Runner => runnerOf(id, 'plain', change);
 
@@ -19,7 +19,7 @@
 });
 
 const fresh = (): RoutingState =>
-  new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
 const ids = (state: RoutingState, now: number): readonly string[] =>
   state.runnersOf(now, 's').map(({ id }) => id);
@@ -39,8 +39,8 @@
   test('never returns to an older record of a runner', () => {
     const state = fresh();
     const leaving = runner('r', { leaving: true });
-    state.learnRunners(0, [{ id: 'r', position: at(9), runner: leaving }], 'store');
-    state.learnRunners(1, [{ id: 'r', position: at(5), runner: runner('r') }], 'peer');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(9), runner: leaving }], 'store');
+    state.learnRunners(1, [{ id: 'r', position: positionAt(5), runner: runner('r') }], 'peer');
     expect(ids(state, 2)).toEqual([]);
   });
 
@@ -51,9 +51,9 @@
    */
   test('keeps runners that disappeared in an outage until they had time to register again', () => {
     const state = fresh();
-    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
     state.storeFailed(1000);
-    state.learnList(1500, new Set(), at(8));
+    state.learnList(1500, new Set(), positionAt(8));
     expect(ids(state, 2500)).toEqual(['r']);
     expect(ids(state, 4100)).toEqual([]);
   });
@@ -65,10 +65,10 @@
    */
   test('keeps a runner that disappears after the first full list only for the short grace period', () => {
     const state = fresh();
-    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
     state.storeFailed(1000);
-    state.learnList(1500, new Set(['r']), at(8));
-    state.learnRunners(2100, [{ id: 'r', position: at(9), runner: undefined }], 'store');
+    state.learnList(1500, new Set(['r']), positionAt(8));
+    state.learnRunners(2100, [{ id: 'r', position: positionAt(9), runner: undefined }], 'store');
     expect(ids(state, 3000)).toEqual(['r']);
     expect(ids(state, 3200)).toEqual([]);
   });
@@ -80,10 +80,10 @@
    */
   test('does not extend the grace period of a runner whose removal is reported again', () => {
     const state = fresh();
-    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    state.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
+    state.learnRunners(9, [{ id: 'r', position: positionAt(2), runner: undefined }], 'store');
     state.storeFailed(1000);
-    state.learnRunners(2000, [{ id: 'r', position: at(3), runner: undefined }], 'store');
+    state.learnRunners(2000, [{ id: 'r', position: positionAt(3), runner: undefined }], 'store');
     expect(ids(state, 2001)).toEqual([]);
   });
 
@@ -95,7 +95,11 @@
     const state = fresh();
     const learn = (revision: number, leaving: boolean): void => {
       const reported = runner('r', { leaving });
-      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: reported }], 'store');
+      state.learnRunners(
+        0,
+        [{ id: 'r', position: positionAt(revision), runner: reported }],
+        'store',
+      );
     };
     learn(1, false);
     learn(2, true);
@@ -109,8 +113,8 @@
    */
   test('drops a runner whose entry is removed while the store is available', () => {
     const state = fresh();
-    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    state.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
+    state.learnRunners(9, [{ id: 'r', position: positionAt(2), runner: undefined }], 'store');
     expect(ids(state, 10)).toEqual([]);
   });
 
@@ -121,9 +125,9 @@
   test('grants no grace period to a runner that announced to leave', () => {
     const state = fresh();
     const leaving = runner('r', { leaving: true });
-    state.learnRunners(0, [{ id: 'r', position: at(1), runner: leaving }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: leaving }], 'store');
     state.storeFailed(1000);
-    state.learnList(1500, new Set(), at(8));
+    state.learnList(1500, new Set(), positionAt(8));
     expect(ids(state, 1600)).toEqual([]);
   });
 
@@ -136,7 +140,11 @@
     const start = (bornAt: number, leaving = false): Runner =>
       runner('r', { id: instanceId('r', bornAt), bornAt, leaving });
     const learn = (revision: number, reported: Runner): void =>
-      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: reported }], 'store');
+      state.learnRunners(
+        0,
+        [{ id: 'r', position: positionAt(revision), runner: reported }],
+        'store',
+      );
     learn(1, start(1000, true));
     expect(ids(state, 0)).toEqual([]);
     learn(2, start(2000));
@@ -153,12 +161,12 @@
   test('gives no work to an instance that the runner itself reports as replaced', () => {
     const state = fresh();
     const start = (bornAt: number): Runner => runner('r', { id: instanceId('r', bornAt), bornAt });
-    state.learnRunners(0, [{ id: 'r', position: at(1), runner: start(1000) }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: start(1000) }], 'store');
     state.learnStart('r', 2000);
     expect(ids(state, 0)).toEqual([]);
-    state.learnRunners(0, [{ id: 'r', position: at(2), runner: start(1000) }], 'peer');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(2), runner: start(1000) }], 'peer');
     expect(ids(state, 0)).toEqual([]);
-    state.learnRunners(0, [{ id: 'r', position: at(3), runner: start(2000) }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(3), runner: start(2000) }], 'store');
     expect(ids(state, 0)).toEqual(['r@2000']);
   });
 
@@ -180,10 +188,10 @@
         },
       },
     );
-    state.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    state.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
     const invalidEntry = (revision: number): RunnerRecord => ({
       id: 'r',
-      position: at(revision),
+      position: positionAt(revision),
       runner: undefined,
       unreadable: 'runner r: at slots: unfit',
     });
@@ -194,7 +202,11 @@
     state.learnRunners(200_000, [invalidEntry(3)], 'peer');
     expect([lines.length, counted]).toEqual([2, 2]);
     expect(lines[0]).toContain('[503] runner r: at slots: unfit');
-    state.learnRunners(201_000, [{ id: 'r', position: at(4), runner: runner('r') }], 'store');
+    state.learnRunners(
+      201_000,
+      [{ id: 'r', position: positionAt(4), runner: runner('r') }],
+      'store',
+    );
     expect(ids(state, 201_000)).toEqual(['r']);
   });
 
@@ -208,7 +220,11 @@
     });
     state.learnConfig(0, config(1), 'store');
     for (let revision = 1; revision < 9; revision += 1) {
-      state.learnRunners(0, [{ id: 'r', position: at(revision), runner: runner('r') }], 'store');
+      state.learnRunners(
+        0,
+        [{ id: 'r', position: positionAt(revision), runner: runner('r') }],
+        'store',
+      );
     }
     expect(counted).toBe(1);
   });
--- a/test/router/stateexchange.test.ts
+++ b/test/router/stateexchange.test.ts
@@ -5,8 +5,8 @@
 import type { RouterFleet } from '../../src/node/router/fleet';
 import { RoutingState } from '../../src/node/router/routingstate';
 import { StateExchange, decodeRecord, encodeRecord } from '../../src/node/router/stateexchange';
-import { silentListener } from '../fakes/listener';
-import { at } from '../fakes/position';
+import { noopListener } from '../fakes/listener';
+import { positionAt } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
 import { quarantineOf, rateLimitsOf } from '../fakes/runs';
 
@@ -19,9 +19,9 @@
 
 /** Two VMs, of which one fetches the other's state. */
 class Pair {
-  readonly caller = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly caller = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
-  readonly callee = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly callee = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
   readonly quarantines = { caller: quarantineOf(), callee: quarantineOf() };
 
@@ -58,7 +58,7 @@
   revision: number,
 ): Parameters<RoutingState['learnRunners']>[1][number] => ({
   id,
-  position: at(revision),
+  position: positionAt(revision),
   runner: runnerOf(id, 'plain'),
 });
 
@@ -74,7 +74,11 @@
     await pair.exchange();
     expect(pair.caller.configVersion).toBe(7);
     expect(pair.caller.digest).toBe(pair.callee.digest);
-    pair.callee.learnRunners(0, [{ id: 'r9', position: at(900), runner: undefined }], 'store');
+    pair.callee.learnRunners(
+      0,
+      [{ id: 'r9', position: positionAt(900), runner: undefined }],
+      'store',
+    );
     expect(pair.caller.digest).not.toBe(pair.callee.digest);
     await pair.exchange();
     expect(pair.caller.digest).toBe(pair.callee.digest);
@@ -104,7 +108,7 @@
     pair.callee.learnRunners(0, [recordOf('r1', 1)], 'store');
     pair.caller.learnRunners(0, [recordOf('r1', 1)], 'peer');
     pair.callee.storeFailed(1000);
-    pair.callee.learnList(1500, new Set(), at(8));
+    pair.callee.learnList(1500, new Set(), positionAt(8));
     const [gone] = pair.callee.recordsDiffering(2000, pair.caller.digestParts, 100);
     expect(gone?.graceMs).toBe(2000);
     pair.caller.learnRunners(2000, gone ? [decodeRecord(encodeRecord(gone))] : [], 'peer');
