--- a/scripts/soak/callers.ts
+++ b/scripts/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers: they ask for addresses, keep connections until their process is gone, leave, come back, and look at what they get. */
+/** Simulated callers: they look up addresses, reuse connections, disconnect early, retry, and verify the answers. */
 
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
@@ -9,21 +9,23 @@
 import type { RequestKind, SentRequest } from './requests';
 import { digestOf, eventOf, plainAnswer, signatureOf } from './requests';
 
-/** How an attempt ended for its caller: `broken` is an answer that is cut or none, `left` its own leaving. */
+/** How an attempt ended for its caller: `broken` means a truncated answer or none, `left` that the caller disconnected. */
 export type Outcome = 'served' | 'refused' | 'failed' | 'broken' | 'left';
 
-/** What a caller got. */
+/** The result of one attempt. */
 export interface CallerAnswer {
   readonly outcome: Outcome;
+  /** HTTP status; 0 without an answer. */
   readonly status: number;
+  /** Duration of the attempt. */
   readonly ms: number;
-  /** When the caller may come back, in milliseconds. Default: not told. */
+  /** When the caller may retry; undefined if the answer does not say. */
   readonly retryAfterMs: number | undefined;
-  /** What is wrong with an answer that looks whole. Default: nothing. */
+  /** What is wrong with an answer that looks complete; undefined if nothing is. */
   readonly fault: string | undefined;
 }
 
-/** What is told of callers. */
+/** Receives what callers observe. */
 export interface CallerWitness {
   sent(request: SentRequest, vm: string): void;
   answered(request: SentRequest, vm: string, answer: CallerAnswer): void;
@@ -31,18 +33,18 @@
   left(request: SentRequest): void;
 }
 
-/** Customers and their keys, as they are handed out now. */
+/** Supplies API keys of customers. */
 export interface KeySource {
-  /** A customer and one of its keys. */
+  /** Draws a customer and one of its keys, valid or revoked. */
   draw(): { readonly customer: string; readonly key: string };
 }
 
-/** What callers work with. */
+/** Dependencies of callers. */
 export interface CallerContext {
   readonly witness: CallerWitness;
   readonly random: () => number;
   readonly keys: KeySource;
-  /** Directory addresses of all VMs. */
+  /** `HOST:PORT` of the directories of all VMs. */
   readonly directories: readonly string[];
 }
 
@@ -53,16 +55,17 @@
   stream: 6000,
   resumable: 6000,
 };
-/** How often callers ask for addresses, in milliseconds; some keep an answer thrice as long. */
-const LOOKUP_MS = 1000;
-const KEPT_LONG_PART = 0.3;
-/** Part of the callers that leave before the end. */
-const LEAVE_PART = 0.06;
-const CALLERS_TRIES = 2;
-/** Time beyond its deadline for which a caller waits for an answer, in milliseconds. */
-const LATE_MS = 2000;
+/** How often callers look up addresses. */
+const LOOKUP_INTERVAL_MS = 1000;
+/** Probability that a caller accepts addresses three times as old. */
+const SLOW_LOOKUP_RATIO = 0.3;
+/** Fraction of attempts whose caller may disconnect before the answer is complete. */
+const DISCONNECT_RATIO = 0.06;
+const MAX_ATTEMPTS = 2;
+/** Time beyond its deadline for which a caller waits for an answer. */
+const ANSWER_GRACE_MS = 2000;
 const kinds: readonly RequestKind[] = ['repeatable', 'once', 'stream', 'resumable'];
-/** Path prefix of each kind's route. */
+/** Path prefix of the route of each kind of request. */
 export const prefixes: Readonly<Record<RequestKind, string>> = {
   repeatable: '/look/',
   once: '/pay/',
@@ -70,7 +73,7 @@
   resumable: '/note/',
 };
 
-/** One group of callers that share their connections and the addresses that they were told. */
+/** A group of callers that share connections and looked-up addresses. */
 export class CallerGroup {
   readonly #context: CallerContext;
 
@@ -78,68 +81,69 @@
 
   #addresses: readonly string[] = [];
 
-  #askedAt = -Infinity;
+  #lookedUpAt = -Infinity;
 
   constructor(context: CallerContext) {
     this.#context = context;
   }
 
-  /** Sends requests at random times until the end, and waits for their answers. */
-  async run(perS: number, until: number): Promise<void> {
+  /** Sends requests at random times until `until` (epoch milliseconds), and waits for their answers. */
+  async run(ratePerS: number, until: number): Promise<void> {
     const open = new Set<Promise<void>>();
     while (Date.now() < until) {
-      const work = this.#request().finally(() => open.delete(work));
+      const work = this.#sendRequest().finally(() => open.delete(work));
       open.add(work);
-      await pause((-Math.log(1 - this.#context.random()) * 1000) / perS);
+      await pause((-Math.log(1 - this.#context.random()) * 1000) / ratePerS);
     }
     await Promise.all(open);
     this.#agent.destroy();
   }
 
-  /** One request, with its caller's tries. */
-  async #request(): Promise<void> {
+  /** Sends one request, with the caller's own retries. */
+  async #sendRequest(): Promise<void> {
     const { random, keys } = this.#context;
     const kind = kinds[Math.floor(random() * kinds.length)] ?? 'once';
     const isStream = kind === 'stream' || kind === 'resumable';
     const events = isStream ? 5 + Math.floor(random() * 30) : 0;
     const path = `${prefixes[kind]}${randomUUID().slice(0, 6)}`;
     const body = `events=${events} ${randomUUID()}`;
-    const whose = keys.draw();
-    for (let tries = 0; tries < CALLERS_TRIES; tries += 1) {
-      const sent: SentRequest = { id: randomUUID(), kind, path, body, events, ...whose };
+    const credentials = keys.draw();
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
+      const sent: SentRequest = { id: randomUUID(), kind, path, body, events, ...credentials };
       const { outcome, retryAfterMs } = await this.#attempt(sent);
-      const mayRepeat = kind === 'repeatable' || outcome === 'refused';
-      if (outcome === 'served' || outcome === 'left' || !mayRepeat) return;
+      const mayRetry = kind === 'repeatable' || outcome === 'refused';
+      if (outcome === 'served' || outcome === 'left' || !mayRetry) return;
       await pause(retryAfterMs ?? 50);
     }
   }
 
   async #attempt(sent: SentRequest): Promise<CallerAnswer> {
     const { witness, random } = this.#context;
-    const address = await this.#address();
+    const address = await this.#pickAddress();
     witness.sent(sent, address);
-    const leavesMs = random() < LEAVE_PART ? random() * 600 : undefined;
+    const disconnectMs = random() < DISCONNECT_RATIO ? random() * 600 : undefined;
     const began = performance.now();
-    const answer = await exchange(this.#agent, address, sent, leavesMs);
-    const whole = { ...answer, ms: performance.now() - began };
-    if (whole.outcome === 'left') witness.left(sent);
-    witness.answered(sent, address, whole);
-    return whole;
+    const answer = await exchange(this.#agent, address, sent, disconnectMs);
+    const timed = { ...answer, ms: performance.now() - began };
+    if (timed.outcome === 'left') witness.left(sent);
+    witness.answered(sent, address, timed);
+    return timed;
   }
 
-  async #address(): Promise<string> {
+  async #pickAddress(): Promise<string> {
     const { random, directories } = this.#context;
-    const keptMs = random() < KEPT_LONG_PART ? LOOKUP_MS * 3 : LOOKUP_MS;
-    if (performance.now() - this.#askedAt > keptMs) {
-      this.#askedAt = performance.now();
+    const maxAgeMs = random() < SLOW_LOOKUP_RATIO ? LOOKUP_INTERVAL_MS * 3 : LOOKUP_INTERVAL_MS;
+    if (performance.now() - this.#lookedUpAt > maxAgeMs) {
+      this.#lookedUpAt = performance.now();
       const directory = directories[Math.floor(random() * directories.length)] ?? '';
       const url = `http://${directory}/v1/lookup?name=${HOST}&region=r&zone=a`;
       const answer = await Promise.race([
         call('GET', url).catch(() => undefined),
-        pause(LOOKUP_MS, undefined, { ref: false }),
+        pause(LOOKUP_INTERVAL_MS, undefined, { ref: false }),
       ]);
-      const told = (answer?.body as { addresses?: readonly string[] } | undefined)?.addresses ?? [];
-      if (told.length > 0) this.#addresses = told;
+      const addresses =
+        (answer?.body as { addresses?: readonly string[] } | undefined)?.addresses ?? [];
+      if (addresses.length > 0) this.#addresses = addresses;
     }
     return this.#addresses[Math.floor(random() * this.#addresses.length)] ?? '127.0.0.1:9';
   }
@@ -157,64 +161,79 @@
   };
 }
 
-type Ended = Omit<CallerAnswer, 'ms'>;
+type ExchangeResult = Omit<CallerAnswer, 'ms'>;
 
-const broken: Ended = { outcome: 'broken', status: 0, retryAfterMs: undefined, fault: undefined };
+const brokenResult: ExchangeResult = {
+  outcome: 'broken',
+  status: 0,
+  retryAfterMs: undefined,
+  fault: undefined,
+};
 
-/** One attempt on a connection that may be an old one. */
+/** Makes one attempt, on a new or a reused connection. */
 function exchange(
   agent: Agent,
   address: string,
   sent: SentRequest,
-  leavesMs: number | undefined,
-): Promise<Ended> {
+  disconnectMs: number | undefined,
+): Promise<ExchangeResult> {
   const [host = '', port = ''] = address.split(':');
   return new Promise((resolve) => {
     const headers = headersOf(sent);
     const req = request({ host, port, agent, method: 'POST', path: sent.path, headers });
-    const leave = (): void => {
+    const disconnect = (): void => {
       req.destroy();
-      resolve({ ...broken, outcome: 'left' });
+      resolve({ ...brokenResult, outcome: 'left' });
     };
-    const leaving = setTimeout(leave, leavesMs ?? DEADLINE_MS[sent.kind] + LATE_MS);
-    const end = (ended: Ended): void => {
-      clearTimeout(leaving);
-      resolve(ended);
+    const timer = setTimeout(disconnect, disconnectMs ?? DEADLINE_MS[sent.kind] + ANSWER_GRACE_MS);
+    const end = (result: ExchangeResult): void => {
+      clearTimeout(timer);
+      resolve(result);
     };
     req.on('response', (res) => collect(sent, res, end));
-    req.on('error', () => end(broken));
+    req.on('error', () => end(brokenResult));
     req.end(sent.body);
   });
 }
 
-function collect(sent: SentRequest, res: IncomingMessage, end: (ended: Ended) => void): void {
+function collect(
+  sent: SentRequest,
+  res: IncomingMessage,
+  end: (result: ExchangeResult) => void,
+): void {
   const chunks: Buffer[] = [];
   const status = res.statusCode ?? 0;
   res.on('data', (chunk: Buffer) => chunks.push(chunk));
-  res.on('error', () => end({ ...broken, status }));
+  res.on('error', () => end({ ...brokenResult, status }));
   res.on('end', () => {
     const text = Buffer.concat(chunks).toString();
-    if (!res.complete) end({ ...broken, status });
+    if (!res.complete) end({ ...brokenResult, status });
     else if (status >= 200 && status < 300) {
-      end({ ...broken, outcome: 'served', status, fault: faultOf(sent, res, text) });
+      end({ ...brokenResult, outcome: 'served', status, fault: integrityErrorOf(sent, res, text) });
     } else {
-      const told = Number(res.headers['retry-after']);
-      const retryAfterMs = Number.isFinite(told) ? told * 1000 : undefined;
+      const seconds = Number(res.headers['retry-after']);
+      const retryAfterMs = Number.isFinite(seconds) ? seconds * 1000 : undefined;
       const isRefusal = status === 503 || status === 429;
-      end({ ...broken, outcome: isRefusal ? 'refused' : 'failed', status, retryAfterMs });
+      end({ ...brokenResult, outcome: isRefusal ? 'refused' : 'failed', status, retryAfterMs });
     }
   });
 }
 
-/** What is wrong with a success; undefined if nothing is. */
-function faultOf(sent: SentRequest, res: IncomingMessage, text: string): string | undefined {
-  if (res.headers['request-id'] !== sent.id) return 'the answer is to another request';
+/** What is wrong with a successful answer; undefined if nothing is. */
+function integrityErrorOf(
+  sent: SentRequest,
+  res: IncomingMessage,
+  text: string,
+): string | undefined {
+  if (res.headers['request-id'] !== sent.id) return 'the request id does not match';
   const digest = digestOf(sent.path, sent.body);
   if (sent.events === 0) {
-    if (res.headers['server-signature'] !== signatureOf(text)) return 'the signature does not fit';
-    return text === plainAnswer(sent.id, digest) ? undefined : 'the answer is of another request';
+    if (res.headers['server-signature'] !== signatureOf(text)) return 'the signature is wrong';
+    return text === plainAnswer(sent.id, digest)
+      ? undefined
+      : 'the body belongs to another request';
   }
-  const wanted = Array.from({ length: sent.events }, (_, i) => eventOf(i + 1, digest)).join('');
-  if (text === wanted) return undefined;
-  return `looks complete with ${text.length} of ${wanted.length} bytes`;
+  const expected = Array.from({ length: sent.events }, (_, i) => eventOf(i + 1, digest)).join('');
+  if (text === expected) return undefined;
+  return `the stream ended without an error, but differs: found ${text.length} bytes, expected ${expected.length}`;
 }
--- a/scripts/soak/faults.ts
+++ b/scripts/soak/faults.ts
@@ -1,4 +1,4 @@
-/** Faults of all kinds, drawn from a seed: in series and overlapping, with calm between the storms. */
+/** Injects faults drawn from a seed: bursts of consecutive and overlapping faults, separated by fault-free periods. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
@@ -10,162 +10,174 @@
 import { wellMood } from './runner';
 import type { Vm } from './vm';
 
-/** What faults work on. */
+/** What faults act on, and callbacks about them. */
 export interface FaultContext {
   readonly random: () => number;
   readonly vms: readonly Vm[];
   readonly mesh: Mesh;
   readonly store: FakeStore;
   readonly pool: RunnerPool;
-  /** The store came back from an older copy. */
+  /** Called after the store was restored from an older copy. */
   readonly onReturn: () => void;
-  /** A fault begins or ends. */
+  /** Called when a fault begins or ends. */
   readonly onFault: (id: number, name: string, target: string, begins: boolean) => void;
 }
 
-/** A fault that was begun: what it works on, and how it ends. */
-interface Begun {
+/** A fault in progress. */
+interface ActiveFault {
+  /** Name of the VM, runner or link that the fault acts on. */
   readonly target: string;
-  /** Resolves once it is over. */
-  readonly over: Promise<void>;
+  /** Resolves once the fault has ended. */
+  readonly done: Promise<void>;
 }
 
-type Fault = () => Begun | undefined;
+/** Begins a fault; undefined if no suitable target is free. */
+type FaultStarter = () => ActiveFault | undefined;
 
-/** What a kind of fault works on; its name begins so. */
+/** What a kind of fault acts on: the prefix of its name. */
 export type FaultFamily = 'vm' | 'store' | 'runner';
 
-const STORM_MS = 16_000;
-const CALM_MS = 12_000;
-/** Longest time of one fault, in milliseconds. */
-const LONGEST_MS = 6000;
-/** Part of the VMs that may be down or stopped at once. */
-const DOWN_PART = 0.5;
-const COPY_MS = 5000;
-/** Least time for which a VM is alone, in milliseconds. */
-const ALONE_MS = 6000;
-/** Time after its return in which operator and runners have not written to the store again, in milliseconds. */
-const STALE_MS = 1500;
-/** Time in which VMs find each other again, in milliseconds: part of the cut. */
+/** Time during which faults are injected. */
+const BURST_MS = 16_000;
+/** Fault-free time between two bursts. */
+const PAUSE_MS = 12_000;
+/** Range of the random part of a fault's duration; the fixed part is 200 ms. */
+const MAX_EXTRA_FAULT_MS = 6000;
+/** Fraction of the VMs that may be down or paused at the same time. */
+const MAX_DOWN_RATIO = 0.5;
+/** How often the store is copied for later restoration. */
+const STORE_COPY_INTERVAL_MS = 5000;
+/** Minimum time for which a VM is isolated. */
+const MIN_ISOLATION_MS = 6000;
+/** Time after the store was restored before the operator and the runners write to it again. */
+const RESTORE_REWRITE_DELAY_MS = 1500;
+/** Time that VMs need to reconnect after a network partition; counted as part of the fault. */
 const RECONNECT_MS = 2000;
-/** Twice the longest step of a VM's time of day, in milliseconds. */
-const CLOCK_STEP_MS = 8000;
+/** Range of clock steps: the clock moves by at most half of it in either direction. */
+const CLOCK_STEP_RANGE_MS = 8000;
 
-/** Draws faults and ends them. */
+/** Draws faults, begins them and ends them. */
 export class Faults {
   readonly #context: FaultContext;
 
-  readonly #wanted: ReadonlySet<string> | undefined;
+  readonly #enabledKinds: ReadonlySet<string> | undefined;
 
   readonly #counts: Record<string, number> = {};
 
-  /** Targets that a fault works on; another one leaves them alone until it is over. */
-  readonly #busy = new Set<string>();
+  /** Targets of faults in progress; no other fault chooses them until the fault has ended. */
+  readonly #busyTargets = new Set<string>();
 
-  readonly #open = new Map<Promise<void>, string>();
+  /** Names of the faults in progress. */
+  readonly #active = new Map<Promise<void>, string>();
 
-  /** When the last fault of a family ended. */
+  /** When the last fault of each family ended. */
   readonly #endedAt = new Map<string, number>();
 
-  readonly #began = Date.now();
+  readonly #startedAt = Date.now();
 
-  #next = 0;
+  #lastId = 0;
 
-  #copy: StoreCopy | undefined;
+  #storeCopy: StoreCopy | undefined;
 
-  /** @param wanted names of the kinds to draw from. Default: all */
-  constructor(context: FaultContext, wanted?: readonly string[]) {
+  /** @param enabledKinds names of the kinds to draw from; all if undefined */
+  constructor(context: FaultContext, enabledKinds?: readonly string[]) {
     this.#context = context;
-    this.#wanted = wanted && new Set(wanted);
+    this.#enabledKinds = enabledKinds && new Set(enabledKinds);
   }
 
+  /** Number of injected faults by kind. */
   get counts(): Readonly<Record<string, number>> {
     return this.#counts;
   }
 
-  /** Time since the last fault of some families ended, in milliseconds; 0 while one lasts. */
+  /**
+   * Time since the last fault of the given families ended, in milliseconds; since the start if there
+   * was none, and 0 while one is in progress.
+   */
   calmMs(...families: readonly FaultFamily[]): number {
-    const isOpen = [...this.#open.values()].some((name) => families.includes(familyOf(name)));
-    if (isOpen) return 0;
-    const ends = families.map((family) => this.#endedAt.get(family) ?? this.#began);
+    const isActive = [...this.#active.values()].some((name) => families.includes(familyOf(name)));
+    if (isActive) return 0;
+    const ends = families.map((family) => this.#endedAt.get(family) ?? this.#startedAt);
     return Date.now() - Math.max(...ends);
   }
 
-  /** Names of all kinds. */
+  /** Names of all kinds of faults. */
   get kinds(): readonly string[] {
     return Object.keys(this.#kinds());
   }
 
+  /** Injects faults until the given time (epoch milliseconds), and waits until they have ended. */
   async run(until: number): Promise<void> {
-    const copies = setInterval(() => {
-      this.#copy = this.#context.store.copy();
-    }, COPY_MS);
+    const copying = setInterval(() => {
+      this.#storeCopy = this.#context.store.copy();
+    }, STORE_COPY_INTERVAL_MS);
     while (Date.now() < until) {
-      await this.#storm(Math.min(until, Date.now() + STORM_MS));
-      await Promise.all(this.#open.keys());
-      await pause(Math.max(0, Math.min(CALM_MS, until - Date.now())));
+      await this.#runBurst(Math.min(until, Date.now() + BURST_MS));
+      await Promise.all(this.#active.keys());
+      await pause(Math.max(0, Math.min(PAUSE_MS, until - Date.now())));
     }
-    clearInterval(copies);
+    clearInterval(copying);
   }
 
-  async #storm(until: number): Promise<void> {
+  async #runBurst(until: number): Promise<void> {
     const { random } = this.#context;
     const kinds = Object.entries(this.#kinds()).filter(
-      ([name]) => !this.#wanted || this.#wanted.has(name),
+      ([name]) => !this.#enabledKinds || this.#enabledKinds.has(name),
     );
     while (Date.now() < until && kinds.length > 0) {
-      const [name, fault] = kinds[Math.floor(random() * kinds.length)] as [string, Fault];
+      const [name, fault] = kinds[Math.floor(random() * kinds.length)] as [string, FaultStarter];
       this.#begin(name, fault());
       await pause(100 + random() * 1800);
     }
   }
 
-  #begin(name: string, begun: Begun | undefined): void {
-    if (!begun) return;
-    const { target, over } = begun;
-    this.#next += 1;
-    const id = this.#next;
-    this.#busy.add(target);
+  #begin(name: string, fault: ActiveFault | undefined): void {
+    if (!fault) return;
+    const { target, done } = fault;
+    this.#lastId += 1;
+    const id = this.#lastId;
+    this.#busyTargets.add(target);
     this.#counts[name] = (this.#counts[name] ?? 0) + 1;
     this.#context.onFault(id, name, target, true);
-    const work = over
+    const work = done
       .catch((error: Error) => console.error(`${name}: ${error.message}`))
       .finally(() => {
-        this.#open.delete(work);
-        this.#busy.delete(target);
+        this.#active.delete(work);
+        this.#busyTargets.delete(target);
         this.#endedAt.set(familyOf(name), Date.now());
         this.#context.onFault(id, name, target, false);
       });
-    this.#open.set(work, name);
+    this.#active.set(work, name);
   }
 
-  #kinds(): Readonly<Record<string, Fault>> {
+  #kinds(): Readonly<Record<string, FaultStarter>> {
     return {
-      'vm-kill': () => this.#endVm('SIGKILL'),
-      'vm-stop': () => this.#endVm('SIGTERM'),
-      'vm-freeze': () => this.#onVm((vm) => this.#freeze(vm)),
+      'vm-kill': () => this.#restartVm('SIGKILL'),
+      'vm-stop': () => this.#restartVm('SIGTERM'),
+      'vm-freeze': () => this.#onVm((vm) => this.#pauseVm(vm)),
       'vm-clock': () => this.#onVm((vm) => this.#stepClock(vm)),
       'vm-hangup': () => this.#onVm(async (vm) => vm.signal('SIGHUP')),
-      'vm-cut': () => this.#onMesh((vm) => this.#cut(vm, this.#othersOf(vm))),
+      'vm-cut': () => this.#onMesh((vm) => this.#partition(vm, this.#othersOf(vm))),
       'vm-alone': () => this.#onMesh((vm) => this.#isolate(vm)),
-      'vm-cut-some': () => this.#onMesh((vm) => this.#cut(vm, this.#someOf(this.#othersOf(vm)))),
+      'vm-cut-some': () =>
+        this.#onMesh((vm) => this.#partition(vm, this.#someOf(this.#othersOf(vm)))),
       'vm-links': () =>
         this.#onMesh(async (vm) => this.#context.mesh.reset(vm, this.#context.random, 0.5)),
-      'store-silent': () => this.#storeMood('silent'),
-      'store-busy': () => this.#storeMood('busy'),
-      'store-deaf': () => this.#storeMood('deaf'),
+      'store-silent': () => this.#disturbStore('silent'),
+      'store-busy': () => this.#disturbStore('busy'),
+      'store-deaf': () => this.#disturbStore('deaf'),
       'store-forgets': () => this.#onStore(async () => this.#context.store.compact()),
-      'store-older': () => this.#onStore(async () => this.#comeBack()),
-      'store-strange': () => this.#onStore(async () => this.#strangeEntry()),
+      'store-older': () => this.#onStore(async () => this.#restoreStore()),
+      'store-strange': () => this.#onStore(async () => this.#writeMalformedEntry()),
       'store-link': () => this.#onStoreLink(),
       'runner-crash': () => this.#onRunner((place) => this.#crash(place)),
-      'runner-fails': () => this.#mood({ failPart: 0.4 }),
-      'runner-all-fail': () => this.#failAll(),
-      'runner-sheds': () => this.#mood({ shedPart: 0.4 }),
-      'runner-cuts': () => this.#mood({ cutPart: 0.4 }),
-      'runner-mute': () => this.#mood({ mutePart: 0.2 }),
-      'runner-slow': () => this.#mood({ slowness: 4 }),
-      'runner-link': () => this.#onRunner((place) => this.#link(place.proxy)),
+      'runner-fails': () => this.#disturbRunner({ failPart: 0.4 }),
+      'runner-all-fail': () => this.#failPlainRunners(),
+      'runner-sheds': () => this.#disturbRunner({ shedPart: 0.4 }),
+      'runner-cuts': () => this.#disturbRunner({ cutPart: 0.4 }),
+      'runner-mute': () => this.#disturbRunner({ mutePart: 0.2 }),
+      'runner-slow': () => this.#disturbRunner({ slowness: 4 }),
+      'runner-link': () => this.#onRunner((place) => this.#disturbLink(place.proxy)),
       'runner-reset': () =>
         this.#onRunner(async ({ proxy }) => proxy.reset(this.#context.random, 0.5)),
     };
@@ -175,20 +187,20 @@
     return all[Math.floor(this.#context.random() * all.length)];
   }
 
-  #time(): number {
-    return 200 + this.#context.random() * LONGEST_MS;
+  #drawDurationMs(): number {
+    return 200 + this.#context.random() * MAX_EXTRA_FAULT_MS;
   }
 
-  #onVm(work: (vm: Vm) => Promise<void>): Begun | undefined {
+  #onVm(work: (vm: Vm) => Promise<void>): ActiveFault | undefined {
     const { vms } = this.#context;
     const down = vms.filter(({ up, frozen }) => !up || frozen).length;
-    const free = vms.filter(({ up, place }) => up && !this.#busy.has(place.name));
+    const free = vms.filter(({ up, options }) => up && !this.#busyTargets.has(options.name));
     const vm = this.#pick(free);
-    if (!vm || down + 1 > vms.length * DOWN_PART) return undefined;
-    return { target: vm.place.name, over: work(vm) };
+    if (!vm || down + 1 > vms.length * MAX_DOWN_RATIO) return undefined;
+    return { target: vm.options.name, done: work(vm) };
   }
 
-  #onMesh(work: (vm: Vm) => Promise<void>): Begun | undefined {
+  #onMesh(work: (vm: Vm) => Promise<void>): ActiveFault | undefined {
     return this.#context.mesh.hasPairs ? this.#onVm(work) : undefined;
   }
 
@@ -200,137 +212,139 @@
     return vms.filter(() => this.#context.random() < 0.5);
   }
 
-  /** Cuts a VM off from others, in both directions or in one. */
-  async #cut(vm: Vm, others: readonly Vm[]): Promise<void> {
+  /** Partitions a VM from others, in both directions or in one. */
+  async #partition(vm: Vm, others: readonly Vm[]): Promise<void> {
     const { mesh, random } = this.#context;
     const moods: readonly LinkMood[] = ['silent', 'forward', 'back'];
     mesh.cut(vm, others, this.#pick(moods) ?? 'silent');
-    await pause(this.#time());
+    await pause(this.#drawDurationMs());
     mesh.cut(vm, others, 'well');
-    // What was silenced stays so until it is given up.
+    // Connections silenced during the partition stay silent until a peer closes them.
     if (random() < 0.5) mesh.reset(vm, random, 1);
     await pause(RECONNECT_MS);
   }
 
-  /** Cuts a VM off from all others and from the store, for longer than a key that was taken away may count. */
+  /** Isolates a VM from all others and from the store, for longer than a revoked key may still be accepted. */
   async #isolate(vm: Vm): Promise<void> {
     const { mesh, vms, random } = this.#context;
     const link = mesh.storeLinks[vms.indexOf(vm)];
     mesh.cut(vm, this.#othersOf(vm), 'silent');
     if (link) link.mood = 'silent';
-    await pause(ALONE_MS * (1 + random()));
+    await pause(MIN_ISOLATION_MS * (1 + random()));
     mesh.cut(vm, this.#othersOf(vm), 'well');
     if (link) link.mood = 'well';
     await pause(RECONNECT_MS);
   }
 
-  #endVm(signal: 'SIGKILL' | 'SIGTERM'): Begun | undefined {
+  #restartVm(signal: 'SIGKILL' | 'SIGTERM'): ActiveFault | undefined {
     return this.#onVm(async (vm) => {
       vm.signal(signal);
       await vm.gone();
-      await pause(this.#time() / 2);
+      await pause(this.#drawDurationMs() / 2);
       vm.start();
-      // Its start is part of the fault: nobody knows it yet.
+      // The start-up counts as part of the fault: the other VMs do not know the new process yet.
       await pause(2000);
     });
   }
 
-  async #freeze(vm: Vm): Promise<void> {
+  async #pauseVm(vm: Vm): Promise<void> {
     vm.signal('SIGSTOP');
-    await pause(this.#time());
+    await pause(this.#drawDurationMs());
     vm.signal('SIGCONT');
   }
 
   async #stepClock(vm: Vm): Promise<void> {
-    vm.stepClock((this.#context.random() - 0.5) * CLOCK_STEP_MS);
-    await pause(this.#time());
+    vm.stepClock((this.#context.random() - 0.5) * CLOCK_STEP_RANGE_MS);
+    await pause(this.#drawDurationMs());
     vm.stepClock(0);
   }
 
-  #onStore(work: () => Promise<void>): Begun | undefined {
-    return this.#busy.has('store') ? undefined : { target: 'store', over: work() };
+  #onStore(work: () => Promise<void>): ActiveFault | undefined {
+    return this.#busyTargets.has('store') ? undefined : { target: 'store', done: work() };
   }
 
-  #storeMood(mood: FakeStore['mood']): Begun | undefined {
+  #disturbStore(mood: FakeStore['mood']): ActiveFault | undefined {
     return this.#onStore(async () => {
       const { store } = this.#context;
       store.mood = mood;
-      await pause(this.#time());
+      await pause(this.#drawDurationMs());
       store.mood = 'well';
     });
   }
 
-  /** Operator and runners write again what the copy lacks. */
-  async #comeBack(): Promise<void> {
+  /** Restores the store from the last copy; the operator and the runners then rewrite the entries that it lacks. */
+  async #restoreStore(): Promise<void> {
     const { store, pool, onReturn } = this.#context;
-    if (this.#copy) store.comeBack(this.#copy);
-    await pause(STALE_MS);
+    if (this.#storeCopy) store.comeBack(this.#storeCopy);
+    await pause(RESTORE_REWRITE_DELAY_MS);
     onReturn();
     for (const place of pool.places) pool.list(place.runner);
     await pause(500);
   }
 
-  async #strangeEntry(): Promise<void> {
+  async #writeMalformedEntry(): Promise<void> {
     const { store } = this.#context;
-    const strange = ['{', '{"service":7}', '{"service":"desk","address":"nowhere"}'];
-    store.put('servers/i-strange', this.#pick(strange));
-    await pause(this.#time());
+    const malformed = ['{', '{"service":7}', '{"service":"desk","address":"nowhere"}'];
+    store.put('servers/i-strange', this.#pick(malformed));
+    await pause(this.#drawDurationMs());
     store.remove('servers/i-strange');
   }
 
-  #onStoreLink(): Begun | undefined {
+  #onStoreLink(): ActiveFault | undefined {
     const { storeLinks } = this.#context.mesh;
     const index = Math.floor(this.#context.random() * storeLinks.length);
     const link = storeLinks[index];
     const target = `store link ${index + 1}`;
-    return link && !this.#busy.has(target) ? { target, over: this.#link(link) } : undefined;
+    return link && !this.#busyTargets.has(target)
+      ? { target, done: this.#disturbLink(link) }
+      : undefined;
   }
 
-  async #link(link: LinkProxy): Promise<void> {
+  async #disturbLink(link: LinkProxy): Promise<void> {
     const proxy = link;
     const { random } = this.#context;
     const moods: readonly LinkMood[] = ['silent', 'forward', 'back', 'refuse', 'well'];
     proxy.mood = this.#pick(moods) ?? 'well';
     if (proxy.mood === 'well') proxy.delayMs = random() * 300;
-    await pause(this.#time());
+    await pause(this.#drawDurationMs());
     proxy.mood = 'well';
     proxy.delayMs = 0;
-    // What was silenced stays so.
+    // Silenced connections stay silent, so they are reset.
     proxy.reset(random, 1);
   }
 
-  #onRunner(work: (place: Place) => Promise<void>): Begun | undefined {
+  #onRunner(work: (place: Place) => Promise<void>): ActiveFault | undefined {
     const free = this.#context.pool.places.filter(
-      ({ runner }) => runner.up && !this.#busy.has(runner.listing),
+      ({ runner }) => runner.up && !this.#busyTargets.has(runner.listing),
     );
     const place = this.#pick(free);
-    return place && { target: place.runner.listing, over: work(place) };
+    return place && { target: place.runner.listing, done: work(place) };
   }
 
   async #crash(place: Place): Promise<void> {
-    await this.#context.pool.restart(place, this.#time());
-    // VMs hear of the new start, and the old one's requests end.
+    await this.#context.pool.restart(place, this.#drawDurationMs());
+    // Time for the VMs to learn of the new instance, and for requests of the old one to end.
     await pause(1500);
   }
 
-  /** All plain runners fail most of their requests. */
-  #failAll(): Begun | undefined {
+  /** Makes all plain runners fail most of their requests. */
+  #failPlainRunners(): ActiveFault | undefined {
     const places = this.#context.pool.of('plain');
-    const moods = places.map(({ runner }) => runner);
-    if (moods.some(({ listing }) => this.#busy.has(listing))) return undefined;
-    const over = async (): Promise<void> => {
-      for (const runner of moods) runner.mood = { ...wellMood, failPart: 0.8 };
-      await pause(this.#time());
-      for (const runner of moods) runner.mood = wellMood;
+    const runners = places.map(({ runner }) => runner);
+    if (runners.some(({ listing }) => this.#busyTargets.has(listing))) return undefined;
+    const run = async (): Promise<void> => {
+      for (const runner of runners) runner.mood = { ...wellMood, failPart: 0.8 };
+      await pause(this.#drawDurationMs());
+      for (const runner of runners) runner.mood = wellMood;
     };
-    return { target: 'all plain runners', over: over() };
+    return { target: 'all plain runners', done: run() };
   }
 
-  #mood(change: Partial<RunnerMood>): Begun | undefined {
+  #disturbRunner(change: Partial<RunnerMood>): ActiveFault | undefined {
     return this.#onRunner(async ({ runner }) => {
       const changed = runner;
       changed.mood = { ...wellMood, ...change };
-      await pause(this.#time());
+      await pause(this.#drawDurationMs());
       changed.mood = wellMood;
     });
   }
--- a/scripts/soak/main.ts
+++ b/scripts/soak/main.ts
@@ -1,6 +1,7 @@
 /**
- * The fault soak: the program that the platform runs, as processes of their own, against
- * stand-ins of all around it, with random faults. JSON lines on standard output.
+ * The fault soak: runs the router in several processes, as the platform does, against stand-ins for the
+ * platform, callers and runners, and injects random faults. Writes JSON lines to standard output. The
+ * exit code is 1 if a guarantee was violated, and 2 on errors.
  *
  *     node build/soak.cjs --seed 1 --minutes 2 [--vms 5] [--faults vm-kill,store-silent] [--report soak.html]
  */
@@ -40,7 +41,7 @@
   process.once('SIGTERM', () => process.exit(1));
   await soak.run();
   const { breaches, totals } = timeline;
-  const title = `Soak, seed ${seed}, ${minutes} min, ${vms} VMs, ${runners * 2} runners and more`;
+  const title = `Soak, seed ${seed}, ${minutes} min, ${vms} VMs, ${runners * 2} decode and plain runners, and prefill runners`;
   if (report !== undefined) writeFileSync(report, renderReport(title, timeline));
   const isKept = breaches.length > 0 || flags.keep;
   if (!isKept) rmSync(soak.folder, { recursive: true, force: true });
@@ -58,14 +59,14 @@
 
 cli
   .command('', 'Run the soak')
-  .option('--seed <number>', 'Seed of all that is drawn', { default: 1 })
-  .option('--minutes <number>', 'Time to run', { default: 2 })
-  .option('--vms <number>', 'VMs, a process each', { default: 5 })
-  .option('--runners <number>', 'Runners that decode, and as many plain ones', { default: 4 })
-  .option('--rate <number>', 'Requests a second of all callers', { default: 60 })
+  .option('--seed <number>', 'Seed of all random choices', { default: 1 })
+  .option('--minutes <number>', 'Duration of the run', { default: 2 })
+  .option('--vms <number>', 'Number of VMs, one process each', { default: 5 })
+  .option('--runners <number>', 'Number of decode runners, and of plain runners', { default: 4 })
+  .option('--rate <number>', 'Requests per second of all callers together', { default: 60 })
   .option('--faults <kinds>', 'Kinds of faults to draw from, separated by commas')
-  .option('--report <file>', 'Write a page with plots')
-  .option('--keep', 'Keep the logs of the VMs also where nothing is broken')
+  .option('--report <file>', 'Write an HTML page with plots to this file')
+  .option('--keep', 'Keep the logs of the VMs even if no guarantee was violated')
   .action((flags: Flags) => run(flags));
 cli.help();
 
--- a/scripts/soak/mesh.ts
+++ b/scripts/soak/mesh.ts
@@ -1,51 +1,51 @@
-/** The links of VMs: each to the store and, in small runs, each to every other one has a proxy of its own. */
+/** The network links of VMs: one proxy per VM to the store and, in small runs, one per ordered pair of VMs. */
 
 import { LinkProxy } from './proxy';
 import type { LinkMood } from './proxy';
 import type { Vm } from './vm';
 import { PEER_PORT } from './vm';
 
-/** Most VMs that have a proxy for each pair. */
-const PAIRS_MOST = 8;
+/** Number of VMs up to which each pair has proxies. */
+const MAX_VMS_WITH_LINKS = 8;
 
-/** Proxies between VMs. */
+/** Proxies between VMs, and from VMs to the store. */
 export class Mesh {
-  /** Each VM's link to the store. */
+  /** Link of each VM to the store, in the order of the VMs. */
   readonly storeLinks: LinkProxy[] = [];
 
-  readonly #net: string;
+  readonly #networkPrefix: string;
 
   readonly #vms: readonly Vm[];
 
-  /** By the VM that connects, then by the one that is connected to. */
-  readonly #pairs = new Map<Vm, Map<Vm, LinkProxy>>();
+  /** Links by the connecting VM, then by the VM connected to. */
+  readonly #links = new Map<Vm, Map<Vm, LinkProxy>>();
 
   constructor(net: string, vms: readonly Vm[]) {
-    this.#net = net;
+    this.#networkPrefix = net;
     this.#vms = vms;
   }
 
   /** Whether links between VMs can be cut. */
   get hasPairs(): boolean {
-    return this.#pairs.size > 0;
+    return this.#links.size > 0;
   }
 
-  /** Puts proxies before the store and between the VMs, which are not started yet. */
+  /** Starts the proxies and redirects the VMs' connections to them; call before the VMs start. */
   async start(store: string): Promise<void> {
     for (const [index, vm] of this.#vms.entries()) {
       const link = new LinkProxy(store);
-      const host = `${this.#net}.4.${index + 1}`;
+      const host = `${this.#networkPrefix}.4.${index + 1}`;
       await link.start(host, PEER_PORT);
       this.storeLinks.push(link);
       vm.route(store, `${host}:${PEER_PORT}`);
     }
-    if (this.#vms.length > PAIRS_MOST) return;
+    if (this.#vms.length > MAX_VMS_WITH_LINKS) return;
     for (const [from, vm] of this.#vms.entries()) {
       const links = new Map<Vm, LinkProxy>();
-      this.#pairs.set(vm, links);
+      this.#links.set(vm, links);
       for (const [to, other] of this.#vms.entries()) {
         if (other !== vm) {
-          const host = `${this.#net}.${10 + from}.${to + 1}`;
+          const host = `${this.#networkPrefix}.${10 + from}.${to + 1}`;
           const link = new LinkProxy(other.peer);
           await link.start(host, PEER_PORT);
           links.set(other, link);
@@ -55,31 +55,32 @@
     }
   }
 
-  /** Cuts a VM off from others, or in one direction only; `well` heals it. */
+  /** Partitions a VM from others, in both directions or in one; `well` ends the partition. */
   cut(vm: Vm, others: readonly Vm[], mood: LinkMood): void {
     for (const other of others) {
       this.#set(vm, other, mood);
       this.#set(other, vm, mood === 'forward' ? 'back' : mood);
-      vm.lose(other.place.ip, mood !== 'well');
-      // Where one direction passes, so do its datagrams.
-      other.lose(vm.place.ip, mood !== 'well' && mood !== 'forward');
+      vm.lose(other.options.ip, mood !== 'well');
+      // Datagrams: `forward` drops only those of the VM, `silent` and `back` those of both sides.
+      other.lose(vm.options.ip, mood !== 'well' && mood !== 'forward');
     }
   }
 
-  /** Resets a part of the connections between a VM and the others. */
-  reset(vm: Vm, random: () => number, part: number): void {
-    for (const [from, links] of this.#pairs) {
-      for (const [to, link] of links) if (from === vm || to === vm) link.reset(random, part);
+  /** Resets connections between a VM and the others, each with the given probability. */
+  reset(vm: Vm, random: () => number, probability: number): void {
+    for (const [from, links] of this.#links) {
+      for (const [to, link] of links) if (from === vm || to === vm) link.reset(random, probability);
     }
   }
 
+  /** Stops all proxies. */
   stop(): void {
     for (const link of this.storeLinks) link.stop();
-    for (const links of this.#pairs.values()) for (const link of links.values()) link.stop();
+    for (const links of this.#links.values()) for (const link of links.values()) link.stop();
   }
 
   #set(from: Vm, to: Vm, mood: LinkMood): void {
-    const link = this.#pairs.get(from)?.get(to);
+    const link = this.#links.get(from)?.get(to);
     if (link) link.mood = mood;
   }
 }
--- a/scripts/soak/operator.ts
+++ b/scripts/soak/operator.ts
@@ -1,4 +1,4 @@
-/** The operator: writes configurations whose routes and keys change, and looks at which one each VM goes by. */
+/** The operator: writes configurations with changing routes and keys, and checks which version each VM applies. */
 
 import { randomUUID } from 'node:crypto';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -15,38 +15,41 @@
 import { bounds } from './vm';
 
 const HOST = 'soak.example';
-/** Customers, how much they may send, and how many keys each has. */
 const CUSTOMERS = ['ada', 'bob', 'cyd'] as const;
+/** Rate limits of customers; undefined for none. */
 const QUOTAS = { ada: undefined, bob: { ratePerS: 16, burst: 20 }, cyd: undefined } as const;
-const KEYS = 2;
-/** Part of the requests with a key that was taken away, and how many of these callers remember. */
-const OLD_KEY_PART = 0.08;
-const OLD_KEYS = 4;
-/** Period of changes, and of asking VMs which configuration they go by, in milliseconds. */
-const CHANGE_MS = 3500;
-const PROBE_MS = 700;
-/** Time after which a VM that served by a configuration must not go by an older one, in milliseconds. */
+const KEYS_PER_CUSTOMER = 2;
+/** Fraction of requests that use a revoked key. */
+const REVOKED_KEY_RATIO = 0.08;
+/** Number of revoked keys that callers still use. */
+const REVOKED_KEYS_IN_USE = 4;
+/** Mean time between configuration changes. */
+const CHANGE_INTERVAL_MS = 3500;
+/** Time between probes of the version that each VM applies. */
+const PROBE_INTERVAL_MS = 700;
+/** Time after which a VM that served with a configuration must not serve with an older one. */
 const ROLLBACK_MS = 250;
-/** Time after which a calm VM must go by a configuration that was written, in milliseconds. */
+/** Time after which a VM must apply a written configuration, if there are no faults. */
 const APPLY_MS = bounds['config-apply-ms'] + 500;
 
-interface Key {
+/** An API key and its customer. */
+interface ApiKey {
   readonly customer: string;
   readonly key: string;
 }
 
-/** What the operator works with. */
+/** Dependencies of the operator. */
 export interface OperatorContext {
   readonly store: FakeStore;
   readonly vms: readonly Vm[];
   readonly random: () => number;
   readonly onBreach: (breach: Breach) => void;
   readonly onSent: CallerWitness['sent'];
-  /** Time since the last fault of VMs or store ended, in milliseconds. */
+  /** Time since the last fault of VMs or the store ended, in milliseconds; 0 while one is in progress. */
   readonly calmMs: () => number;
 }
 
-/** Configurations of one run. */
+/** Writes the configurations of one run and checks that VMs apply them. */
 export class Operator implements KeySource {
   readonly #context: OperatorContext;
 
@@ -54,39 +57,42 @@
 
   #writtenAt = 0;
 
-  #keys: readonly Key[] = CUSTOMERS.flatMap((customer) =>
-    Array.from({ length: KEYS }, () => ({ customer, key: randomUUID() })),
+  #keys: readonly ApiKey[] = CUSTOMERS.flatMap((customer) =>
+    Array.from({ length: KEYS_PER_CUSTOMER }, () => ({ customer, key: randomUUID() })),
   );
 
-  /** Keys that were taken away last. */
-  #old: readonly Key[] = [];
+  /** Most recently revoked keys, newest first. */
+  #recentlyRevoked: readonly ApiKey[] = [];
 
-  readonly #revoked = new Map<string, number>();
+  /** When each revoked key was revoked, in epoch milliseconds. */
+  readonly #revokedAt = new Map<string, number>();
 
-  /** Latest version that each life of a VM served by, and since when. */
-  readonly #served = new Map<string, { version: number; at: number }>();
+  /** Latest version that each process of a VM served with, and when it last did. */
+  readonly #lastServed = new Map<string, { version: number; at: number }>();
 
   constructor(context: OperatorContext) {
     this.#context = context;
   }
 
+  /** Version of the current configuration. */
   get version(): number {
     return this.#version;
   }
 
-  /** Mostly a key that is held; some callers go on with one that was taken away. */
-  draw(): Key {
+  /** Draws a valid key in most cases; otherwise a revoked one, as from a caller that still uses it. */
+  draw(): ApiKey {
     const { random } = this.#context;
-    const isOld = this.#old.length > 0 && random() < OLD_KEY_PART;
-    const keys = isOld ? this.#old : this.#keys;
-    return keys[Math.floor(random() * keys.length)] as Key;
+    const isOld = this.#recentlyRevoked.length > 0 && random() < REVOKED_KEY_RATIO;
+    const keys = isOld ? this.#recentlyRevoked : this.#keys;
+    return keys[Math.floor(random() * keys.length)] as ApiKey;
   }
 
-  /** When a key was taken away. Default: it is held. */
+  /** When a key was revoked, in epoch milliseconds; undefined while it is valid. */
   revokedAt(key: string): number | undefined {
-    return this.#revoked.get(key);
+    return this.#revokedAt.get(key);
   }
 
+  /** Rate limit of a customer; undefined if it has none. */
   quotaOf(customer: string): { readonly ratePerS: number; readonly burst: number } | undefined {
     return QUOTAS[customer as keyof typeof QUOTAS];
   }
@@ -97,79 +103,84 @@
     this.writeAgain();
   }
 
-  /** Writes the configuration in force once more: the store may have lost it. */
+  /** Writes the current configuration again, because a restored store may lack it. */
   writeAgain(): void {
     this.#writtenAt = Date.now();
-    this.#context.store.put('op/config', this.#config());
+    this.#context.store.put('op/config', this.#buildConfig());
   }
 
-  /** Changes configurations and looks at VMs until the end. */
+  /** Changes configurations and probes VMs until `until` (epoch milliseconds). */
   async run(until: number): Promise<void> {
-    await Promise.all([this.#change(until), this.#probe(until)]);
+    await Promise.all([this.#changeConfig(until), this.#probeVms(until)]);
   }
 
-  async #change(until: number): Promise<void> {
+  async #changeConfig(until: number): Promise<void> {
     const { random } = this.#context;
     while (Date.now() < until) {
-      await pause(CHANGE_MS * (0.5 + random()));
-      const [taken, ...rest] = random() < 0.5 ? this.#keys : [undefined, ...this.#keys];
-      if (taken) {
-        this.#keys = [...rest, { customer: taken.customer, key: randomUUID() }] as Key[];
-        this.#revoked.set(taken.key, Date.now());
-        this.#old = [taken, ...this.#old].slice(0, OLD_KEYS);
+      await pause(CHANGE_INTERVAL_MS * (0.5 + random()));
+      const [revoked, ...rest] = random() < 0.5 ? this.#keys : [undefined, ...this.#keys];
+      if (revoked) {
+        this.#keys = [...rest, { customer: revoked.customer, key: randomUUID() }] as ApiKey[];
+        this.#revokedAt.set(revoked.key, Date.now());
+        this.#recentlyRevoked = [revoked, ...this.#recentlyRevoked].slice(0, REVOKED_KEYS_IN_USE);
       }
       this.write();
     }
   }
 
-  async #probe(until: number): Promise<void> {
+  async #probeVms(until: number): Promise<void> {
     while (Date.now() < until) {
-      await pause(PROBE_MS);
+      await pause(PROBE_INTERVAL_MS);
       await Promise.all(
-        this.#context.vms.filter(({ up, frozen }) => up && !frozen).map((vm) => this.#ask(vm)),
+        this.#context.vms
+          .filter(({ up, frozen }) => up && !frozen)
+          .map((vm) => this.#checkVersion(vm)),
       );
     }
   }
 
-  /** Asks a VM for the route that only the newest configuration has. */
-  async #ask(vm: Vm): Promise<void> {
+  /** Requests the route that only the newest configuration has from a VM. */
+  async #checkVersion(vm: Vm): Promise<void> {
     const version = this.#version;
     const writtenAt = this.#writtenAt;
     const askedAt = Date.now();
-    const life = `${vm.place.name}/${vm.lives}`;
-    const status = await this.#statusOf(vm, version);
-    if (life !== `${vm.place.name}/${vm.lives}`) return;
-    const isLate = askedAt - writtenAt > APPLY_MS && this.#context.calmMs() > APPLY_MS;
-    // A newer version that came meanwhile has dropped the route.
-    if (status === 404 && isLate && version === this.#version) {
-      this.#breach('config', `${life} does not know version ${version}`);
+    const instance = `${vm.options.name}/${vm.lives}`;
+    const status = await this.#probeRoute(vm, version);
+    if (instance !== `${vm.options.name}/${vm.lives}`) return;
+    const isOverdue = askedAt - writtenAt > APPLY_MS && this.#context.calmMs() > APPLY_MS;
+    // Only if the version is still current: a newer one removes the route.
+    if (status === 404 && isOverdue && version === this.#version) {
+      this.#reportBreach('config', `${instance} has not applied version ${version}`);
     }
-    const served = this.#served.get(life);
-    const isBehind = served?.version === version && status === 404 && version === this.#version;
-    const servedMs = askedAt - (served?.at ?? Infinity);
-    if (isBehind && servedMs > ROLLBACK_MS) {
-      this.#breach('config back', `${life} served by version ${version} and then knew it no more`);
+    const served = this.#lastServed.get(instance);
+    const isRolledBack = served?.version === version && status === 404 && version === this.#version;
+    const sinceServedMs = askedAt - (served?.at ?? Infinity);
+    if (isRolledBack && sinceServedMs > ROLLBACK_MS) {
+      this.#reportBreach(
+        'config back',
+        `${instance} served with version ${version} and later did not know its route`,
+      );
     }
-    if (status === 200) this.#served.set(life, { version, at: Date.now() });
+    if (status === 200) this.#lastServed.set(instance, { version, at: Date.now() });
   }
 
-  async #statusOf(vm: Vm, version: number): Promise<number> {
-    const [held] = this.#keys;
+  async #probeRoute(vm: Vm, version: number): Promise<number> {
+    const [valid] = this.#keys;
     const sent: SentRequest = {
       id: randomUUID(),
       kind: 'repeatable',
       path: `/version/${version}/`,
       body: 'probe',
       events: 0,
-      customer: held?.customer,
-      key: held?.key,
+      customer: valid?.customer,
+      key: valid?.key,
     };
     this.#context.onSent(sent, vm.front);
     const headers = {
       host: HOST,
       'request-id': sent.id,
       'request-deadline-ms': '1000',
-      authorization: `Bearer ${held?.key}`,
+      authorization: `Bearer ${valid?.key}`,
       connection: 'close',
     };
     const answer = call('POST', `http://${vm.front}${sent.path}`, sent.body, headers);
@@ -177,18 +188,18 @@
     return (await Promise.race([answer.catch(() => undefined), limit]))?.status ?? 0;
   }
 
-  #breach(promise: string, detail: string): void {
+  #reportBreach(promise: string, detail: string): void {
     this.#context.onBreach({ promise, detail });
   }
 
-  #config(): unknown {
-    const route = (name: string, prefix: string, kind: string, more: object): unknown => ({
+  #buildConfig(): unknown {
+    const route = (name: string, prefix: string, kind: string, extra: object): unknown => ({
       name,
       host: HOST,
       'path-prefix': prefix,
       kind,
       'max-attempts': 2,
-      ...more,
+      ...extra,
     });
     const model = { service: services.model, 'timeout-ms': 6000, 'target-latency-ms': 900 };
     const plain = { service: services.plain, 'timeout-ms': 1500, 'target-latency-ms': 200 };
--- a/scripts/soak/plan.ts
+++ b/scripts/soak/plan.ts
@@ -1,71 +1,73 @@
-/** Planned work on runners, in storms and in calm: they leave and come back, and name rate limits for a while. */
+/** Planned changes of runners, independent of faults: runners drain and restart, or announce a rate limit for a limited time. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
 import type { Place, RunnerPool } from './pool';
 
-/** What planned work is done with. */
+/** Dependencies of planned changes. */
 export interface PlanContext {
   readonly random: () => number;
   readonly pool: RunnerPool;
-  /** A runner says that it leaves, or is back. */
-  readonly onLeaving: (listing: string, leaves: boolean) => void;
-  /** A start of a runner names a limit, or none any more. */
+  /** Called when a runner begins to drain, and when it is back. */
+  readonly onLeaving: (listing: string, isDraining: boolean) => void;
+  /** Called when a runner instance announces a rate limit; with undefined when it stops doing so. */
   readonly onLimit: (runner: string, ratePerS: number | undefined) => void;
 }
 
-const PACE_MS = 5000;
-/** Time from its word that it leaves to the end of a runner, in milliseconds. */
-const LEAVE_MS = 5000;
+/** Mean time between planned changes. */
+const INTERVAL_MS = 5000;
+/** Time for which a runner drains before it restarts. */
+const DRAIN_MS = 5000;
 const DOWN_MS = 500;
-/** Time for which a runner names a limit, in milliseconds. */
-const LIMIT_MS = 14_000;
-const LIMIT_MOST_PER_S = 1.5;
+/** Time for which a runner announces a rate limit. */
+const RATE_LIMIT_MS = 14_000;
+const MAX_RATE_LIMIT_PER_S = 1.5;
 
-/** Does planned work until the end. */
+/** Applies planned changes to random runners. */
 export class Plan {
   readonly #context: PlanContext;
 
-  readonly #busy = new Set<Place>();
+  readonly #busyRunners = new Set<Place>();
 
   constructor(context: PlanContext) {
     this.#context = context;
   }
 
+  /** Applies changes until `until` (epoch milliseconds), and waits for those in progress. */
   async run(until: number): Promise<void> {
     const { random, pool } = this.#context;
-    const open: Promise<void>[] = [];
+    const jobs: Promise<void>[] = [];
     while (Date.now() < until) {
-      await pause(PACE_MS * (0.5 + random()));
-      const free = pool.places.filter((place) => place.runner.up && !this.#busy.has(place));
+      await pause(INTERVAL_MS * (0.5 + random()));
+      const free = pool.places.filter((place) => place.runner.up && !this.#busyRunners.has(place));
       const place = free[Math.floor(random() * free.length)];
-      if (place) open.push(random() < 0.5 ? this.#leave(place) : this.#limit(place, until));
+      if (place) jobs.push(random() < 0.5 ? this.#restart(place) : this.#limitRate(place, until));
     }
-    await Promise.all(open);
+    await Promise.all(jobs);
   }
 
-  async #leave(place: Place): Promise<void> {
+  async #restart(place: Place): Promise<void> {
     const { pool, onLeaving } = this.#context;
     const { listing } = place.runner;
-    this.#busy.add(place);
+    this.#busyRunners.add(place);
     pool.leave(place);
     onLeaving(listing, true);
-    await pause(LEAVE_MS);
+    await pause(DRAIN_MS);
     if (place.runner.up) await pool.restart(place, DOWN_MS);
     onLeaving(listing, false);
-    this.#busy.delete(place);
+    this.#busyRunners.delete(place);
   }
 
-  async #limit(place: Place, until: number): Promise<void> {
+  async #limitRate(place: Place, until: number): Promise<void> {
     const { random, onLimit } = this.#context;
     const { runner } = place;
-    const { id } = runner;
-    this.#busy.add(place);
-    runner.ratePerS = Math.round(random() * LIMIT_MOST_PER_S * 10) / 10;
-    onLimit(id, runner.ratePerS);
-    await pause(Math.max(0, Math.min(LIMIT_MS, until - Date.now())));
-    onLimit(id, undefined);
-    if (runner.id === id) runner.ratePerS = undefined;
-    this.#busy.delete(place);
+    const { instanceId } = runner;
+    this.#busyRunners.add(place);
+    runner.ratePerS = Math.round(random() * MAX_RATE_LIMIT_PER_S * 10) / 10;
+    onLimit(instanceId, runner.ratePerS);
+    await pause(Math.max(0, Math.min(RATE_LIMIT_MS, until - Date.now())));
+    onLimit(instanceId, undefined);
+    if (runner.instanceId === instanceId) runner.ratePerS = undefined;
+    this.#busyRunners.delete(place);
   }
 }
--- a/scripts/soak/promises.ts
+++ b/scripts/soak/promises.ts
@@ -1,7 +1,7 @@
 /**
- * The promises that are checked while the soak runs, from what callers and runners see.
- * Those about single requests hold whatever happens; those with a time in them are
- * checked where no fault was for a while.
+ * Checks the router's guarantees while the soak runs, from what callers and runners observe.
+ * Guarantees about single requests are checked at all times; most of those with a time limit only
+ * after a fault-free period.
  */
 
 import { bounds } from './vm';
@@ -11,75 +11,83 @@
 import { digestOf } from './requests';
 import type { Arrival, Order, RunnerWitness } from './runner';
 
-/** A promise that did not hold. */
+/** A violated guarantee. */
 export interface Breach {
+  /** Name of the guarantee. */
   readonly promise: string;
   readonly detail: string;
 }
 
-/** What promises are checked against. */
+/** What guarantees are checked against. */
 export interface PromiseContext {
   readonly onBreach: (breach: Breach) => void;
-  /** Time since the last fault of some families ended, in milliseconds; 0 while one lasts. */
+  /** Time since the last fault of the given families ended, in milliseconds; 0 while one is in progress. */
   readonly calmMs: (...families: readonly FaultFamily[]) => number;
-  /** When the configuration that took a key away was acknowledged. Default: it is held. */
+  /** When the configuration that revoked a key was acknowledged; undefined while the key is valid. */
   readonly revokedAt: (key: string) => number | undefined;
-  /** Customers' requests a second and at once. */
+  /** Request rate and burst allowed to a customer; undefined if it has no quota. */
   readonly quotaOf: (
     customer: string,
   ) => { readonly ratePerS: number; readonly burst: number } | undefined;
 }
 
-interface Entry {
+/** What was observed of a request. */
+interface RequestRecord {
   readonly request: SentRequest;
   readonly digest: string;
   readonly sentAt: number;
-  /** Runs so far, prefills apart. */
+  /** Number of runs so far, without prefills. */
   runs: number;
-  /** Runs that have not ended. */
-  readonly open: Set<Arrival>;
-  arrivals: number;
-  refused: boolean;
-  leftAt: number | undefined;
+  /** Runs in progress, including prefills. */
+  readonly activeRuns: Set<Arrival>;
+  /** Number of attempts that reached a runner; prefills before the first decode do not count. */
+  arrivalCount: number;
+  isRefused: boolean;
+  disconnectedAt: number | undefined;
 }
 
-/** Time for which a request is kept in mind after it was sent, in milliseconds. */
-const KEPT_MS = 90_000;
-/** Time after which a runner must have been told that a caller is gone, in milliseconds. */
-const GONE_MS = 700;
-/** Calm before a check with a time in it, in milliseconds. */
-const CALM_MS = 4000;
+/** Time for which the record of a request is retained after it was sent. */
+const RECORD_RETENTION_MS = 90_000;
+/** Time within which a request must be cancelled at its runners after its caller disconnected. */
+const CANCELLATION_MS = 700;
+/** Fault-free time required before a guarantee with a time limit is checked. */
+const MIN_FAULT_FREE_MS = 4000;
+/** Sliding window over which requests to a rate-limited runner are counted. */
 const LIMIT_WINDOW_MS = 4000;
-/** Time after a limit was named from which windows that begin after it count, in milliseconds. */
-const LIMIT_SETTLED_MS = 4500;
-const LIMIT_OVERAGE = 1.5;
-const LIMIT_SLACK = 5;
-/** Time after which a runner that said it leaves gets nothing, in milliseconds, and what a request on its way may add. */
-const DRAIN_MS = 2500;
-
-/** All promises of one run. */
+/** Time after a runner announced a limit before the check applies; longer than a window, so that windows begin after the announcement. */
+const LIMIT_SETTLE_MS = 4500;
+/** Factor by which the requests of a window may exceed the announced rate. */
+const LIMIT_OVERAGE_FACTOR = 1.5;
+/** Additional requests allowed in a window. */
+const LIMIT_SLACK_REQUESTS = 5;
+/** Time after which a draining runner must receive no more requests; includes the delay of requests on their way. */
+const DRAIN_GRACE_MS = 2500;
+
+/** Checks all guarantees of one run. */
 export class Promises implements CallerWitness, RunnerWitness {
   readonly #context: PromiseContext;
 
-  readonly #entries = new Map<string, Entry>();
+  readonly #records = new Map<string, RequestRecord>();
 
-  /** Times of arrivals beyond the first of each request, and of requests, by service. */
-  readonly #repeats: number[] = [];
+  /** Times of arrivals beyond the first of each request. */
+  readonly #retryTimes: number[] = [];
 
-  readonly #requests: number[] = [];
+  /** Times at which callers sent requests. */
+  readonly #requestTimes: number[] = [];
 
-  /** Times of runs by customer. */
-  readonly #customers = new Map<string, number[]>();
+  /** Start times of runs by customer. */
+  readonly #runTimesByCustomer = new Map<string, number[]>();
 
-  readonly #holders = new Map<string, { holder: string; fence: number; at: number }>();
+  /** Last order that each runner instance received. */
+  readonly #lastOrders = new Map<string, { holder: string; fence: number; at: number }>();
 
-  /** Runners that leave, and since when the store knows. */
-  readonly #leaving = new Map<string, number>();
+  /** Draining runners, and when the store recorded that they drain. */
+  readonly #drainingSince = new Map<string, number>();
 
-  /** Limits that runners name, since when, and what came since. */
+  /** Rate limits announced by runner instances: since when, and times of recent arrivals. */
   readonly #limits = new Map<string, { ratePerS: number; since: number; readonly at: number[] }>();
 
-  /** The most that was seen of each bounded amount, as a part of what is allowed. */
+  /** Highest observed value of each bounded amount, as a fraction of its bound. */
   readonly used: Record<string, number> = {};
 
   constructor(context: PromiseContext) {
@@ -88,141 +96,147 @@
 
   sent(request: SentRequest): void {
     const now = Date.now();
-    this.#requests.push(now);
-    this.#entries.set(request.id, {
+    this.#requestTimes.push(now);
+    this.#records.set(request.id, {
       request,
       digest: digestOf(request.path, request.body),
       sentAt: now,
       runs: 0,
-      open: new Set(),
-      arrivals: 0,
-      refused: false,
-      leftAt: undefined,
+      activeRuns: new Set(),
+      arrivalCount: 0,
+      isRefused: false,
+      disconnectedAt: undefined,
     });
   }
 
   answered(request: SentRequest, vm: string, { outcome, fault, status }: CallerAnswer): void {
-    const entry = this.#entries.get(request.id);
-    if (fault !== undefined) this.#breach('whole', `${request.id} at ${vm}: ${fault}`);
-    if (outcome === 'served' && entry && entry.runs === 0) {
-      this.#breach('whole', `${request.id} at ${vm}: a success of a request that never ran`);
+    const record = this.#records.get(request.id);
+    if (fault !== undefined) this.#report('whole', `${request.id} at ${vm}: ${fault}`);
+    if (outcome === 'served' && record && record.runs === 0) {
+      this.#report('whole', `${request.id} at ${vm}: success for a request that never ran`);
     }
-    if (outcome !== 'refused' || !entry) return;
-    entry.refused = true;
-    if (entry.runs > 0) this.#breach('not run', `${request.id} at ${vm}: ${status} after a run`);
+    if (outcome !== 'refused' || !record) return;
+    record.isRefused = true;
+    if (record.runs > 0) this.#report('not run', `${request.id} at ${vm}: ${status} after a run`);
   }
 
   left({ id }: SentRequest): void {
-    const entry = this.#entries.get(id);
-    if (!entry) return;
-    entry.leftAt = Date.now();
-    setTimeout(() => this.#checkGone(entry), GONE_MS).unref();
+    const record = this.#records.get(id);
+    if (!record) return;
+    record.disconnectedAt = Date.now();
+    setTimeout(() => this.#checkCancellation(record), CANCELLATION_MS).unref();
   }
 
   arrived(arrival: Arrival): void {
     const now = Date.now();
-    const entry = this.#entries.get(arrival.request);
+    const record = this.#records.get(arrival.request);
     this.#checkLimit(now, arrival.runner);
-    this.#checkLeaving(now, arrival);
-    if (!entry) return;
-    // The first prefill of a request is no repeat.
-    if (arrival.role === 'prefill' && entry.arrivals === 0) return;
-    entry.arrivals += 1;
-    if (entry.arrivals > 1) {
-      this.#repeats.push(now);
+    this.#checkDraining(now, arrival);
+    if (!record) return;
+    // A prefill that precedes the first decode is not a retry.
+    if (arrival.role === 'prefill' && record.arrivalCount === 0) return;
+    record.arrivalCount += 1;
+    if (record.arrivalCount > 1) {
+      this.#retryTimes.push(now);
       this.#checkBudget(now);
     }
   }
 
   began(arrival: Arrival): void {
     const { request: id, digest, customer, hasKey, runner } = arrival;
-    const entry = this.#entries.get(id);
-    if (!entry) {
-      this.#breach('asked', `${runner} ran ${id}, which nobody sent`);
+    const record = this.#records.get(id);
+    if (!record) {
+      this.#report('asked', `${runner} ran ${id}, which no caller sent`);
       return;
     }
-    const { request } = entry;
-    entry.open.add(arrival);
-    if (digest !== entry.digest) this.#breach('bytes', `${id} reached ${runner} changed`);
+    const { request } = record;
+    record.activeRuns.add(arrival);
+    if (digest !== record.digest) this.#report('bytes', `${id} reached ${runner} altered`);
     if (customer !== request.customer || hasKey) {
-      this.#breach('customer', `${id} of ${request.customer} reached ${runner} as ${customer}`);
+      this.#report(
+        'customer',
+        `${id} of ${request.customer} reached ${runner} as ${customer}, or with its key`,
+      );
     }
-    this.#checkKey(entry, runner);
+    this.#checkKey(record, runner);
     if (arrival.role === 'prefill') return;
-    entry.runs += 1;
+    record.runs += 1;
     const isOnce = request.kind === 'once' || request.kind === 'stream';
-    if (isOnce && entry.runs > 1) this.#breach('once', `${id} ran ${entry.runs} times`);
-    if (entry.refused) this.#breach('not run', `${id} ran at ${runner} after it was refused`);
+    if (isOnce && record.runs > 1) this.#report('once', `${id} ran ${record.runs} times`);
+    if (record.isRefused) this.#report('not run', `${id} ran at ${runner} after it was refused`);
     this.#checkQuota(request.customer);
   }
 
   ended(arrival: Arrival): void {
-    this.#entries.get(arrival.request)?.open.delete(arrival);
+    this.#records.get(arrival.request)?.activeRuns.delete(arrival);
   }
 
   ordered({ runner, holder, fence }: Order): void {
     const now = Date.now();
-    const before = this.#holders.get(runner);
-    this.#holders.set(runner, { holder, fence, at: now });
+    const before = this.#lastOrders.get(runner);
+    this.#lastOrders.set(runner, { holder, fence, at: now });
     if (!before) return;
     if (fence < before.fence) {
-      this.#breach(
+      this.#report(
         'one holder',
-        `${runner}: ${holder} ordered with ${fence} after ${before.fence}`,
+        `${runner}: ${holder} sent an order with fence ${fence} after ${before.fence}`,
       );
     }
     if (before.holder !== holder && fence === before.fence) {
-      this.#breach('one holder', `${runner}: ${holder} and ${before.holder} both have ${fence}`);
+      this.#report(
+        'one holder',
+        `${runner}: ${holder} and ${before.holder} both use fence ${fence}`,
+      );
     }
   }
 
-  /** The store knows that a runner leaves, or stays after all. */
-  leaving(listing: string, leaves: boolean): void {
-    if (leaves) this.#leaving.set(listing, Date.now());
-    else this.#leaving.delete(listing);
+  /** Records that a runner's record in the store is draining, or no longer is. */
+  leaving(listing: string, isDraining: boolean): void {
+    if (isDraining) this.#drainingSince.set(listing, Date.now());
+    else this.#drainingSince.delete(listing);
   }
 
-  /** A runner names a limit, or none any more. */
+  /** Records the rate limit that a runner instance announces; undefined if it announces none. */
   limited(runner: string, ratePerS: number | undefined): void {
     if (ratePerS === undefined) this.#limits.delete(runner);
     else this.#limits.set(runner, { ratePerS, since: Date.now(), at: [] });
   }
 
-  /** Forgets what is long over. */
+  /** Removes records and times that no check needs any more. */
   prune(): void {
     const now = Date.now();
-    for (const [id, { sentAt }] of this.#entries) {
-      if (now - sentAt > KEPT_MS) this.#entries.delete(id);
+    for (const [id, { sentAt }] of this.#records) {
+      if (now - sentAt > RECORD_RETENTION_MS) this.#records.delete(id);
     }
     const windowMs = bounds['budget-window-s'] * 1000;
-    for (const times of [this.#repeats, this.#requests]) {
+    for (const times of [this.#retryTimes, this.#requestTimes]) {
       while ((times[0] ?? now) < now - windowMs * 2) times.shift();
     }
   }
 
-  #breach(promise: string, detail: string): void {
+  #report(promise: string, detail: string): void {
     this.#context.onBreach({ promise, detail });
   }
 
-  #bound(promise: string, amount: number, most: number, what: string): void {
-    this.used[promise] = Math.max(this.used[promise] ?? 0, Math.round((amount / most) * 100) / 100);
-    if (amount > most) this.#breach(promise, `${what}: ${amount}, ${most} allowed`);
+  #checkBound(promise: string, amount: number, max: number, subject: string): void {
+    this.used[promise] = Math.max(this.used[promise] ?? 0, Math.round((amount / max) * 100) / 100);
+    if (amount > max) this.#report(promise, `${subject}: ${amount}, at most ${max} allowed`);
   }
 
-  #checkGone({ request, open, leftAt = 0 }: Entry): void {
+  #checkCancellation({ request, activeRuns, disconnectedAt = 0 }: RequestRecord): void {
     const calmMs = this.#context.calmMs('vm', 'runner');
-    if (open.size === 0 || calmMs < CALM_MS + GONE_MS) return;
-    const runners = [...open].map(({ runner }) => runner).join(' ');
-    this.#breach(
+    if (activeRuns.size === 0 || calmMs < MIN_FAULT_FREE_MS + CANCELLATION_MS) return;
+    const runners = [...activeRuns].map(({ runner }) => runner).join(' ');
+    this.#report(
       'gone',
-      `${request.id}: ${runners} at work ${Date.now() - leftAt} ms after its caller left`,
+      `${request.id}: still running at ${runners} ${Date.now() - disconnectedAt} ms after its caller disconnected`,
     );
   }
 
-  #checkKey({ request }: Entry, runner: string): void {
+  #checkKey({ request }: RequestRecord, runner: string): void {
     const revokedAt = request.key === undefined ? undefined : this.#context.revokedAt(request.key);
     const lateMs = Date.now() - (revokedAt ?? Infinity) - bounds['revoke-ms'];
-    if (lateMs > 0) this.#breach('keys', `${request.id} ran at ${runner} ${lateMs} ms too late`);
+    if (lateMs > 0) this.#report('keys', `${request.id} ran at ${runner} ${lateMs} ms too late`);
   }
 
   #checkQuota(customer: string | undefined): void {
@@ -230,35 +244,32 @@
     if (customer === undefined || !quota) return;
     const now = Date.now();
     const windowMs = bounds['quota-window-s'] * 1000;
-    const times = this.#customers.get(customer) ?? [];
-    this.#customers.set(customer, times);
+    const times = this.#runTimesByCustomer.get(customer) ?? [];
+    this.#runTimesByCustomer.set(customer, times);
     times.push(now);
     while ((times[0] ?? now) < now - windowMs) times.shift();
     const allowed = quota.ratePerS * bounds['quota-window-s'] + quota.burst;
-    const most = allowed * (1 + bounds['quota-overage']) + bounds['quota-slack'];
-    this.#bound('quota', times.length, most, customer);
+    const max = allowed * (1 + bounds['quota-overage']) + bounds['quota-slack'];
+    this.#checkBound('quota', times.length, max, customer);
   }
 
   #checkBudget(now: number): void {
     const windowMs = bounds['budget-window-s'] * 1000;
     const since = now - windowMs;
-    const repeats = this.#repeats.filter((at) => at > since).length;
+    const retries = this.#retryTimes.filter((at) => at > since).length;
     const counts = [0, windowMs / 2, windowMs].map(
-      (back) => this.#requests.filter((at) => at > since - back && at <= now - back).length,
+      (back) => this.#requestTimes.filter((at) => at > since - back && at <= now - back).length,
     );
-    const most =
+    const max =
       bounds['retry-budget-ratio'] * Math.max(...counts) + bounds['retry-budget-extra'] * 2;
-    this.#bound('budget', repeats, most, 'repeats in 10 s');
+    this.#checkBound('budget', retries, max, 'retries in 10 s');
   }
 
-  #checkLeaving(now: number, { request, runner }: Arrival): void {
+  #checkDraining(now: number, { request, runner }: Arrival): void {
     const listing = runner.split('@')[0] ?? '';
-    const forMs = now - (this.#leaving.get(listing) ?? Infinity);
-    if (forMs > DRAIN_MS && this.#context.calmMs('vm', 'store') >= forMs) {
-      this.#breach(
-        'drain',
-        `${request} reached ${runner} ${forMs} ms after it said that it leaves`,
-      );
+    const forMs = now - (this.#drainingSince.get(listing) ?? Infinity);
+    if (forMs > DRAIN_GRACE_MS && this.#context.calmMs('vm', 'store') >= forMs) {
+      this.#report('drain', `${request} reached ${runner} ${forMs} ms after it began to drain`);
     }
   }
 
@@ -267,9 +278,10 @@
     if (!limit) return;
     limit.at.push(now);
     while ((limit.at[0] ?? now) < now - LIMIT_WINDOW_MS) limit.at.shift();
-    const most = (limit.ratePerS * LIMIT_WINDOW_MS * LIMIT_OVERAGE) / 1000 + LIMIT_SLACK;
-    const isSettled = now - limit.since > LIMIT_SETTLED_MS;
-    const isCalm = this.#context.calmMs('vm') >= CALM_MS;
-    if (isSettled && isCalm) this.#bound('limit', limit.at.length, most, `${runner} in 4 s`);
+    const max =
+      (limit.ratePerS * LIMIT_WINDOW_MS * LIMIT_OVERAGE_FACTOR) / 1000 + LIMIT_SLACK_REQUESTS;
+    const isSettled = now - limit.since > LIMIT_SETTLE_MS;
+    const isCalm = this.#context.calmMs('vm') >= MIN_FAULT_FREE_MS;
+    if (isSettled && isCalm) this.#checkBound('limit', limit.at.length, max, `${runner} in 4 s`);
   }
 }
--- a/scripts/soak/proxy.ts
+++ b/scripts/soak/proxy.ts
@@ -1,88 +1,94 @@
-/** A loopback proxy whose links misbehave: they delay, fall silent, pass one way only, refuse and reset. */
+/** A loopback TCP proxy that injects link faults: delay, silence, one-way traffic, refused and reset connections. */
 
 import type { Server, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
 
-/** What becomes of bytes: `forward` and `back` are the only way that passes; `silent` passes none; `refuse` takes no connection. */
+/**
+ * What a link does with bytes: `well` forwards both directions, `forward` and `back` only the named one
+ * (`forward` is from client to server), and `silent` none; `refuse` resets new connections.
+ */
 export type LinkMood = 'well' | 'silent' | 'forward' | 'back' | 'refuse';
 
-interface Pair {
+/** The two sockets of a proxied connection. */
+interface Connection {
   readonly client: Socket;
   readonly server: Socket;
 }
 
-/** One address behind which another one lies. */
+/** Proxy in front of one address. */
 export class LinkProxy {
-  /** Added to each piece of bytes, in milliseconds. */
+  /** Delay added to each chunk of bytes, in milliseconds. */
   delayMs = 0;
 
   readonly #target: string;
 
   readonly #server: Server;
 
-  readonly #pairs = new Set<Pair>();
+  readonly #connections = new Set<Connection>();
 
   #mood: LinkMood = 'well';
 
   constructor(target: string) {
     this.#target = target;
-    this.#server = createServer({ allowHalfOpen: true }, (client) => this.#join(client));
+    this.#server = createServer({ allowHalfOpen: true }, (client) => this.#accept(client));
   }
 
   get mood(): LinkMood {
     return this.#mood;
   }
 
-  /** Connections that were silenced stay so for good; new ones go by the new mood. */
+  /** Sets what the link does. Connections already silenced stay silent; only new ones recover. */
   set mood(mood: LinkMood) {
     this.#mood = mood;
-    for (const pair of this.#pairs) this.#apply(pair);
+    for (const connection of this.#connections) this.#pauseBlocked(connection);
   }
 
+  /** Listens at the given address. */
   async start(host: string, port: number): Promise<void> {
     await new Promise<void>((resolve) => {
       this.#server.listen(port, host, resolve);
     });
   }
 
-  /** Resets a part of the open connections. */
-  reset(random: () => number, part: number): void {
-    for (const { client, server } of this.#pairs) {
-      if (random() < part) {
+  /** Resets open connections, each with the given probability. */
+  reset(random: () => number, probability: number): void {
+    for (const { client, server } of this.#connections) {
+      if (random() < probability) {
         client.resetAndDestroy();
         server.resetAndDestroy();
       }
     }
   }
 
+  /** Stops listening and closes all connections. */
   stop(): void {
     this.#server.close();
-    for (const { client, server } of this.#pairs) {
+    for (const { client, server } of this.#connections) {
       client.destroy();
       server.destroy();
     }
   }
 
-  #join(client: Socket): void {
+  #accept(client: Socket): void {
     if (this.#mood === 'refuse') {
       client.resetAndDestroy();
       return;
     }
     const [host = '', port = ''] = this.#target.split(':');
     const server = connect({ host, port: Number(port), allowHalfOpen: true });
-    const pair = { client, server };
-    this.#pairs.add(pair);
-    this.#pass(client, server);
-    this.#pass(server, client);
+    const connection = { client, server };
+    this.#connections.add(connection);
+    this.#forward(client, server);
+    this.#forward(server, client);
     const close = (): void => {
-      this.#pairs.delete(pair);
+      this.#connections.delete(connection);
     };
     client.once('close', close);
-    this.#apply(pair);
+    this.#pauseBlocked(connection);
   }
 
-  /** Passes bytes on, an end in order as an end, and a reset as a reset. */
-  #pass(from: Socket, to: Socket): void {
+  /** Forwards bytes, an orderly end as an end, and a reset as a reset. */
+  #forward(from: Socket, to: Socket): void {
     from.setNoDelay(true);
     from.on('data', (chunk) => {
       const write = (): void => {
@@ -101,8 +107,8 @@
     });
   }
 
-  /** Bytes wait at the side that does not pass; the other end sees a peer that says nothing. */
-  #apply({ client, server }: Pair): void {
+  /** Stops reading from each side whose bytes must not pass; the other side sees a silent peer. */
+  #pauseBlocked({ client, server }: Connection): void {
     if (this.#mood === 'silent' || this.#mood === 'back') client.pause();
     if (this.#mood === 'silent' || this.#mood === 'forward') server.pause();
   }
--- a/scripts/soak/report.ts
+++ b/scripts/soak/report.ts
@@ -1,4 +1,4 @@
-/** The report of a run: plots over time with faults as bands, as one HTML page. */
+/** Renders the report of a run: one HTML page with plots over time, on which faults are bands. */
 
 import * as echarts from 'echarts';
 
@@ -8,14 +8,15 @@
 const WIDTH = 1100;
 const HEIGHT = 240;
 
-interface Line {
+/** One curve of a plot. */
+interface Series {
   readonly name: string;
   readonly values: readonly (number | null)[];
-  /** Lines of one name are stacked on each other. */
+  /** Curves with the same stack name are stacked. */
   readonly stack?: string;
 }
 
-const colours: Readonly<Record<string, string>> = {
+const outcomeColours: Readonly<Record<string, string>> = {
   served: '#2f7d4f',
   refused: '#e0a526',
   failed: '#b3392f',
@@ -23,8 +24,8 @@
   left: '#8a8a8a',
 };
 
-/** Families of faults, each of one colour. */
-const families: Readonly<Record<string, string>> = {
+/** Band colours of the families of faults. */
+const familyColours: Readonly<Record<string, string>> = {
   vm: 'rgba(179,57,47,0.12)',
   store: 'rgba(47,93,179,0.12)',
   runner: 'rgba(224,165,38,0.14)',
@@ -34,18 +35,18 @@
   return faults.map(({ name, from, to }) => [
     {
       xAxis: from,
-      itemStyle: { color: families[name.split('-')[0] ?? ''] ?? 'rgba(0,0,0,0.08)' },
+      itemStyle: { color: familyColours[name.split('-')[0] ?? ''] ?? 'rgba(0,0,0,0.08)' },
     },
     { xAxis: Math.min(to, end) },
   ]);
 }
 
-/** One plot as SVG. */
+/** Renders one plot as SVG. */
 export function plot(
   title: string,
   seconds: readonly Second[],
   faults: readonly FaultSpan[],
-  lines: readonly Line[],
+  curves: readonly Series[],
 ): string {
   const end = seconds.at(-1)?.second ?? 0;
   const chart = echarts.init(null, null, {
@@ -61,14 +62,14 @@
     grid: { left: 60, right: 30, top: 45, bottom: 30 },
     xAxis: { type: 'value', min: 0, max: end, name: 's' },
     yAxis: { type: 'value' },
-    series: lines.map(({ name, values, stack }, index) => ({
+    series: curves.map(({ name, values, stack }, index) => ({
       name,
       type: 'line',
       symbol: 'none',
       step: 'end',
       lineStyle: { width: stack === undefined ? 1.5 : 0 },
       ...(stack === undefined ? {} : { stack, areaStyle: { opacity: 0.85 } }),
-      ...(colours[name] === undefined ? {} : { color: colours[name] }),
+      ...(outcomeColours[name] === undefined ? {} : { color: outcomeColours[name] }),
       data: seconds.map(({ second }, i) => [second, values[i] ?? null]),
       ...(index === 0 ? { markArea: { silent: true, data: bandsOf(faults, end) } } : {}),
     })),
@@ -78,54 +79,59 @@
   return svg;
 }
 
-/** All plots of a run. */
+/** Renders all plots of a run as SVG. */
 export function plots({ seconds, faults }: Timeline): readonly string[] {
-  const of = (value: (second: Second) => number): readonly number[] => seconds.map(value);
-  const outcomes = Object.keys(colours) as readonly Outcome[];
+  const valuesOf = (value: (second: Second) => number): readonly number[] => seconds.map(value);
+  const outcomes = Object.keys(outcomeColours) as readonly Outcome[];
   const finite = (value: number): number | null => (Number.isFinite(value) ? value : null);
   return [
     plot(
-      'Requests a second by outcome',
+      'Requests per second by outcome',
       seconds,
       faults,
-      outcomes.map((name) => ({ name, stack: 'all', values: of((one) => one.outcomes[name]) })),
+      outcomes.map((name) => ({
+        name,
+        stack: 'all',
+        values: valuesOf((second) => second.outcomes[name]),
+      })),
     ),
-    plot('Time of answers that were served, ms', seconds, faults, [
-      { name: 'median', values: of(({ medianMs }) => medianMs) },
-      { name: '95th percentile', values: of(({ p95Ms }) => p95Ms) },
+    plot('Duration of served requests, ms', seconds, faults, [
+      { name: 'median', values: valuesOf(({ medianMs }) => medianMs) },
+      { name: '95th percentile', values: valuesOf(({ p95Ms }) => p95Ms) },
     ]),
-    plot('VMs up', seconds, faults, [{ name: 'up', values: of(({ vmsUp }) => vmsUp) }]),
-    plot('Configuration by which VMs say that they go', seconds, faults, [
+    plot('VMs up', seconds, faults, [{ name: 'up', values: valuesOf(({ vmsUp }) => vmsUp) }]),
+    plot('Configuration version applied by VMs', seconds, faults, [
       { name: 'lowest', values: seconds.map(({ configLow }) => finite(configLow)) },
       { name: 'highest', values: seconds.map(({ configHigh }) => finite(configHigh)) },
     ]),
   ];
 }
 
-function escape(text: string): string {
+function escapeHtml(text: string): string {
   return text.replace(/&/g, '&amp;').replace(/</g, '&lt;');
 }
 
-/** The whole page. */
+/** Renders the report as an HTML page. */
 export function renderReport(title: string, timeline: Timeline): string {
   const rows = timeline.breaches.map(
-    ({ promise, detail }) => `<tr><td>${escape(promise)}</td><td>${escape(detail)}</td></tr>`,
+    ({ promise, detail }) =>
+      `<tr><td>${escapeHtml(promise)}</td><td>${escapeHtml(detail)}</td></tr>`,
   );
-  const broken =
-    rows.length === 0 ? '<p>No promise was broken.</p>' : `<table>${rows.join('')}</table>`;
+  const violations =
+    rows.length === 0 ? '<p>All guarantees held.</p>' : `<table>${rows.join('')}</table>`;
   const faults = timeline.faults.map(
     ({ name, target, from, to }) =>
-      `<tr><td>${from.toFixed(1)}</td><td>${to.toFixed(1)}</td><td>${name}</td><td>${escape(target)}</td></tr>`,
+      `<tr><td>${from.toFixed(1)}</td><td>${to.toFixed(1)}</td><td>${name}</td><td>${escapeHtml(target)}</td></tr>`,
   );
   return [
     '<!doctype html><meta charset="utf-8">',
-    `<title>${escape(title)}</title>`,
+    `<title>${escapeHtml(title)}</title>`,
     '<style>body{font-family:sans-serif;margin:2em}td{padding:0 1em 0 0}</style>',
-    `<h1>${escape(title)}</h1>`,
-    `<p>${escape(JSON.stringify(timeline.totals))}</p>`,
+    `<h1>${escapeHtml(title)}</h1>`,
+    `<p>${escapeHtml(JSON.stringify(timeline.totals))}</p>`,
     ...plots(timeline),
-    '<h2>Broken promises</h2>',
-    broken,
+    '<h2>Violated guarantees</h2>',
+    violations,
     '<h2>Faults</h2>',
     `<table><tr><th>from, s</th><th>to, s</th><th>fault</th><th>target</th></tr>${faults.join('')}</table>`,
   ].join('\n');
--- a/scripts/soak/requests.ts
+++ b/scripts/soak/requests.ts
@@ -1,43 +1,44 @@
-/** What callers send and what runners must answer, so that each side can tell whether the other's bytes are right. */
+/** The requests that callers send and the answers that runners must give, so that each side can verify the bytes of the other. */
 
 import { createHash } from 'node:crypto';
 
-/** What a request may do, as its route says. */
+/** Kind of a request, which decides whether its route allows retries: `once` and `stream` must run at most once. */
 export type RequestKind = 'repeatable' | 'once' | 'stream' | 'resumable';
 
-/** A request as its caller sent it. */
+/** A request as a caller sent it. */
 export interface SentRequest {
   readonly id: string;
   readonly kind: RequestKind;
   readonly path: string;
   readonly body: string;
-  /** Events that its answer has; 0 for plain ones. */
+  /** Number of events in its answer; 0 for a plain answer. */
   readonly events: number;
   readonly customer: string | undefined;
+  /** The customer's API key. */
   readonly key: string | undefined;
 }
 
-/** Names the content of a request. */
+/** Digest of the path and the body of a request. */
 export function digestOf(path: string, body: string): string {
   return createHash('sha1').update(`${path}\n${body}`).digest('base64url');
 }
 
-/** The whole answer to a plain request. */
+/** The complete body of the answer to a plain request. */
 export function plainAnswer(id: string, digest: string): string {
   return `${id} ${digest} ${'.'.repeat(400)}`;
 }
 
-/** Signature of an answer: a caller can tell from it that it got these bytes. */
+/** Signature of an answer's body, with which a caller verifies the bytes. */
 export function signatureOf(text: string): string {
   return createHash('sha1').update(text).digest('base64url');
 }
 
-/** One event of a streaming answer, from 1 on. */
+/** One event of a streaming answer; numbers start at 1. */
 export function eventOf(number: number, digest: string): string {
   return `id: ${number}\ndata: ${digest} ${number}\n\n`;
 }
 
-/** Events that a request's body asks for. */
+/** Number of events that a request's body asks for; 0 if it names none. */
 export function eventsIn(body: string): number {
   return Number(/events=(\d+)/.exec(body)?.[1] ?? 0);
 }
--- a/scripts/soak/runner.ts
+++ b/scripts/soak/runner.ts
@@ -1,6 +1,7 @@
 /**
- * Stand-in of a runner on the platform: an engine that prefills or decodes, with memory,
- * cache handles and orders, or an instance of a plain service. Tells a witness what reaches it.
+ * Stand-in for a runner on the platform: either an engine that prefills or decodes, with KV memory,
+ * cache handles and role-change orders, or an instance of a plain service. Reports to an observer
+ * what reaches it.
  */
 
 import { randomUUID } from 'node:crypto';
@@ -10,59 +11,69 @@
 import { closeServer, listen, readBody, sendJson } from '../../test/fakes/http';
 import { digestOf, eventOf, eventsIn, plainAnswer, signatureOf } from './requests';
 
+/** What a runner does; orders switch engines between `prefill` and `decode`. */
 export type RunnerRole = 'prefill' | 'decode' | 'plain';
 
-/** A request as a runner saw it. */
+/** A request as a runner received it. */
 export interface Arrival {
+  /** Id of the request. */
   readonly request: string;
-  /** Id of the start of the runner. */
+  /** Id of the runner's instance: it changes with every start. */
   readonly runner: string;
   readonly role: RunnerRole;
   readonly service: string;
+  /** Digest of the path and the body that the runner received. */
   readonly digest: string;
   readonly customer: string | undefined;
+  /** Whether it carried the caller's API key, which must not reach runners. */
   readonly hasKey: boolean;
 }
 
-/** An order as a runner saw it. */
+/** A role-change order as a runner received it. */
 export interface Order {
+  /** Id of the runner's instance. */
   readonly runner: string;
   readonly holder: string;
   readonly fence: number;
 }
 
-/** What is told of runners. */
+/** Receives what runners observe. */
 export interface RunnerWitness {
-  /** A request came, whether it will run or not. */
+  /** A request arrived, whether or not it will run. */
   arrived(arrival: Arrival): void;
-  /** It runs. */
+  /** The request started to run. */
   began(arrival: Arrival): void;
-  /** Its run is over. */
+  /** The run ended, successfully or not. */
   ended(arrival: Arrival): void;
+  /** An order arrived, whether or not it is obeyed. */
   ordered(order: Order): void;
 }
 
-/** What a runner works with. */
+/** Dependencies of a runner. */
 export interface RunnerContext {
   readonly witness: RunnerWitness;
   readonly random: () => number;
-  /** Called when its entry in the store has changed. */
+  /** Called when the runner's entry in the store must be updated. */
   readonly onEntry: (runner: SoakRunner) => void;
-  /** Takes a cache handle, `HOST:PORT/HANDLE`, from the runner that keeps it; whether it was there. */
+  /** Fetches the KV cache of a handle, `HOST:PORT/HANDLE`, from the runner that holds it; returns whether it existed. */
   readonly take: (source: string) => boolean;
 }
 
-/** How a runner treats requests. Parts are of all requests, from 0 to 1. */
+/** How a runner treats requests. Ratios are fractions of all requests, from 0 to 1. */
 export interface RunnerMood {
+  /** Fraction answered with status 500. */
   readonly failPart: number;
+  /** Fraction rejected with status 503 before running. */
   readonly shedPart: number;
+  /** Fraction whose connection is reset before the answer is complete. */
   readonly cutPart: number;
+  /** Fraction of work steps that hang: one per plain request, one per event of a stream. */
   readonly mutePart: number;
-  /** Its work takes so many times as long. */
+  /** Factor on the duration of all work. */
   readonly slowness: number;
 }
 
-/** A runner that does its work. */
+/** Behaviour of a runner without faults. */
 export const wellMood: RunnerMood = {
   failPart: 0,
   shedPart: 0,
@@ -71,7 +82,7 @@
   slowness: 1,
 };
 
-/** Figures of all engines and plain instances. */
+/** Capacity and speed of all engines and plain instances. */
 export const figures = {
   memoryTokens: 20_000,
   slots: 16,
@@ -85,7 +96,7 @@
   plainWaiting: 6,
 } as const;
 
-/** An answer of a runner. */
+/** Writes a runner's answer to one request. */
 class Reply {
   readonly #res: ServerResponse;
 
@@ -100,7 +111,7 @@
     };
   }
 
-  /** It has not run and never will. */
+  /** Rejects the request and declares that it has not run and will not. */
   reject(status: number): void {
     this.#res.writeHead(status, { ...this.#headers, 'not-executed': '1' }).end();
   }
@@ -131,20 +142,23 @@
     this.#res.end();
   }
 
-  /** Breaks off, after a last part if there is one. */
+  /** Resets the connection, after a partial event if one is given. */
   cut(last = ''): void {
     if (last !== '') this.event(last);
     this.#res.socket?.resetAndDestroy();
   }
 }
 
-interface Kept {
+/** KV cache of a prefilled prompt. */
+interface PromptCache {
   readonly tokens: number;
-  readonly until: number;
+  /** Epoch milliseconds; infinite until the prefill has ended. */
+  readonly expiry: number;
 }
 
-/** One runner at one address; it may be started again. */
+/** One runner at one address; it can be restarted, as a new instance. */
 export class SoakRunner {
+  /** Id under which it is registered in the store; the same for all instances. */
   readonly listing = `i-${randomUUID().slice(0, 8)}`;
 
   readonly service: string;
@@ -153,42 +167,43 @@
 
   mood: RunnerMood = wellMood;
 
-  /** Requests a second that it names in its answers. Default: none. */
+  /** Rate limit that it announces in its answers, in requests per second; undefined if it announces none. */
   ratePerS: number | undefined;
 
+  /** Whether its entry in the store says that it drains. */
   leaving = false;
 
   #role: RunnerRole;
 
   readonly #context: RunnerContext;
 
-  readonly #witness: RunnerWitness;
+  readonly #observer: RunnerWitness;
 
   readonly #random: () => number;
 
   #server: Server | undefined;
 
-  #bornAt = 0;
+  #startedAt = 0;
 
   #sequence = 0;
 
   #fence = 0;
 
-  #isChanging = false;
+  #isSwitchingRole = false;
 
-  readonly #kept = new Map<string, Kept>();
+  readonly #caches = new Map<string, PromptCache>();
 
-  /** Tokens in memory by request. */
-  readonly #runs = new Map<string, number>();
+  /** KV memory in tokens by running request. */
+  readonly #runningTokens = new Map<string, number>();
 
-  #plainRuns = 0;
+  #plainRunCount = 0;
 
   constructor(role: RunnerRole, service: string, domain: string, context: RunnerContext) {
     this.#role = role;
     this.service = service;
     this.domain = domain;
     this.#context = context;
-    this.#witness = context.witness;
+    this.#observer = context.witness;
     this.#random = context.random;
   }
 
@@ -196,16 +211,17 @@
     return this.#role;
   }
 
-  /** Id of this start. */
-  get id(): string {
-    return `${this.listing}@${this.#bornAt}`;
+  /** Id of the current instance. */
+  get instanceId(): string {
+    return `${this.listing}@${this.#startedAt}`;
   }
 
+  /** Whether it listens. */
   get up(): boolean {
     return this.#server !== undefined;
   }
 
-  /** What it writes of itself to the store. */
+  /** Its entry for the store. */
   entry(address: string): unknown {
     return {
       service: this.service,
@@ -216,88 +232,90 @@
       state: this.leaving ? 'draining' : 'ready',
       'cold-remaining-ms': 0,
       sequence: this.#sequence,
-      born: this.#bornAt,
+      born: this.#startedAt,
       ...(this.#role === 'plain' ? {} : { stage: this.#role }),
     };
   }
 
+  /** Starts a new instance, without the state of the previous one. */
   async start(host: string, port: number): Promise<void> {
-    this.#bornAt = Date.now();
+    this.#startedAt = Date.now();
     this.#sequence = 0;
     this.#fence = 0;
-    this.#isChanging = false;
-    this.#kept.clear();
-    this.#runs.clear();
-    this.#plainRuns = 0;
+    this.#isSwitchingRole = false;
+    this.#caches.clear();
+    this.#runningTokens.clear();
+    this.#plainRunCount = 0;
     this.ratePerS = undefined;
     const { server } = await listen((req, res, url) => this.#handle(req, res, url), port, host);
     this.#server = server;
   }
 
-  /** Gives a kept cache away; whether it was there. */
+  /** Removes a KV cache for its transfer to another runner; returns whether it existed and had not expired. */
   take(handle: string): boolean {
-    const kept = this.#kept.get(handle);
-    this.#kept.delete(handle);
-    return kept !== undefined && kept.until >= Date.now();
+    const cached = this.#caches.get(handle);
+    this.#caches.delete(handle);
+    return cached !== undefined && cached.expiry >= Date.now();
   }
 
-  /** Ends at once: every connection is reset. */
+  /** Stops at once: every connection is reset. */
   async crash(): Promise<void> {
     const server = this.#server;
     this.#server = undefined;
     if (server) await closeServer(server);
   }
 
+  /** KV memory in use, in tokens; removes expired caches. */
   get #usedTokens(): number {
     const now = Date.now();
-    for (const [handle, { until }] of this.#kept) if (until < now) this.#kept.delete(handle);
-    const kept = [...this.#kept.values()].reduce((sum, { tokens }) => sum + tokens, 0);
-    return [...this.#runs.values()].reduce((sum, tokens) => sum + tokens, kept);
+    for (const [handle, { expiry }] of this.#caches) if (expiry < now) this.#caches.delete(handle);
+    const cached = [...this.#caches.values()].reduce((sum, { tokens }) => sum + tokens, 0);
+    return [...this.#runningTokens.values()].reduce((sum, tokens) => sum + tokens, cached);
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse, url: URL): Promise<void> {
     const { pathname } = url;
-    if (pathname === '/v1/report') this.#report(res);
-    else if (pathname === '/v1/order') this.#order(res, JSON.parse(await readBody(req)));
+    if (pathname === '/v1/report') this.#sendReport(res);
+    else if (pathname === '/v1/order') this.#handleOrder(res, JSON.parse(await readBody(req)));
     else if (pathname.startsWith('/v1/kv-handle/')) {
-      this.#kept.delete(pathname.split('/').at(-1) ?? '');
+      this.#caches.delete(pathname.split('/').at(-1) ?? '');
       sendJson(res, 200, {});
     } else await this.#serve(req, res, url);
   }
 
-  #report(res: ServerResponse): void {
+  #sendReport(res: ServerResponse): void {
     sendJson(res, 200, {
       stage: this.#role,
       models: [],
-      busy: this.#isChanging,
+      busy: this.#isSwitchingRole,
       sequence: this.#sequence,
       queued: 0,
-      running: this.#runs.size,
+      running: this.#runningTokens.size,
       'kv-used': this.#usedTokens,
       'kv-total': figures.memoryTokens,
-      'kv-handles': this.#kept.size,
-      born: this.#bornAt,
-      runs: [...this.#runs].map(([id, tokens]) => [id, tokens, 0, 5]),
+      'kv-handles': this.#caches.size,
+      born: this.#startedAt,
+      runs: [...this.#runningTokens].map(([id, tokens]) => [id, tokens, 0, 5]),
     });
   }
 
-  #order(res: ServerResponse, body: Readonly<Record<string, unknown>>): void {
+  #handleOrder(res: ServerResponse, body: Readonly<Record<string, unknown>>): void {
     const { holder, expected, stage } = body;
     const fence = Number(body['fencing-token']);
-    this.#witness.ordered({ runner: this.id, holder: String(holder), fence });
+    this.#observer.ordered({ runner: this.instanceId, holder: String(holder), fence });
     if (fence < this.#fence) sendJson(res, 412, {});
-    else if (this.#isChanging || expected !== this.#sequence) sendJson(res, 409, {});
+    else if (this.#isSwitchingRole || expected !== this.#sequence) sendJson(res, 409, {});
     else if (stage === this.#role) sendJson(res, 200, {});
     else {
       this.#fence = fence;
       this.#sequence += 1;
-      this.#isChanging = true;
+      this.#isSwitchingRole = true;
       sendJson(res, 202, {});
-      const born = this.#bornAt;
+      const startedAt = this.#startedAt;
       setTimeout(() => {
-        if (this.#bornAt !== born) return;
+        if (this.#startedAt !== startedAt) return;
         this.#role = stage as RunnerRole;
-        this.#isChanging = false;
+        this.#isSwitchingRole = false;
         this.#context.onEntry(this);
       }, figures.switchMs).unref();
     }
@@ -310,7 +328,7 @@
     const isPrefill = headers['serving-stage'] === 'prefill';
     const arrival: Arrival = {
       request: id,
-      runner: this.id,
+      runner: this.instanceId,
       role: isPrefill ? 'prefill' : this.#role,
       service: this.service,
       digest: digestOf(pathname, body),
@@ -323,8 +341,8 @@
       answer.reject(421);
       return;
     }
-    this.#witness.arrived(arrival);
-    if (this.#random() < this.mood.shedPart || this.#isChanging) {
+    this.#observer.arrived(arrival);
+    if (this.#random() < this.mood.shedPart || this.#isSwitchingRole) {
       answer.reject(503);
       return;
     }
@@ -337,10 +355,10 @@
     else {
       const source = headers['kv-source']?.toString();
       const after = Number(headers['last-event-id'] ?? 0);
-      const isRead = source !== undefined;
-      if (isRead && !this.#context.take(source)) answer.reject(503);
+      const isPrefilled = source !== undefined;
+      if (isPrefilled && !this.#context.take(source)) answer.reject(503);
       else {
-        const job = { tokens, events: eventsIn(body), after, isRead };
+        const job = { tokens, events: eventsIn(body), after, isPrefilled };
         await this.#decode(arrival, answer, job, deadline.signal);
       }
     }
@@ -352,27 +370,27 @@
       answer.reject(503);
       return;
     }
-    this.#witness.began(arrival);
+    this.#observer.began(arrival);
     const handle = randomUUID().slice(0, 12);
-    this.#kept.set(handle, { tokens, until: Infinity });
+    this.#caches.set(handle, { tokens, expiry: Infinity });
     await pause(tokens * figures.prefillTokenMs * this.mood.slowness);
-    this.#kept.set(handle, { tokens, until: Date.now() + figures.keepMs });
-    this.#witness.ended(arrival);
+    this.#caches.set(handle, { tokens, expiry: Date.now() + figures.keepMs });
+    this.#observer.ended(arrival);
     if (this.#random() < this.mood.failPart) answer.fail();
     else answer.json({ 'kv-handle': handle, tokens, version: 1 });
   }
 
   async #plain(arrival: Arrival, answer: Reply, signal: AbortSignal): Promise<void> {
-    if (this.#plainRuns >= figures.plainSlots + figures.plainWaiting) {
+    if (this.#plainRunCount >= figures.plainSlots + figures.plainWaiting) {
       answer.reject(503);
       return;
     }
-    this.#plainRuns += 1;
-    this.#witness.began(arrival);
-    const factor = Math.max(1, this.#plainRuns / figures.plainSlots) * this.mood.slowness;
+    this.#plainRunCount += 1;
+    this.#observer.began(arrival);
+    const factor = Math.max(1, this.#plainRunCount / figures.plainSlots) * this.mood.slowness;
     await this.#work(figures.plainMs * factor, signal);
-    this.#plainRuns -= 1;
-    this.#witness.ended(arrival);
+    this.#plainRunCount -= 1;
+    this.#observer.ended(arrival);
     if (this.#random() < this.mood.failPart) answer.fail();
     else if (this.#random() < this.mood.cutPart) answer.cut();
     else answer.text(plainAnswer(arrival.request, arrival.digest));
@@ -385,22 +403,25 @@
       readonly tokens: number;
       readonly events: number;
       readonly after: number;
-      readonly isRead: boolean;
+      readonly isPrefilled: boolean;
     },
     signal: AbortSignal,
   ): Promise<void> {
-    const need = job.tokens + job.events * figures.eventTokens;
-    if (this.#usedTokens + need > figures.memoryTokens || this.#runs.size >= figures.slots) {
+    const neededTokens = job.tokens + job.events * figures.eventTokens;
+    if (
+      this.#usedTokens + neededTokens > figures.memoryTokens ||
+      this.#runningTokens.size >= figures.slots
+    ) {
       answer.reject(503);
       return;
     }
-    this.#witness.began(arrival);
-    this.#runs.set(arrival.request, need);
-    if (!job.isRead) await this.#work(job.tokens * figures.prefillTokenMs * 2, signal);
+    this.#observer.began(arrival);
+    this.#runningTokens.set(arrival.request, neededTokens);
+    if (!job.isPrefilled) await this.#work(job.tokens * figures.prefillTokenMs * 2, signal);
     if (this.#random() < this.mood.failPart) answer.fail();
     else await this.#stream(arrival, answer, job.after, job.events, signal);
-    this.#runs.delete(arrival.request);
-    this.#witness.ended(arrival);
+    this.#runningTokens.delete(arrival.request);
+    this.#observer.ended(arrival);
   }
 
   async #stream(
@@ -424,10 +445,10 @@
     else answer.end();
   }
 
-  /** Works for a time, or for ever where it falls silent, until the request has left. */
+  /** Waits for the duration of some work, or for a minute if it hangs; ends early when the request is aborted. */
   async #work(ms: number, signal: AbortSignal): Promise<void> {
-    const isMute = this.#random() < this.mood.mutePart;
-    const forMs = isMute ? 60_000 : ms * this.mood.slowness;
-    await pause(forMs, undefined, { signal, ref: false }).catch(() => undefined);
+    const isHanging = this.#random() < this.mood.mutePart;
+    const durationMs = isHanging ? 60_000 : ms * this.mood.slowness;
+    await pause(durationMs, undefined, { signal, ref: false }).catch(() => undefined);
   }
 }
--- a/scripts/soak/shim.cjs
+++ b/scripts/soak/shim.cjs
@@ -1,18 +1,19 @@
-// Loaded into a VM's process before its program. By the file that GOLDCRESTDOCK_SOAK names, read at
-// the start and at each SIGUSR2, it steps the time of day, has connections go by proxies, and loses
-// datagrams: `{"stepMs": 0, "routes": {"HOST:PORT": "HOST:PORT"}, "lost": ["HOST"]}`.
+// Preloaded into a VM's process to inject clock and network faults. Reads the file named by
+// GOLDCRESTDOCK_SOAK at the start and on each SIGUSR2. The file sets the offset of the wall clock,
+// redirects connections to proxies, and lists hosts to which datagrams are dropped:
+// `{"stepMs": 0, "routes": {"HOST:PORT": "HOST:PORT"}, "lost": ["HOST"]}`.
 const dgram = require('node:dgram');
 const { readFileSync } = require('node:fs');
 const net = require('node:net');
 
 let { stepMs, routes, lost } = { stepMs: 0, routes: {}, lost: [] };
 
-function read() {
+function readSettings() {
   ({ stepMs, routes, lost } = JSON.parse(readFileSync(process.env.GOLDCRESTDOCK_SOAK, 'utf8')));
 }
 
-read();
-process.on('SIGUSR2', read);
+readSettings();
+process.on('SIGUSR2', readSettings);
 
 const realNow = Date.now;
 Date.now = () => realNow() + stepMs;
--- a/scripts/soak/soak.ts
+++ b/scripts/soak/soak.ts
@@ -1,4 +1,4 @@
-/** One run: the program on some VMs, stand-ins around it, callers, faults, and the promises that are checked. */
+/** One soak run: router processes on several VMs, stand-ins for the platform, callers, faults, and the guarantees that are checked. */
 
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -19,29 +19,30 @@
 import type { FleetView, Timeline } from './timeline';
 import { Vm } from './vm';
 
-/** What to run. */
+/** Size and duration of a run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly seconds: number;
   readonly vms: number;
-  /** Runners that decode, and as many plain ones; a third as many prefill. */
+  /** Number of decode runners; there are as many plain runners, and a third as many prefill runners. */
   readonly runners: number;
-  /** Requests a second of all callers. */
+  /** Requests per second of all callers together. */
   readonly perS: number;
-  /** Kinds of faults to draw from. Default: all. */
+  /** Kinds of faults to draw from; undefined for all. */
   readonly faults: readonly string[] | undefined;
 }
 
 const DOMAINS = ['north', 'centre', 'south'];
 const CALLER_GROUPS = 6;
-/** Time in which all VMs must serve, in milliseconds. */
-const START_MS = 30_000;
+/** Time within which all VMs must become ready after the start. */
+const STARTUP_TIMEOUT_MS = 30_000;
 const SECOND_MS = 1000;
-/** Time after the last fault in which all VMs must serve again, in milliseconds. */
-const RECOVERY_MS = 15_000;
+/** Time within which all VMs must be ready again after the last fault. */
+const RECOVERY_TIMEOUT_MS = 15_000;
 
-/** A run with its processes. */
+/** Runs the soak and owns its processes and stand-ins. */
 export class Soak {
+  /** Folder of the VMs' settings and logs. */
   readonly folder = mkdtempSync(join(tmpdir(), 'goldcrestdock-soak-'));
 
   readonly #options: SoakOptions;
@@ -54,7 +55,7 @@
 
   readonly #mesh: Mesh;
 
-  readonly #promises: Promises;
+  readonly #guarantees: Promises;
 
   readonly #operator: Operator;
 
@@ -62,15 +63,15 @@
 
   readonly #faults: Faults;
 
-  readonly #net: string;
+  readonly #networkPrefix: string;
 
   constructor(options: SoakOptions, timeline: Timeline) {
     this.#options = options;
     this.#timeline = timeline;
-    // Runs at the same time have addresses of their own.
-    this.#net = `127.${60 + (process.pid % 60)}`;
+    // Each process uses its own loopback network so that concurrent runs do not collide.
+    this.#networkPrefix = `127.${60 + (process.pid % 60)}`;
     const { seed } = options;
-    this.#mesh = new Mesh(this.#net, this.#vms);
+    this.#mesh = new Mesh(this.#networkPrefix, this.#vms);
     const random = seeded(seed);
     const store = this.#store;
     const vms = this.#vms;
@@ -80,17 +81,22 @@
       vms,
       random: seeded(seed + 1),
       onBreach,
-      onSent: (request) => this.#promises.sent(request),
+      onSent: (request) => this.#guarantees.sent(request),
       calmMs: () => this.#faults.calmMs('vm', 'store'),
     });
-    this.#promises = new Promises({
+    this.#guarantees = new Promises({
       onBreach,
       calmMs: (...families) => this.#faults.calmMs(...families),
       revokedAt: (key) => this.#operator.revokedAt(key),
       quotaOf: (customer) => this.#operator.quotaOf(customer),
     });
-    const witness = this.#promises;
-    this.#pool = new RunnerPool(store, { witness, random: seeded(seed + 2) }, this.#net, DOMAINS);
+    const observer = this.#guarantees;
+    this.#pool = new RunnerPool(
+      store,
+      { witness: observer, random: seeded(seed + 2) },
+      this.#networkPrefix,
+      DOMAINS,
+    );
     this.#faults = new Faults(
       {
         random,
@@ -105,26 +111,27 @@
     );
   }
 
-  /** Counts of faults by kind. */
+  /** Number of injected faults by kind. */
   get faultCounts(): Readonly<Record<string, number>> {
     return this.#faults.counts;
   }
 
-  /** The most that was seen of each bounded amount, as a part of what is allowed. */
+  /** Highest observed value of each bounded amount, as a fraction of its bound. */
   get used(): Readonly<Record<string, number>> {
-    return this.#promises.used;
+    return this.#guarantees.used;
   }
 
+  /** Runs for the configured time, checks the recovery and stops all processes. Throws if the VMs do not become ready. */
   async run(): Promise<void> {
     try {
       await this.#start();
       const until = Date.now() + this.#options.seconds * 1000;
-      const ticks = setInterval(() => this.#tick(), SECOND_MS);
+      const recording = setInterval(() => this.#recordSecond(), SECOND_MS);
       const plan = new Plan({
         random: seeded(this.#options.seed + 3),
         pool: this.#pool,
-        onLeaving: (listing, leaves) => this.#promises.leaving(listing, leaves),
-        onLimit: (runner, ratePerS) => this.#promises.limited(runner, ratePerS),
+        onLeaving: (listing, leaves) => this.#guarantees.leaving(listing, leaves),
+        onLimit: (runner, ratePerS) => this.#guarantees.limited(runner, ratePerS),
       });
       await Promise.all([
         this.#faults.run(until),
@@ -133,7 +140,7 @@
         ...this.#callers(until),
       ]);
       await this.#checkRecovery();
-      clearInterval(ticks);
+      clearInterval(recording);
     } finally {
       await this.#stop();
     }
@@ -141,17 +148,17 @@
 
   #callers(until: number): readonly Promise<void>[] {
     const { seed, perS } = this.#options;
-    const promises = this.#promises;
+    const guarantees = this.#guarantees;
     const timeline = this.#timeline;
     return Array.from({ length: CALLER_GROUPS }, (_, group) =>
       new CallerGroup({
         witness: {
-          sent: (request) => promises.sent(request),
+          sent: (request) => guarantees.sent(request),
           answered: (request, vm, answer) => {
             timeline.answered(answer);
-            promises.answered(request, vm, answer);
+            guarantees.answered(request, vm, answer);
           },
-          left: (request) => promises.left(request),
+          left: (request) => guarantees.left(request),
         },
         random: seeded(seed + 10 + group),
         keys: this.#operator,
@@ -170,37 +177,37 @@
       await this.#pool.add('decode');
       await this.#pool.add('plain');
     }
-    for (let i = 1; i <= vms; i += 1) this.#vms.push(this.#vm(i));
+    for (let i = 1; i <= vms; i += 1) this.#vms.push(this.#createVm(i));
     await this.#mesh.start(this.#store.address);
     for (const vm of this.#vms) vm.start();
-    await this.#serving(START_MS);
+    await this.#waitUntilReady(STARTUP_TIMEOUT_MS);
   }
 
-  #vm(number: number): Vm {
+  #createVm(number: number): Vm {
     return new Vm({
       name: `vm-${number}`,
-      ip: `${this.#net}.0.${number}`,
+      ip: `${this.#networkPrefix}.0.${number}`,
       domain: DOMAINS[number % DOMAINS.length] ?? '',
       store: this.#store.address,
-      seed: `${this.#net}.0.1`,
+      seed: `${this.#networkPrefix}.0.1`,
       folder: this.folder,
     });
   }
 
-  /** Resolves once all VMs are ready; throws after a limit. */
-  async #serving(limitMs: number): Promise<void> {
+  /** Resolves once all VMs are ready; throws after `limitMs`. */
+  async #waitUntilReady(limitMs: number): Promise<void> {
     const until = Date.now() + limitMs;
     let missing: readonly string[] = ['all'];
     while (missing.length > 0) {
       if (Date.now() > until) throw new Error(`not ready: ${missing.join(' ')}`);
       await pause(100);
       const ready = await Promise.all(this.#vms.map((vm) => isReady(vm)));
-      missing = this.#vms.filter((_, i) => !ready[i]).map(({ place }) => place.name);
+      missing = this.#vms.filter((_, i) => !ready[i]).map(({ options: place }) => place.name);
     }
   }
 
   async #checkRecovery(): Promise<void> {
-    await this.#serving(RECOVERY_MS).catch((error: Error) =>
+    await this.#waitUntilReady(RECOVERY_TIMEOUT_MS).catch((error: Error) =>
       this.#timeline.breach({ promise: 'recovery', detail: error.message }),
     );
     for (const { ownEnds } of this.#vms) {
@@ -208,16 +215,16 @@
     }
   }
 
-  #tick(): void {
-    this.#promises.prune();
-    this.#view()
+  #recordSecond(): void {
+    this.#guarantees.prune();
+    this.#readFleet()
       .then((view) => this.#timeline.tick(view))
       .catch((error: Error) => console.error(error.message));
   }
 
-  async #view(): Promise<FleetView> {
+  async #readFleet(): Promise<FleetView> {
     const up = this.#vms.filter((vm) => vm.up && !vm.frozen);
-    const beliefs = await Promise.all(
+    const answers = await Promise.all(
       up.map((vm) =>
         Promise.race([
           call('GET', vm.beliefs).catch(() => undefined),
@@ -225,7 +232,7 @@
         ]),
       ),
     );
-    const versions = beliefs.flatMap((answer) => {
+    const versions = answers.flatMap((answer) => {
       const { configVersion } = (answer?.body ?? {}) as { configVersion?: number };
       return configVersion === undefined || configVersion === 0 ? [] : [configVersion];
     });
@@ -241,7 +248,7 @@
   }
 }
 
-async function isReady({ place }: Vm): Promise<boolean> {
+async function isReady({ options: place }: Vm): Promise<boolean> {
   const answer = call('GET', `http://${place.ip}:8141/v1/readiness`).catch(() => undefined);
   const limit = pause(SECOND_MS, undefined, { ref: false });
   return (await Promise.race([answer, limit]))?.status === 200;
--- a/scripts/soak/timeline.ts
+++ b/scripts/soak/timeline.ts
@@ -1,42 +1,46 @@
-/** What happened in a run, second by second, as JSON lines and for the report. */
+/** Records a run second by second, as JSON lines and for the report. */
 
 import type { CallerAnswer, Outcome } from './callers';
 import type { Breach } from './promises';
 
-/** One second of a run. */
+/** Measurements of one second of a run. */
 export interface Second {
   readonly second: number;
   readonly outcomes: Readonly<Record<Outcome, number>>;
-  /** Of the answers that were served, in milliseconds; 0 without any. */
+  /** Median duration of served requests; 0 if there are none. */
   readonly medianMs: number;
+  /** 95th percentile of the duration of served requests; 0 if there are none. */
   readonly p95Ms: number;
   readonly vmsUp: number;
-  /** Lowest and highest version of the configuration by which VMs say that they go. */
+  /** Lowest configuration version that VMs report as applied; infinite if none reports one. */
   readonly configLow: number;
+  /** Highest configuration version that VMs report as applied; -Infinity if none reports one. */
   readonly configHigh: number;
 }
 
-/** A fault and when it was, in seconds from the start of the run. */
+/** A fault and its interval, in seconds since the start of the run. */
 export interface FaultSpan {
   readonly name: string;
   readonly target: string;
   readonly from: number;
+  /** Infinite while the fault is in progress. */
   to: number;
 }
 
-/** What VMs say of themselves. */
+/** State of the VMs as they report it. */
 export interface FleetView {
+  /** Number of VMs that are up and not suspended. */
   readonly vmsUp: number;
   readonly configVersions: readonly number[];
 }
 
 const outcomes: readonly Outcome[] = ['served', 'refused', 'failed', 'broken', 'left'];
 
-function quantile(sorted: readonly number[], part: number): number {
-  return Math.round(sorted[Math.floor(sorted.length * part)] ?? 0);
+function quantile(sorted: readonly number[], fraction: number): number {
+  return Math.round(sorted[Math.floor(sorted.length * fraction)] ?? 0);
 }
 
-/** Collects what happens. */
+/** Collects outcomes, faults and violated guarantees of a run. */
 export class Timeline {
   readonly seconds: Second[] = [];
 
@@ -44,54 +48,57 @@
 
   readonly breaches: Breach[] = [];
 
-  readonly #began = Date.now();
+  readonly #startedAt = Date.now();
 
   readonly #print: (line: unknown) => void;
 
-  readonly #open = new Map<number, FaultSpan>();
+  readonly #activeFaults = new Map<number, FaultSpan>();
 
-  #counts = new Map<Outcome, number>();
+  #outcomeCounts = new Map<Outcome, number>();
 
-  #times: number[] = [];
+  #servedMs: number[] = [];
 
-  /** @param print takes each line */
+  /** @param print writes one output line */
   constructor(print: (line: unknown) => void) {
     this.#print = print;
   }
 
-  get #at(): number {
-    return (Date.now() - this.#began) / 1000;
+  get #elapsedS(): number {
+    return (Date.now() - this.#startedAt) / 1000;
   }
 
+  /** Counts the outcome of an attempt. */
   answered({ outcome, ms }: CallerAnswer): void {
-    this.#counts.set(outcome, (this.#counts.get(outcome) ?? 0) + 1);
-    if (outcome === 'served') this.#times.push(ms);
+    this.#outcomeCounts.set(outcome, (this.#outcomeCounts.get(outcome) ?? 0) + 1);
+    if (outcome === 'served') this.#servedMs.push(ms);
   }
 
+  /** Records the beginning or the end of a fault. */
   fault(id: number, name: string, target: string, begins: boolean): void {
-    const at = Math.round(this.#at * 1000) / 1000;
+    const at = Math.round(this.#elapsedS * 1000) / 1000;
     this.#print({ at, fault: name, target, begins });
     if (begins) {
       const span = { name, target, from: at, to: Infinity };
-      this.#open.set(id, span);
+      this.#activeFaults.set(id, span);
       this.faults.push(span);
     }
-    const span = this.#open.get(id);
+    const span = this.#activeFaults.get(id);
     if (span && !begins) span.to = at;
   }
 
+  /** Records a violated guarantee. */
   breach(breach: Breach): void {
     this.breaches.push(breach);
-    this.#print({ at: this.#at, ...breach });
+    this.#print({ at: this.#elapsedS, ...breach });
   }
 
-  /** One more second has passed. */
+  /** Completes the record of the current second and prints it. */
   tick({ vmsUp, configVersions }: FleetView): void {
-    const sorted = [...this.#times].sort((a, b) => a - b);
+    const sorted = [...this.#servedMs].sort((a, b) => a - b);
     const second: Second = {
-      second: Math.round(this.#at),
+      second: Math.round(this.#elapsedS),
       outcomes: Object.fromEntries(
-        outcomes.map((one) => [one, this.#counts.get(one) ?? 0]),
+        outcomes.map((outcome) => [outcome, this.#outcomeCounts.get(outcome) ?? 0]),
       ) as Second['outcomes'],
       medianMs: quantile(sorted, 0.5),
       p95Ms: quantile(sorted, 0.95),
@@ -101,16 +108,16 @@
     };
     this.seconds.push(second);
     this.#print(second);
-    this.#counts = new Map();
-    this.#times = [];
+    this.#outcomeCounts = new Map();
+    this.#servedMs = [];
   }
 
-  /** All outcomes so far. */
+  /** Number of attempts by outcome, over all completed seconds. */
   get totals(): Readonly<Record<Outcome, number>> {
     return Object.fromEntries(
-      outcomes.map((one) => [
-        one,
-        this.seconds.reduce((sum, second) => sum + second.outcomes[one], 0),
+      outcomes.map((outcome) => [
+        outcome,
+        this.seconds.reduce((sum, second) => sum + second.outcomes[outcome], 0),
       ]),
     ) as Readonly<Record<Outcome, number>>;
   }
--- a/scripts/soak/vm.ts
+++ b/scripts/soak/vm.ts
@@ -1,23 +1,23 @@
-/** A VM of the soak: the program that the platform runs, as a process of its own. */
+/** A VM of the soak: one router process, started as the platform starts it. */
 
 import type { ChildProcess } from 'node:child_process';
 import { spawn } from 'node:child_process';
 import { createWriteStream, renameSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 
-/** Ports of a VM; its address is its own. */
+/** Ports of a VM. All VMs use the same ones, each on its own loopback address. */
 const PORTS = { front: 8149, ready: 8141, control: 8144, directory: 8143 } as const;
 const INTERNAL_PORTS = [7380, 7395] as const;
 const METRICS_PORT = 9464;
 const PROGRAM = 'build/goldcrestdock.cjs';
 const SHIM = './scripts/soak/shim.cjs';
-/** Port of links and probes between VMs. */
+/** Port of connections and probes between VMs. */
 export const PEER_PORT = INTERNAL_PORTS[0];
 
-/** Time in which a process surely has loaded the shim, in milliseconds. */
-const LOAD_MS = 2000;
+/** Time after which a started process has certainly loaded the shim. */
+const SHIM_LOAD_MS = 2000;
 
-/** Bounds that the soak checks its promises by. */
+/** Bounds in the VMs' settings; the soak checks the guarantees against them. */
 export const bounds = {
   'grace-s': 8,
   'lease-ms': 3000,
@@ -33,76 +33,83 @@
   ttl_max_s: 5,
 } as const;
 
-/** Where a VM is and what it is told. */
+/** Addresses and settings of a VM. */
 export interface VmPlace {
   readonly name: string;
   readonly ip: string;
   readonly domain: string;
-  /** `HOST:PORT` at which it finds the store. */
+  /** `HOST:PORT` of the store. */
   readonly store: string;
-  /** Address of the VM that it is told of. */
+  /** IP address of the VM through which it joins the cluster. */
   readonly seed: string;
-  /** Folder of its settings and its log. */
+  /** Folder of its settings file and its log. */
   readonly folder: string;
 }
 
-/** One VM; its process may be started again and again. */
+/** One VM; its process can be started repeatedly. */
 export class Vm {
-  readonly place: VmPlace;
+  readonly options: VmPlace;
 
-  /** Processes that ended though nobody asked them to. */
+  /** Descriptions of exits that no signal of the soak caused. */
   readonly ownEnds: string[] = [];
 
-  /** Counts the lives of its process. */
+  /** How often its process was started. */
   lives = 0;
 
+  /** Whether its process is suspended by SIGSTOP. */
   frozen = false;
 
   #process: ChildProcess | undefined;
 
-  /** Where its connections go in place of where it wants. */
+  /** Redirected addresses of outgoing connections, `HOST:PORT` to `HOST:PORT`. */
   readonly #routes = new Map<string, string>();
 
-  /** Hosts to which its datagrams are lost. */
-  readonly #lost = new Set<string>();
+  /** Hosts to which its datagrams are dropped. */
+  readonly #lossyHosts = new Set<string>();
 
-  #stepMs = 0;
+  #clockStepMs = 0;
 
   #startedAt = 0;
 
-  #asked = false;
+  #isStopping = false;
 
-  constructor(place: VmPlace) {
-    this.place = place;
+  constructor(options: VmPlace) {
+    this.options = options;
   }
 
+  /** `HOST:PORT` for callers' requests. */
   get front(): string {
-    return `${this.place.ip}:${PORTS.front}`;
+    return `${this.options.ip}:${PORTS.front}`;
   }
 
+  /** `HOST:PORT` of the directory at which callers look up addresses. */
   get directory(): string {
-    return `${this.place.ip}:${PORTS.directory}`;
+    return `${this.options.ip}:${PORTS.directory}`;
   }
 
+  /** `HOST:PORT` for connections from other VMs. */
   get peer(): string {
-    return `${this.place.ip}:${PEER_PORT}`;
+    return `${this.options.ip}:${PEER_PORT}`;
   }
 
+  /** URL of its state snapshot. */
   get beliefs(): string {
-    return `http://${this.place.ip}:${METRICS_PORT}/beliefs`;
+    return `http://${this.options.ip}:${METRICS_PORT}/beliefs`;
   }
 
+  /** Whether its process exists, suspended or not. */
   get up(): boolean {
     return this.#process !== undefined;
   }
 
+  /** Starts its process with the real clock; does nothing if it is up. */
   start(): void {
     if (this.#process) return;
-    const { name, folder } = this.place;
+    const { name, folder } = this.options;
     const settings = join(folder, `${name}.json`);
     writeFileSync(settings, JSON.stringify(this.#settings()));
-    this.#stepMs = 0;
-    this.#tellShim();
+    this.#clockStepMs = 0;
+    this.#updateShim();
     this.#startedAt = Date.now();
     const args = ['--max-old-space-size=90', '-r', SHIM, PROGRAM, 'node'];
     const child = spawn(process.execPath, args, {
@@ -112,40 +119,40 @@
     const log = createWriteStream(join(folder, `${name}.log`), { flags: 'a' });
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
-    child.once('exit', (code, signal) => this.#ended(code, signal));
+    child.once('exit', (code, signal) => this.#onExit(code, signal));
     this.#process = child;
-    this.#asked = false;
+    this.#isStopping = false;
     this.lives += 1;
   }
 
-  /** Signals that end it are expected to. */
+  /** Sends a signal to its process. An exit after SIGTERM or SIGKILL is expected. */
   signal(signal: NodeJS.Signals): void {
-    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.#asked = true;
+    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.#isStopping = true;
     if (signal === 'SIGSTOP') this.frozen = true;
     if (signal === 'SIGCONT' || signal === 'SIGKILL') this.frozen = false;
     this.#process?.kill(signal);
   }
 
-  /** Steps the time of day of its process, to so much before or after the real one. */
+  /** Sets the offset of its process's wall clock from the real one, in milliseconds. */
   stepClock(stepMs: number): void {
-    this.#stepMs = stepMs;
-    this.#tellShim();
+    this.#clockStepMs = stepMs;
+    this.#updateShim();
   }
 
-  /** Has its connections to an address go to another one. */
+  /** Redirects its outgoing connections from one `HOST:PORT` to another. */
   route(from: string, to: string): void {
     this.#routes.set(from, to);
-    this.#tellShim();
+    this.#updateShim();
   }
 
-  /** Loses its datagrams to a host, or no longer. */
+  /** Sets whether its datagrams to a host are dropped. */
   lose(host: string, isLost: boolean): void {
-    if (isLost) this.#lost.add(host);
-    else this.#lost.delete(host);
-    this.#tellShim();
+    if (isLost) this.#lossyHosts.add(host);
+    else this.#lossyHosts.delete(host);
+    this.#updateShim();
   }
 
-  /** Resolves once its process is gone. */
+  /** Resolves once its process has exited. */
   async gone(): Promise<void> {
     const child = this.#process;
     if (!child) return;
@@ -155,34 +162,35 @@
   }
 
   get #shimFile(): string {
-    return join(this.place.folder, `${this.place.name}.shim.json`);
+    return join(this.options.folder, `${this.options.name}.shim.json`);
   }
 
-  #tellShim(): void {
-    const { name, folder } = this.place;
+  #updateShim(): void {
+    const { name, folder } = this.options;
     const text = JSON.stringify({
-      stepMs: this.#stepMs,
+      stepMs: this.#clockStepMs,
       routes: Object.fromEntries(this.#routes),
-      lost: [...this.#lost],
+      lost: [...this.#lossyHosts],
     });
-    // Replaced whole: the process may read it at any moment.
-    const fresh = join(folder, `${name}.shim.fresh`);
-    writeFileSync(fresh, text);
-    renameSync(fresh, this.#shimFile);
-    // The signal would end a process that has not loaded the shim yet; that one reads the file anyway.
-    const loadsMs = this.#startedAt + LOAD_MS - Date.now();
-    if (loadsMs > 0) setTimeout(() => this.#process?.kill('SIGUSR2'), loadsMs).unref();
+    // Replaced atomically: the process may read the file at any moment.
+    const temporary = join(folder, `${name}.shim.fresh`);
+    writeFileSync(temporary, text);
+    renameSync(temporary, this.#shimFile);
+    // Before the shim is loaded, SIGUSR2 would terminate the process. A signal deferred until then is
+    // enough: the shim also reads the file when it loads.
+    const untilLoadedMs = this.#startedAt + SHIM_LOAD_MS - Date.now();
+    if (untilLoadedMs > 0) setTimeout(() => this.#process?.kill('SIGUSR2'), untilLoadedMs).unref();
     else this.#process?.kill('SIGUSR2');
   }
 
-  #ended(code: number | null, signal: NodeJS.Signals | null): void {
+  #onExit(code: number | null, signal: NodeJS.Signals | null): void {
     this.#process = undefined;
     this.frozen = false;
-    if (!this.#asked) this.ownEnds.push(`${this.place.name} ended with ${code ?? signal}`);
+    if (!this.#isStopping) this.ownEnds.push(`${this.options.name} exited with ${code ?? signal}`);
   }
 
   #settings(): unknown {
-    const { name, ip, domain, store, seed } = this.place;
+    const { name, ip, domain, store, seed } = this.options;
     const listen = Object.fromEntries(
       Object.entries(PORTS).map(([what, port]) => [what, `${ip}:${port}`]),
     );
