--- a/scripts/soak/callers.ts
+++ b/scripts/soak/callers.ts
@@ -22,26 +22,26 @@
   /** When the caller may retry; undefined if the answer does not say. */
   readonly retryAfterMs: number | undefined;
   /** What is wrong with an answer that looks complete; undefined if nothing is. */
-  readonly fault: string | undefined;
+  readonly integrityError: string | undefined;
 }
 
 /** Receives what callers observe. */
-export interface CallerWitness {
+export interface CallerObserver {
   sent(request: SentRequest, vm: string): void;
   answered(request: SentRequest, vm: string, answer: CallerAnswer): void;
   /** The caller closed its connection before the end. */
-  left(request: SentRequest): void;
+  disconnected(request: SentRequest): void;
 }
 
 /** Supplies API keys of customers. */
 export interface KeySource {
   /** Draws a customer and one of its keys, valid or revoked. */
-  draw(): { readonly customer: string; readonly key: string };
+  drawKey(): { readonly customer: string; readonly key: string };
 }
 
 /** Dependencies of callers. */
 export interface CallerContext {
-  readonly witness: CallerWitness;
+  readonly observer: CallerObserver;
   readonly random: () => number;
   readonly keys: KeySource;
   /** `HOST:PORT` of the directories of all VMs. */
@@ -66,7 +66,7 @@
 const ANSWER_GRACE_MS = 2000;
 const kinds: readonly RequestKind[] = ['repeatable', 'once', 'stream', 'resumable'];
 /** Path prefix of the route of each kind of request. */
-export const prefixes: Readonly<Record<RequestKind, string>> = {
+export const routePrefixes: Readonly<Record<RequestKind, string>> = {
   repeatable: '/look/',
   once: '/pay/',
   stream: '/read/',
@@ -105,9 +105,9 @@
     const kind = kinds[Math.floor(random() * kinds.length)] ?? 'once';
     const isStream = kind === 'stream' || kind === 'resumable';
     const events = isStream ? 5 + Math.floor(random() * 30) : 0;
-    const path = `${prefixes[kind]}${randomUUID().slice(0, 6)}`;
+    const path = `${routePrefixes[kind]}${randomUUID().slice(0, 6)}`;
     const body = `events=${events} ${randomUUID()}`;
-    const credentials = keys.draw();
+    const credentials = keys.drawKey();
     for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
       const sent: SentRequest = { id: randomUUID(), kind, path, body, events, ...credentials };
       const { outcome, retryAfterMs } = await this.#attempt(sent);
@@ -118,15 +118,15 @@
   }
 
   async #attempt(sent: SentRequest): Promise<CallerAnswer> {
-    const { witness, random } = this.#context;
+    const { observer, random } = this.#context;
     const address = await this.#pickAddress();
-    witness.sent(sent, address);
+    observer.sent(sent, address);
     const disconnectMs = random() < DISCONNECT_RATIO ? random() * 600 : undefined;
     const began = performance.now();
     const answer = await exchange(this.#agent, address, sent, disconnectMs);
     const timed = { ...answer, ms: performance.now() - began };
-    if (timed.outcome === 'left') witness.left(sent);
-    witness.answered(sent, address, timed);
+    if (timed.outcome === 'left') observer.disconnected(sent);
+    observer.answered(sent, address, timed);
     return timed;
   }
 
@@ -167,7 +167,7 @@
   outcome: 'broken',
   status: 0,
   retryAfterMs: undefined,
-  fault: undefined,
+  integrityError: undefined,
 };
 
 /** Makes one attempt, on a new or a reused connection. */
@@ -209,7 +209,12 @@
     const text = Buffer.concat(chunks).toString();
     if (!res.complete) end({ ...brokenResult, status });
     else if (status >= 200 && status < 300) {
-      end({ ...brokenResult, outcome: 'served', status, fault: integrityErrorOf(sent, res, text) });
+      end({
+        ...brokenResult,
+        outcome: 'served',
+        status,
+        integrityError: integrityErrorOf(sent, res, text),
+      });
     } else {
       const seconds = Number(res.headers['retry-after']);
       const retryAfterMs = Number.isFinite(seconds) ? seconds * 1000 : undefined;
--- a/scripts/soak/faults.ts
+++ b/scripts/soak/faults.ts
@@ -3,11 +3,11 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
 import type { FakeStore, StoreCopy } from '../../test/fakes/store';
-import type { Place, RunnerPool } from './pool';
+import type { PooledRunner, RunnerPool } from './pool';
 import type { Mesh } from './mesh';
-import type { LinkMood, LinkProxy } from './proxy';
-import type { RunnerMood } from './runner';
-import { wellMood } from './runner';
+import type { LinkProxy, LinkState } from './proxy';
+import type { RunnerBehaviour } from './runner';
+import { healthyBehaviour } from './runner';
 import type { Vm } from './vm';
 
 /** What faults act on, and callbacks about them. */
@@ -18,7 +18,7 @@
   readonly store: FakeStore;
   readonly pool: RunnerPool;
   /** Called after the store was restored from an older copy. */
-  readonly onReturn: () => void;
+  readonly onStoreRestored: () => void;
   /** Called when a fault begins or ends. */
   readonly onFault: (id: number, name: string, target: string, begins: boolean) => void;
 }
@@ -57,7 +57,7 @@
 const CLOCK_STEP_RANGE_MS = 8000;
 
 /** Draws faults, begins them and ends them. */
-export class Faults {
+export class FaultInjector {
   readonly #context: FaultContext;
 
   readonly #enabledKinds: ReadonlySet<string> | undefined;
@@ -94,7 +94,7 @@
    * Time since the last fault of the given families ended, in milliseconds; since the start if there
    * was none, and 0 while one is in progress.
    */
-  calmMs(...families: readonly FaultFamily[]): number {
+  faultFreeMs(...families: readonly FaultFamily[]): number {
     const isActive = [...this.#active.values()].some((name) => families.includes(familyOf(name)));
     if (isActive) return 0;
     const ends = families.map((family) => this.#endedAt.get(family) ?? this.#startedAt);
@@ -170,14 +170,14 @@
       'store-older': () => this.#onStore(async () => this.#restoreStore()),
       'store-strange': () => this.#onStore(async () => this.#writeMalformedEntry()),
       'store-link': () => this.#onStoreLink(),
-      'runner-crash': () => this.#onRunner((place) => this.#crash(place)),
-      'runner-fails': () => this.#disturbRunner({ failPart: 0.4 }),
+      'runner-crash': () => this.#onRunner((member) => this.#crash(member)),
+      'runner-fails': () => this.#disturbRunner({ failRatio: 0.4 }),
       'runner-all-fail': () => this.#failPlainRunners(),
-      'runner-sheds': () => this.#disturbRunner({ shedPart: 0.4 }),
-      'runner-cuts': () => this.#disturbRunner({ cutPart: 0.4 }),
-      'runner-mute': () => this.#disturbRunner({ mutePart: 0.2 }),
-      'runner-slow': () => this.#disturbRunner({ slowness: 4 }),
-      'runner-link': () => this.#onRunner((place) => this.#disturbLink(place.proxy)),
+      'runner-sheds': () => this.#disturbRunner({ shedRatio: 0.4 }),
+      'runner-cuts': () => this.#disturbRunner({ cutRatio: 0.4 }),
+      'runner-mute': () => this.#disturbRunner({ hangRatio: 0.2 }),
+      'runner-slow': () => this.#disturbRunner({ slowdown: 4 }),
+      'runner-link': () => this.#onRunner((member) => this.#disturbLink(member.proxy)),
       'runner-reset': () =>
         this.#onRunner(async ({ proxy }) => proxy.reset(this.#context.random, 0.5)),
     };
@@ -193,8 +193,8 @@
 
   #onVm(work: (vm: Vm) => Promise<void>): ActiveFault | undefined {
     const { vms } = this.#context;
-    const down = vms.filter(({ up, frozen }) => !up || frozen).length;
-    const free = vms.filter(({ up, options }) => up && !this.#busyTargets.has(options.name));
+    const down = vms.filter(({ isUp, isPaused }) => !isUp || isPaused).length;
+    const free = vms.filter(({ isUp, options }) => isUp && !this.#busyTargets.has(options.name));
     const vm = this.#pick(free);
     if (!vm || down + 1 > vms.length * MAX_DOWN_RATIO) return undefined;
     return { target: vm.options.name, done: work(vm) };
@@ -215,8 +215,8 @@
   /** Partitions a VM from others, in both directions or in one. */
   async #partition(vm: Vm, others: readonly Vm[]): Promise<void> {
     const { mesh, random } = this.#context;
-    const moods: readonly LinkMood[] = ['silent', 'forward', 'back'];
-    mesh.cut(vm, others, this.#pick(moods) ?? 'silent');
+    const states: readonly LinkState[] = ['silent', 'forward', 'back'];
+    mesh.cut(vm, others, this.#pick(states) ?? 'silent');
     await pause(this.#drawDurationMs());
     mesh.cut(vm, others, 'well');
     // Connections silenced during the partition stay silent until a peer closes them.
@@ -229,17 +229,17 @@
     const { mesh, vms, random } = this.#context;
     const link = mesh.storeLinks[vms.indexOf(vm)];
     mesh.cut(vm, this.#othersOf(vm), 'silent');
-    if (link) link.mood = 'silent';
+    if (link) link.state = 'silent';
     await pause(MIN_ISOLATION_MS * (1 + random()));
     mesh.cut(vm, this.#othersOf(vm), 'well');
-    if (link) link.mood = 'well';
+    if (link) link.state = 'well';
     await pause(RECONNECT_MS);
   }
 
   #restartVm(signal: 'SIGKILL' | 'SIGTERM'): ActiveFault | undefined {
     return this.#onVm(async (vm) => {
       vm.signal(signal);
-      await vm.gone();
+      await vm.waitForExit();
       await pause(this.#drawDurationMs() / 2);
       vm.start();
       // The start-up counts as part of the fault: the other VMs do not know the new process yet.
@@ -274,11 +274,11 @@
 
   /** Restores the store from the last copy; the operator and the runners then rewrite the entries that it lacks. */
   async #restoreStore(): Promise<void> {
-    const { store, pool, onReturn } = this.#context;
+    const { store, pool, onStoreRestored } = this.#context;
     if (this.#storeCopy) store.comeBack(this.#storeCopy);
     await pause(RESTORE_REWRITE_DELAY_MS);
-    onReturn();
-    for (const place of pool.places) pool.list(place.runner);
+    onStoreRestored();
+    for (const member of pool.members) pool.publish(member.runner);
     await pause(500);
   }
 
@@ -303,49 +303,49 @@
   async #disturbLink(link: LinkProxy): Promise<void> {
     const proxy = link;
     const { random } = this.#context;
-    const moods: readonly LinkMood[] = ['silent', 'forward', 'back', 'refuse', 'well'];
-    proxy.mood = this.#pick(moods) ?? 'well';
-    if (proxy.mood === 'well') proxy.delayMs = random() * 300;
+    const states: readonly LinkState[] = ['silent', 'forward', 'back', 'refuse', 'well'];
+    proxy.state = this.#pick(states) ?? 'well';
+    if (proxy.state === 'well') proxy.delayMs = random() * 300;
     await pause(this.#drawDurationMs());
-    proxy.mood = 'well';
+    proxy.state = 'well';
     proxy.delayMs = 0;
     // Silenced connections stay silent, so they are reset.
     proxy.reset(random, 1);
   }
 
-  #onRunner(work: (place: Place) => Promise<void>): ActiveFault | undefined {
-    const free = this.#context.pool.places.filter(
-      ({ runner }) => runner.up && !this.#busyTargets.has(runner.listing),
+  #onRunner(work: (member: PooledRunner) => Promise<void>): ActiveFault | undefined {
+    const free = this.#context.pool.members.filter(
+      ({ runner }) => runner.isUp && !this.#busyTargets.has(runner.runnerId),
     );
-    const place = this.#pick(free);
-    return place && { target: place.runner.listing, done: work(place) };
+    const member = this.#pick(free);
+    return member && { target: member.runner.runnerId, done: work(member) };
   }
 
-  async #crash(place: Place): Promise<void> {
-    await this.#context.pool.restart(place, this.#drawDurationMs());
+  async #crash(member: PooledRunner): Promise<void> {
+    await this.#context.pool.restart(member, this.#drawDurationMs());
     // Time for the VMs to learn of the new instance, and for requests of the old one to end.
     await pause(1500);
   }
 
   /** Makes all plain runners fail most of their requests. */
   #failPlainRunners(): ActiveFault | undefined {
-    const places = this.#context.pool.of('plain');
-    const runners = places.map(({ runner }) => runner);
-    if (runners.some(({ listing }) => this.#busyTargets.has(listing))) return undefined;
+    const members = this.#context.pool.membersUp('plain');
+    const runners = members.map(({ runner }) => runner);
+    if (runners.some(({ runnerId }) => this.#busyTargets.has(runnerId))) return undefined;
     const run = async (): Promise<void> => {
-      for (const runner of runners) runner.mood = { ...wellMood, failPart: 0.8 };
+      for (const runner of runners) runner.behaviour = { ...healthyBehaviour, failRatio: 0.8 };
       await pause(this.#drawDurationMs());
-      for (const runner of runners) runner.mood = wellMood;
+      for (const runner of runners) runner.behaviour = healthyBehaviour;
     };
     return { target: 'all plain runners', done: run() };
   }
 
-  #disturbRunner(change: Partial<RunnerMood>): ActiveFault | undefined {
+  #disturbRunner(change: Partial<RunnerBehaviour>): ActiveFault | undefined {
     return this.#onRunner(async ({ runner }) => {
       const changed = runner;
-      changed.mood = { ...wellMood, ...change };
+      changed.behaviour = { ...healthyBehaviour, ...change };
       await pause(this.#drawDurationMs());
-      changed.mood = wellMood;
+      changed.behaviour = healthyBehaviour;
     });
   }
 }
--- a/scripts/soak/promises.ts
+++ b/scripts/soak/guarantees.ts
@@ -5,11 +5,11 @@
  */
 
 import { bounds } from './vm';
-import type { CallerAnswer, CallerWitness } from './callers';
+import type { CallerAnswer, CallerObserver } from './callers';
 import type { FaultFamily } from './faults';
 import type { SentRequest } from './requests';
 import { digestOf } from './requests';
-import type { Arrival, Order, RunnerWitness } from './runner';
+import type { Arrival, Order, RunnerObserver } from './runner';
 
 /** A violated guarantee. */
 export interface Breach {
@@ -19,10 +19,10 @@
 }
 
 /** What guarantees are checked against. */
-export interface PromiseContext {
+export interface GuaranteeContext {
   readonly onBreach: (breach: Breach) => void;
   /** Time since the last fault of the given families ended, in milliseconds; 0 while one is in progress. */
-  readonly calmMs: (...families: readonly FaultFamily[]) => number;
+  readonly faultFreeMs: (...families: readonly FaultFamily[]) => number;
   /** When the configuration that revoked a key was acknowledged; undefined while the key is valid. */
   readonly revokedAt: (key: string) => number | undefined;
   /** Request rate and burst allowed to a customer; undefined if it has no quota. */
@@ -64,8 +64,8 @@
 const DRAIN_GRACE_MS = 2500;
 
 /** Checks all guarantees of one run. */
-export class Promises implements CallerWitness, RunnerWitness {
-  readonly #context: PromiseContext;
+export class GuaranteeChecker implements CallerObserver, RunnerObserver {
+  readonly #context: GuaranteeContext;
 
   readonly #records = new Map<string, RequestRecord>();
 
@@ -88,9 +88,9 @@
   readonly #limits = new Map<string, { ratePerS: number; since: number; readonly at: number[] }>();
 
   /** Highest observed value of each bounded amount, as a fraction of its bound. */
-  readonly used: Record<string, number> = {};
+  readonly peakUsage: Record<string, number> = {};
 
-  constructor(context: PromiseContext) {
+  constructor(context: GuaranteeContext) {
     this.#context = context;
   }
 
@@ -109,9 +109,13 @@
     });
   }
 
-  answered(request: SentRequest, vm: string, { outcome, fault, status }: CallerAnswer): void {
+  answered(
+    request: SentRequest,
+    vm: string,
+    { outcome, integrityError: error, status }: CallerAnswer,
+  ): void {
     const record = this.#records.get(request.id);
-    if (fault !== undefined) this.#report('whole', `${request.id} at ${vm}: ${fault}`);
+    if (error !== undefined) this.#report('whole', `${request.id} at ${vm}: ${error}`);
     if (outcome === 'served' && record && record.runs === 0) {
       this.#report('whole', `${request.id} at ${vm}: success for a request that never ran`);
     }
@@ -120,7 +124,7 @@
     if (record.runs > 0) this.#report('not run', `${request.id} at ${vm}: ${status} after a run`);
   }
 
-  left({ id }: SentRequest): void {
+  disconnected({ id }: SentRequest): void {
     const record = this.#records.get(id);
     if (!record) return;
     record.disconnectedAt = Date.now();
@@ -129,8 +133,8 @@
 
   arrived(arrival: Arrival): void {
     const now = Date.now();
-    const record = this.#records.get(arrival.request);
-    this.#checkLimit(now, arrival.runner);
+    const record = this.#records.get(arrival.requestId);
+    this.#checkLimit(now, arrival.instanceId);
     this.#checkDraining(now, arrival);
     if (!record) return;
     // A prefill that precedes the first decode is not a retry.
@@ -143,7 +147,7 @@
   }
 
   began(arrival: Arrival): void {
-    const { request: id, digest, customer, hasKey, runner } = arrival;
+    const { requestId: id, digest, customer, hasKey, instanceId: runner } = arrival;
     const record = this.#records.get(id);
     if (!record) {
       this.#report('asked', `${runner} ran ${id}, which no caller sent`);
@@ -168,10 +172,10 @@
   }
 
   ended(arrival: Arrival): void {
-    this.#records.get(arrival.request)?.activeRuns.delete(arrival);
+    this.#records.get(arrival.requestId)?.activeRuns.delete(arrival);
   }
 
-  ordered({ runner, holder, fence }: Order): void {
+  ordered({ instanceId: runner, holder, fence }: Order): void {
     const now = Date.now();
     const before = this.#lastOrders.get(runner);
     this.#lastOrders.set(runner, { holder, fence, at: now });
@@ -190,16 +194,16 @@
     }
   }
 
-  /** Records that a runner's record in the store is draining, or no longer is. */
-  leaving(listing: string, isDraining: boolean): void {
-    if (isDraining) this.#drainingSince.set(listing, Date.now());
-    else this.#drainingSince.delete(listing);
+  /** Records that a runner's store entry is marked as draining, or no longer is. */
+  setDraining(runnerId: string, isDraining: boolean): void {
+    if (isDraining) this.#drainingSince.set(runnerId, Date.now());
+    else this.#drainingSince.delete(runnerId);
   }
 
   /** Records the rate limit that a runner instance announces; undefined if it announces none. */
-  limited(runner: string, ratePerS: number | undefined): void {
-    if (ratePerS === undefined) this.#limits.delete(runner);
-    else this.#limits.set(runner, { ratePerS, since: Date.now(), at: [] });
+  setRateLimit(instanceId: string, ratePerS: number | undefined): void {
+    if (ratePerS === undefined) this.#limits.delete(instanceId);
+    else this.#limits.set(instanceId, { ratePerS, since: Date.now(), at: [] });
   }
 
   /** Removes records and times that no check needs any more. */
@@ -219,14 +223,17 @@
   }
 
   #checkBound(promise: string, amount: number, max: number, subject: string): void {
-    this.used[promise] = Math.max(this.used[promise] ?? 0, Math.round((amount / max) * 100) / 100);
+    this.peakUsage[promise] = Math.max(
+      this.peakUsage[promise] ?? 0,
+      Math.round((amount / max) * 100) / 100,
+    );
     if (amount > max) this.#report(promise, `${subject}: ${amount}, at most ${max} allowed`);
   }
 
   #checkCancellation({ request, activeRuns, disconnectedAt = 0 }: RequestRecord): void {
-    const calmMs = this.#context.calmMs('vm', 'runner');
-    if (activeRuns.size === 0 || calmMs < MIN_FAULT_FREE_MS + CANCELLATION_MS) return;
-    const runners = [...activeRuns].map(({ runner }) => runner).join(' ');
+    const faultFreeMs = this.#context.faultFreeMs('vm', 'runner');
+    if (activeRuns.size === 0 || faultFreeMs < MIN_FAULT_FREE_MS + CANCELLATION_MS) return;
+    const runners = [...activeRuns].map(({ instanceId }) => instanceId).join(' ');
     this.#report(
       'gone',
       `${request.id}: still running at ${runners} ${Date.now() - disconnectedAt} ms after its caller disconnected`,
@@ -265,11 +272,14 @@
     this.#checkBound('budget', retries, max, 'retries in 10 s');
   }
 
-  #checkDraining(now: number, { request, runner }: Arrival): void {
-    const listing = runner.split('@')[0] ?? '';
-    const forMs = now - (this.#drainingSince.get(listing) ?? Infinity);
-    if (forMs > DRAIN_GRACE_MS && this.#context.calmMs('vm', 'store') >= forMs) {
-      this.#report('drain', `${request} reached ${runner} ${forMs} ms after it began to drain`);
+  #checkDraining(now: number, { requestId, instanceId }: Arrival): void {
+    const runnerId = instanceId.split('@')[0] ?? '';
+    const forMs = now - (this.#drainingSince.get(runnerId) ?? Infinity);
+    if (forMs > DRAIN_GRACE_MS && this.#context.faultFreeMs('vm', 'store') >= forMs) {
+      this.#report(
+        'drain',
+        `${requestId} reached ${instanceId} ${forMs} ms after it began to drain`,
+      );
     }
   }
 
@@ -281,7 +291,8 @@
     const max =
       (limit.ratePerS * LIMIT_WINDOW_MS * LIMIT_OVERAGE_FACTOR) / 1000 + LIMIT_SLACK_REQUESTS;
     const isSettled = now - limit.since > LIMIT_SETTLE_MS;
-    const isCalm = this.#context.calmMs('vm') >= MIN_FAULT_FREE_MS;
-    if (isSettled && isCalm) this.#checkBound('limit', limit.at.length, max, `${runner} in 4 s`);
+    const isFaultFree = this.#context.faultFreeMs('vm') >= MIN_FAULT_FREE_MS;
+    if (isSettled && isFaultFree)
+      this.#checkBound('limit', limit.at.length, max, `${runner} in 4 s`);
   }
 }
--- a/scripts/soak/mesh.ts
+++ b/scripts/soak/mesh.ts
@@ -1,7 +1,7 @@
 /** The network links of VMs: one proxy per VM to the store and, in small runs, one per ordered pair of VMs. */
 
 import { LinkProxy } from './proxy';
-import type { LinkMood } from './proxy';
+import type { LinkState } from './proxy';
 import type { Vm } from './vm';
 import { PEER_PORT } from './vm';
 
@@ -37,7 +37,7 @@
       const host = `${this.#networkPrefix}.4.${index + 1}`;
       await link.start(host, PEER_PORT);
       this.storeLinks.push(link);
-      vm.route(store, `${host}:${PEER_PORT}`);
+      vm.redirect(store, `${host}:${PEER_PORT}`);
     }
     if (this.#vms.length > MAX_VMS_WITH_LINKS) return;
     for (const [from, vm] of this.#vms.entries()) {
@@ -46,23 +46,23 @@
       for (const [to, other] of this.#vms.entries()) {
         if (other !== vm) {
           const host = `${this.#networkPrefix}.${10 + from}.${to + 1}`;
-          const link = new LinkProxy(other.peer);
+          const link = new LinkProxy(other.peerAddress);
           await link.start(host, PEER_PORT);
           links.set(other, link);
-          vm.route(other.peer, `${host}:${PEER_PORT}`);
+          vm.redirect(other.peerAddress, `${host}:${PEER_PORT}`);
         }
       }
     }
   }
 
   /** Partitions a VM from others, in both directions or in one; `well` ends the partition. */
-  cut(vm: Vm, others: readonly Vm[], mood: LinkMood): void {
+  cut(vm: Vm, others: readonly Vm[], state: LinkState): void {
     for (const other of others) {
-      this.#set(vm, other, mood);
-      this.#set(other, vm, mood === 'forward' ? 'back' : mood);
-      vm.lose(other.options.ip, mood !== 'well');
+      this.#set(vm, other, state);
+      this.#set(other, vm, state === 'forward' ? 'back' : state);
+      vm.setDatagramLoss(other.options.ip, state !== 'well');
       // Datagrams: `forward` drops only those of the VM, `silent` and `back` those of both sides.
-      other.lose(vm.options.ip, mood !== 'well' && mood !== 'forward');
+      other.setDatagramLoss(vm.options.ip, state !== 'well' && state !== 'forward');
     }
   }
 
@@ -79,8 +79,8 @@
     for (const links of this.#links.values()) for (const link of links.values()) link.stop();
   }
 
-  #set(from: Vm, to: Vm, mood: LinkMood): void {
+  #set(from: Vm, to: Vm, state: LinkState): void {
     const link = this.#links.get(from)?.get(to);
-    if (link) link.mood = mood;
+    if (link) link.state = state;
   }
 }
--- a/scripts/soak/operator.ts
+++ b/scripts/soak/operator.ts
@@ -5,12 +5,12 @@
 
 import { call } from '../../test/fakes/http';
 import type { FakeStore } from '../../test/fakes/store';
-import type { CallerWitness, KeySource } from './callers';
-import { prefixes } from './callers';
+import type { CallerObserver, KeySource } from './callers';
+import { routePrefixes } from './callers';
 import { services } from './pool';
 import type { SentRequest } from './requests';
-import type { Breach } from './promises';
-import { figures } from './runner';
+import type { Breach } from './guarantees';
+import { runnerProfile } from './runner';
 import type { Vm } from './vm';
 import { bounds } from './vm';
 
@@ -44,9 +44,9 @@
   readonly vms: readonly Vm[];
   readonly random: () => number;
   readonly onBreach: (breach: Breach) => void;
-  readonly onSent: CallerWitness['sent'];
+  readonly onSent: CallerObserver['sent'];
   /** Time since the last fault of VMs or the store ended, in milliseconds; 0 while one is in progress. */
-  readonly calmMs: () => number;
+  readonly faultFreeMs: () => number;
 }
 
 /** Writes the configurations of one run and checks that VMs apply them. */
@@ -80,7 +80,7 @@
   }
 
   /** Draws a valid key in most cases; otherwise a revoked one, as from a caller that still uses it. */
-  draw(): ApiKey {
+  drawKey(): ApiKey {
     const { random } = this.#context;
     const isOld = this.#recentlyRevoked.length > 0 && random() < REVOKED_KEY_RATIO;
     const keys = isOld ? this.#recentlyRevoked : this.#keys;
@@ -98,13 +98,13 @@
   }
 
   /** Writes the next configuration. */
-  write(): void {
+  writeNext(): void {
     this.#version += 1;
-    this.writeAgain();
+    this.rewrite();
   }
 
   /** Writes the current configuration again, because a restored store may lack it. */
-  writeAgain(): void {
+  rewrite(): void {
     this.#writtenAt = Date.now();
     this.#context.store.put('op/config', this.#buildConfig());
   }
@@ -124,7 +124,7 @@
         this.#revokedAt.set(revoked.key, Date.now());
         this.#recentlyRevoked = [revoked, ...this.#recentlyRevoked].slice(0, REVOKED_KEYS_IN_USE);
       }
-      this.write();
+      this.writeNext();
     }
   }
 
@@ -133,7 +133,7 @@
       await pause(PROBE_INTERVAL_MS);
       await Promise.all(
         this.#context.vms
-          .filter(({ up, frozen }) => up && !frozen)
+          .filter(({ isUp, isPaused }) => isUp && !isPaused)
           .map((vm) => this.#checkVersion(vm)),
       );
     }
@@ -144,10 +144,10 @@
     const version = this.#version;
     const writtenAt = this.#writtenAt;
     const askedAt = Date.now();
-    const instance = `${vm.options.name}/${vm.lives}`;
+    const instance = `${vm.options.name}/${vm.startCount}`;
     const status = await this.#probeRoute(vm, version);
-    if (instance !== `${vm.options.name}/${vm.lives}`) return;
-    const isOverdue = askedAt - writtenAt > APPLY_MS && this.#context.calmMs() > APPLY_MS;
+    if (instance !== `${vm.options.name}/${vm.startCount}`) return;
+    const isOverdue = askedAt - writtenAt > APPLY_MS && this.#context.faultFreeMs() > APPLY_MS;
     // Only if the version is still current: a newer one removes the route.
     if (status === 404 && isOverdue && version === this.#version) {
       this.#reportBreach('config', `${instance} has not applied version ${version}`);
@@ -175,7 +175,7 @@
       customer: valid?.customer,
       key: valid?.key,
     };
-    this.#context.onSent(sent, vm.front);
+    this.#context.onSent(sent, vm.frontAddress);
     const headers = {
       host: HOST,
       'request-id': sent.id,
@@ -183,7 +183,7 @@
       authorization: `Bearer ${valid?.key}`,
       connection: 'close',
     };
-    const answer = call('POST', `http://${vm.front}${sent.path}`, sent.body, headers);
+    const answer = call('POST', `http://${vm.frontAddress}${sent.path}`, sent.body, headers);
     const limit = pause(1500, undefined, { ref: false });
     return (await Promise.race([answer.catch(() => undefined), limit]))?.status ?? 0;
   }
@@ -211,21 +211,21 @@
         ...(QUOTAS[name] ? { 'rate-per-s': QUOTAS[name].ratePerS, burst: QUOTAS[name].burst } : {}),
       })),
       routes: [
-        route('look', prefixes.repeatable, 'idempotent', plain),
-        route('pay', prefixes.once, 'non_idempotent', plain),
-        route('read', prefixes.stream, 'streaming', model),
-        route('note', prefixes.resumable, 'streaming', { ...model, resumable: true }),
+        route('look', routePrefixes.repeatable, 'idempotent', plain),
+        route('pay', routePrefixes.once, 'non_idempotent', plain),
+        route('read', routePrefixes.stream, 'streaming', model),
+        route('note', routePrefixes.resumable, 'streaming', { ...model, resumable: true }),
         route('version', `/version/${this.#version}/`, 'idempotent', plain),
       ],
       services: [
         {
           name: services.model,
           engine: {
-            slots: figures.slots,
-            'kv-capacity-tokens': figures.memoryTokens,
-            stride: figures.eventTokens,
-            'kv-hold-s': figures.keepMs / 1000,
-            'switch-s': figures.switchMs / 1000,
+            slots: runnerProfile.slots,
+            'kv-capacity-tokens': runnerProfile.memoryTokens,
+            stride: runnerProfile.eventTokens,
+            'kv-hold-s': runnerProfile.cacheHoldMs / 1000,
+            'switch-s': runnerProfile.roleSwitchMs / 1000,
           },
         },
         { name: services.plain },
--- a/scripts/soak/pool.ts
+++ b/scripts/soak/pool.ts
@@ -15,7 +15,7 @@
 const PORT = 8528;
 
 /** A runner with its addresses and its proxy. */
-export interface Place {
+export interface PooledRunner {
   readonly runner: SoakRunner;
   /** IP address on which it listens. */
   readonly host: string;
@@ -26,7 +26,7 @@
 
 /** Starts, registers and stops all runners. */
 export class RunnerPool {
-  readonly places: Place[] = [];
+  readonly members: PooledRunner[] = [];
 
   readonly #store: FakeStore;
 
@@ -38,7 +38,7 @@
 
   constructor(
     store: FakeStore,
-    context: Pick<RunnerContext, 'witness' | 'random'>,
+    context: Pick<RunnerContext, 'observer' | 'random'>,
     net: string,
     domains: readonly string[],
   ) {
@@ -47,74 +47,74 @@
     this.#domains = domains;
     this.#context = {
       ...context,
-      onEntry: (runner) => this.list(runner),
-      take: (source) => this.#takeCache(source),
+      onEntryChange: (runner) => this.publish(runner),
+      takeCache: (source) => this.#takeCache(source),
     };
   }
 
   /** Runners of a role that are up. */
-  of(role: RunnerRole): readonly Place[] {
-    return this.places.filter(({ runner }) => runner.role === role && runner.up);
+  membersUp(role: RunnerRole): readonly PooledRunner[] {
+    return this.members.filter(({ runner }) => runner.role === role && runner.isUp);
   }
 
   /** Starts a runner behind a proxy and writes its store entry. */
   async add(role: RunnerRole): Promise<void> {
-    const number = this.places.length + 1;
+    const number = this.members.length + 1;
     const domain = this.#domains[number % this.#domains.length] ?? '';
     const service = role === 'plain' ? services.plain : services.model;
     const runner = new SoakRunner(role, service, domain, this.#context);
     const host = `${this.#networkPrefix}.2.${number}`;
     const proxyHost = `${this.#networkPrefix}.3.${number}`;
-    const place = {
+    const member = {
       runner,
       host,
       address: `${proxyHost}:${PORT}`,
       proxy: new LinkProxy(`${host}:${PORT}`),
     };
-    this.places.push(place);
-    await place.proxy.start(proxyHost, PORT);
+    this.members.push(member);
+    await member.proxy.start(proxyHost, PORT);
     await runner.start(host, PORT);
-    this.list(runner);
+    this.publish(runner);
   }
 
   /** Crashes a runner and restarts it under the same id; its store entry expires if it is down for long. */
-  async restart(place: Place, downMs: number): Promise<void> {
-    const { runner, host } = place;
+  async restart(member: PooledRunner, downMs: number): Promise<void> {
+    const { runner, host } = member;
     await runner.crash();
     const expiry = setTimeout(
-      () => this.#store.remove(`servers/${runner.listing}`),
+      () => this.#store.remove(`servers/${runner.runnerId}`),
       ENTRY_EXPIRY_MS,
     );
     await pause(downMs);
     clearTimeout(expiry);
-    runner.leaving = false;
+    runner.isDraining = false;
     await runner.start(host, PORT);
-    this.list(runner);
+    this.publish(runner);
   }
 
   /** Marks a runner as draining and updates its store entry. */
-  leave({ runner }: Place): void {
+  drain({ runner }: PooledRunner): void {
     const drained = runner;
-    drained.leaving = true;
-    this.list(runner);
+    drained.isDraining = true;
+    this.publish(runner);
   }
 
   /** Writes the store entry of a runner; does nothing while it is down. */
-  list(runner: SoakRunner): void {
-    const place = this.places.find((member) => member.runner === runner);
-    if (!place || !runner.up) return;
-    this.#store.put(`servers/${runner.listing}`, runner.entry(place.address));
+  publish(runner: SoakRunner): void {
+    const member = this.members.find((one) => one.runner === runner);
+    if (!member || !runner.isUp) return;
+    this.#store.put(`servers/${runner.runnerId}`, runner.entry(member.address));
   }
 
   /** Stops all runners and their proxies. */
   async stop(): Promise<void> {
-    for (const { proxy } of this.places) proxy.stop();
-    await Promise.all(this.places.map(({ runner }) => runner.crash()));
+    for (const { proxy } of this.members) proxy.stop();
+    await Promise.all(this.members.map(({ runner }) => runner.crash()));
   }
 
   #takeCache(source: string): boolean {
     const [address = '', handle = ''] = source.split('/');
-    const place = this.places.find((member) => member.address === address);
-    return place?.runner.take(handle) ?? false;
+    const member = this.members.find((one) => one.address === address);
+    return member?.runner.takeCache(handle) ?? false;
   }
 }
--- a/scripts/soak/proxy.ts
+++ b/scripts/soak/proxy.ts
@@ -7,7 +7,7 @@
  * What a link does with bytes: `well` forwards both directions, `forward` and `back` only the named one
  * (`forward` is from client to server), and `silent` none; `refuse` resets new connections.
  */
-export type LinkMood = 'well' | 'silent' | 'forward' | 'back' | 'refuse';
+export type LinkState = 'well' | 'silent' | 'forward' | 'back' | 'refuse';
 
 /** The two sockets of a proxied connection. */
 interface Connection {
@@ -26,20 +26,20 @@
 
   readonly #connections = new Set<Connection>();
 
-  #mood: LinkMood = 'well';
+  #state: LinkState = 'well';
 
   constructor(target: string) {
     this.#target = target;
     this.#server = createServer({ allowHalfOpen: true }, (client) => this.#accept(client));
   }
 
-  get mood(): LinkMood {
-    return this.#mood;
+  get state(): LinkState {
+    return this.#state;
   }
 
   /** Sets what the link does. Connections already silenced stay silent; only new ones recover. */
-  set mood(mood: LinkMood) {
-    this.#mood = mood;
+  set state(state: LinkState) {
+    this.#state = state;
     for (const connection of this.#connections) this.#pauseBlocked(connection);
   }
 
@@ -70,7 +70,7 @@
   }
 
   #accept(client: Socket): void {
-    if (this.#mood === 'refuse') {
+    if (this.#state === 'refuse') {
       client.resetAndDestroy();
       return;
     }
@@ -109,7 +109,7 @@
 
   /** Stops reading from each side whose bytes must not pass; the other side sees a silent peer. */
   #pauseBlocked({ client, server }: Connection): void {
-    if (this.#mood === 'silent' || this.#mood === 'back') client.pause();
-    if (this.#mood === 'silent' || this.#mood === 'forward') server.pause();
+    if (this.#state === 'silent' || this.#state === 'back') client.pause();
+    if (this.#state === 'silent' || this.#state === 'forward') server.pause();
   }
 }
--- a/scripts/soak/report.ts
+++ b/scripts/soak/report.ts
@@ -42,7 +42,7 @@
 }
 
 /** Renders one plot as SVG. */
-export function plot(
+export function renderPlot(
   title: string,
   seconds: readonly Second[],
   faults: readonly FaultSpan[],
@@ -80,12 +80,12 @@
 }
 
 /** Renders all plots of a run as SVG. */
-export function plots({ seconds, faults }: Timeline): readonly string[] {
+export function renderPlots({ seconds, faults }: Timeline): readonly string[] {
   const valuesOf = (value: (second: Second) => number): readonly number[] => seconds.map(value);
   const outcomes = Object.keys(outcomeColours) as readonly Outcome[];
   const finite = (value: number): number | null => (Number.isFinite(value) ? value : null);
   return [
-    plot(
+    renderPlot(
       'Requests per second by outcome',
       seconds,
       faults,
@@ -95,12 +95,12 @@
         values: valuesOf((second) => second.outcomes[name]),
       })),
     ),
-    plot('Duration of served requests, ms', seconds, faults, [
+    renderPlot('Duration of served requests, ms', seconds, faults, [
       { name: 'median', values: valuesOf(({ medianMs }) => medianMs) },
       { name: '95th percentile', values: valuesOf(({ p95Ms }) => p95Ms) },
     ]),
-    plot('VMs up', seconds, faults, [{ name: 'up', values: valuesOf(({ vmsUp }) => vmsUp) }]),
-    plot('Configuration version applied by VMs', seconds, faults, [
+    renderPlot('VMs up', seconds, faults, [{ name: 'up', values: valuesOf(({ vmsUp }) => vmsUp) }]),
+    renderPlot('Configuration version applied by VMs', seconds, faults, [
       { name: 'lowest', values: seconds.map(({ configLow }) => finite(configLow)) },
       { name: 'highest', values: seconds.map(({ configHigh }) => finite(configHigh)) },
     ]),
@@ -129,7 +129,7 @@
     '<style>body{font-family:sans-serif;margin:2em}td{padding:0 1em 0 0}</style>',
     `<h1>${escapeHtml(title)}</h1>`,
     `<p>${escapeHtml(JSON.stringify(timeline.totals))}</p>`,
-    ...plots(timeline),
+    ...renderPlots(timeline),
     '<h2>Violated guarantees</h2>',
     violations,
     '<h2>Faults</h2>',
--- a/scripts/soak/requests.ts
+++ b/scripts/soak/requests.ts
@@ -39,6 +39,6 @@
 }
 
 /** Number of events that a request's body asks for; 0 if it names none. */
-export function eventsIn(body: string): number {
+export function eventCountOf(body: string): number {
   return Number(/events=(\d+)/.exec(body)?.[1] ?? 0);
 }
--- a/scripts/soak/runner.ts
+++ b/scripts/soak/runner.ts
@@ -9,7 +9,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
 import { closeServer, listen, readBody, sendJson } from '../../test/fakes/http';
-import { digestOf, eventOf, eventsIn, plainAnswer, signatureOf } from './requests';
+import { digestOf, eventOf, eventCountOf, plainAnswer, signatureOf } from './requests';
 
 /** What a runner does; orders switch engines between `prefill` and `decode`. */
 export type RunnerRole = 'prefill' | 'decode' | 'plain';
@@ -17,9 +17,9 @@
 /** A request as a runner received it. */
 export interface Arrival {
   /** Id of the request. */
-  readonly request: string;
+  readonly requestId: string;
   /** Id of the runner's instance: it changes with every start. */
-  readonly runner: string;
+  readonly instanceId: string;
   readonly role: RunnerRole;
   readonly service: string;
   /** Digest of the path and the body that the runner received. */
@@ -32,13 +32,13 @@
 /** A role-change order as a runner received it. */
 export interface Order {
   /** Id of the runner's instance. */
-  readonly runner: string;
+  readonly instanceId: string;
   readonly holder: string;
   readonly fence: number;
 }
 
 /** Receives what runners observe. */
-export interface RunnerWitness {
+export interface RunnerObserver {
   /** A request arrived, whether or not it will run. */
   arrived(arrival: Arrival): void;
   /** The request started to run. */
@@ -51,49 +51,49 @@
 
 /** Dependencies of a runner. */
 export interface RunnerContext {
-  readonly witness: RunnerWitness;
+  readonly observer: RunnerObserver;
   readonly random: () => number;
   /** Called when the runner's entry in the store must be updated. */
-  readonly onEntry: (runner: SoakRunner) => void;
+  readonly onEntryChange: (runner: SoakRunner) => void;
   /** Fetches the KV cache of a handle, `HOST:PORT/HANDLE`, from the runner that holds it; returns whether it existed. */
-  readonly take: (source: string) => boolean;
+  readonly takeCache: (source: string) => boolean;
 }
 
 /** How a runner treats requests. Ratios are fractions of all requests, from 0 to 1. */
-export interface RunnerMood {
+export interface RunnerBehaviour {
   /** Fraction answered with status 500. */
-  readonly failPart: number;
+  readonly failRatio: number;
   /** Fraction rejected with status 503 before running. */
-  readonly shedPart: number;
+  readonly shedRatio: number;
   /** Fraction whose connection is reset before the answer is complete. */
-  readonly cutPart: number;
+  readonly cutRatio: number;
   /** Fraction of work steps that hang: one per plain request, one per event of a stream. */
-  readonly mutePart: number;
+  readonly hangRatio: number;
   /** Factor on the duration of all work. */
-  readonly slowness: number;
+  readonly slowdown: number;
 }
 
 /** Behaviour of a runner without faults. */
-export const wellMood: RunnerMood = {
-  failPart: 0,
-  shedPart: 0,
-  cutPart: 0,
-  mutePart: 0,
-  slowness: 1,
+export const healthyBehaviour: RunnerBehaviour = {
+  failRatio: 0,
+  shedRatio: 0,
+  cutRatio: 0,
+  hangRatio: 0,
+  slowdown: 1,
 };
 
 /** Capacity and speed of all engines and plain instances. */
-export const figures = {
+export const runnerProfile = {
   memoryTokens: 20_000,
   slots: 16,
   eventTokens: 7,
-  keepMs: 500,
-  switchMs: 3000,
+  cacheHoldMs: 500,
+  roleSwitchMs: 3000,
   prefillTokenMs: 0.02,
   eventMs: 60,
   plainMs: 30,
   plainSlots: 6,
-  plainWaiting: 6,
+  plainQueueSlots: 6,
 } as const;
 
 /** Writes a runner's answer to one request. */
@@ -102,11 +102,11 @@
 
   readonly #headers: Readonly<Record<string, string>>;
 
-  constructor(res: ServerResponse, id: string, listing: string, ratePerS: number | undefined) {
+  constructor(res: ServerResponse, id: string, runnerId: string, ratePerS: number | undefined) {
     this.#res = res;
     this.#headers = {
       'request-id': id,
-      'server-signature': listing,
+      'server-signature': runnerId,
       ...(ratePerS === undefined ? {} : { 'server-limit': String(ratePerS) }),
     };
   }
@@ -159,25 +159,25 @@
 /** One runner at one address; it can be restarted, as a new instance. */
 export class SoakRunner {
   /** Id under which it is registered in the store; the same for all instances. */
-  readonly listing = `i-${randomUUID().slice(0, 8)}`;
+  readonly runnerId = `i-${randomUUID().slice(0, 8)}`;
 
   readonly service: string;
 
   readonly domain: string;
 
-  mood: RunnerMood = wellMood;
+  behaviour: RunnerBehaviour = healthyBehaviour;
 
   /** Rate limit that it announces in its answers, in requests per second; undefined if it announces none. */
   ratePerS: number | undefined;
 
   /** Whether its entry in the store says that it drains. */
-  leaving = false;
+  isDraining = false;
 
   #role: RunnerRole;
 
   readonly #context: RunnerContext;
 
-  readonly #observer: RunnerWitness;
+  readonly #observer: RunnerObserver;
 
   readonly #random: () => number;
 
@@ -203,7 +203,7 @@
     this.service = service;
     this.domain = domain;
     this.#context = context;
-    this.#observer = context.witness;
+    this.#observer = context.observer;
     this.#random = context.random;
   }
 
@@ -213,11 +213,11 @@
 
   /** Id of the current instance. */
   get instanceId(): string {
-    return `${this.listing}@${this.#startedAt}`;
+    return `${this.runnerId}@${this.#startedAt}`;
   }
 
   /** Whether it listens. */
-  get up(): boolean {
+  get isUp(): boolean {
     return this.#server !== undefined;
   }
 
@@ -228,8 +228,8 @@
       address,
       zone: this.domain,
       version: 'v1',
-      slots: this.#role === 'plain' ? figures.plainSlots : figures.slots,
-      state: this.leaving ? 'draining' : 'ready',
+      slots: this.#role === 'plain' ? runnerProfile.plainSlots : runnerProfile.slots,
+      state: this.isDraining ? 'draining' : 'ready',
       'cold-remaining-ms': 0,
       sequence: this.#sequence,
       born: this.#startedAt,
@@ -252,7 +252,7 @@
   }
 
   /** Removes a KV cache for its transfer to another runner; returns whether it existed and had not expired. */
-  take(handle: string): boolean {
+  takeCache(handle: string): boolean {
     const cached = this.#caches.get(handle);
     this.#caches.delete(handle);
     return cached !== undefined && cached.expiry >= Date.now();
@@ -292,7 +292,7 @@
       queued: 0,
       running: this.#runningTokens.size,
       'kv-used': this.#usedTokens,
-      'kv-total': figures.memoryTokens,
+      'kv-total': runnerProfile.memoryTokens,
       'kv-handles': this.#caches.size,
       born: this.#startedAt,
       runs: [...this.#runningTokens].map(([id, tokens]) => [id, tokens, 0, 5]),
@@ -302,7 +302,7 @@
   #handleOrder(res: ServerResponse, body: Readonly<Record<string, unknown>>): void {
     const { holder, expected, stage } = body;
     const fence = Number(body['fencing-token']);
-    this.#observer.ordered({ runner: this.instanceId, holder: String(holder), fence });
+    this.#observer.ordered({ instanceId: this.instanceId, holder: String(holder), fence });
     if (fence < this.#fence) sendJson(res, 412, {});
     else if (this.#isSwitchingRole || expected !== this.#sequence) sendJson(res, 409, {});
     else if (stage === this.#role) sendJson(res, 200, {});
@@ -316,8 +316,8 @@
         if (this.#startedAt !== startedAt) return;
         this.#role = stage as RunnerRole;
         this.#isSwitchingRole = false;
-        this.#context.onEntry(this);
-      }, figures.switchMs).unref();
+        this.#context.onEntryChange(this);
+      }, runnerProfile.roleSwitchMs).unref();
     }
   }
 
@@ -327,22 +327,22 @@
     const id = String(headers['request-id'] ?? '');
     const isPrefill = headers['serving-stage'] === 'prefill';
     const arrival: Arrival = {
-      request: id,
-      runner: this.instanceId,
+      requestId: id,
+      instanceId: this.instanceId,
       role: isPrefill ? 'prefill' : this.#role,
       service: this.service,
       digest: digestOf(pathname, body),
       customer: headers['tenant-id']?.toString(),
       hasKey: headers.authorization !== undefined,
     };
-    const answer = new Reply(res, id, this.listing, this.ratePerS);
+    const answer = new Reply(res, id, this.runnerId, this.ratePerS);
     const wrongStage = isPrefill !== (this.#role === 'prefill');
-    if (headers['expected-instance'] !== this.listing || wrongStage) {
+    if (headers['expected-instance'] !== this.runnerId || wrongStage) {
       answer.reject(421);
       return;
     }
     this.#observer.arrived(arrival);
-    if (this.#random() < this.mood.shedPart || this.#isSwitchingRole) {
+    if (this.#random() < this.behaviour.shedRatio || this.#isSwitchingRole) {
       answer.reject(503);
       return;
     }
@@ -356,9 +356,9 @@
       const source = headers['kv-source']?.toString();
       const after = Number(headers['last-event-id'] ?? 0);
       const isPrefilled = source !== undefined;
-      if (isPrefilled && !this.#context.take(source)) answer.reject(503);
+      if (isPrefilled && !this.#context.takeCache(source)) answer.reject(503);
       else {
-        const job = { tokens, events: eventsIn(body), after, isPrefilled };
+        const job = { tokens, events: eventCountOf(body), after, isPrefilled };
         await this.#decode(arrival, answer, job, deadline.signal);
       }
     }
@@ -366,34 +366,35 @@
   }
 
   async #prefill(arrival: Arrival, answer: Reply, tokens: number): Promise<void> {
-    if (this.#usedTokens + tokens > figures.memoryTokens) {
+    if (this.#usedTokens + tokens > runnerProfile.memoryTokens) {
       answer.reject(503);
       return;
     }
     this.#observer.began(arrival);
     const handle = randomUUID().slice(0, 12);
     this.#caches.set(handle, { tokens, expiry: Infinity });
-    await pause(tokens * figures.prefillTokenMs * this.mood.slowness);
-    this.#caches.set(handle, { tokens, expiry: Date.now() + figures.keepMs });
+    await pause(tokens * runnerProfile.prefillTokenMs * this.behaviour.slowdown);
+    this.#caches.set(handle, { tokens, expiry: Date.now() + runnerProfile.cacheHoldMs });
     this.#observer.ended(arrival);
-    if (this.#random() < this.mood.failPart) answer.fail();
+    if (this.#random() < this.behaviour.failRatio) answer.fail();
     else answer.json({ 'kv-handle': handle, tokens, version: 1 });
   }
 
   async #plain(arrival: Arrival, answer: Reply, signal: AbortSignal): Promise<void> {
-    if (this.#plainRunCount >= figures.plainSlots + figures.plainWaiting) {
+    if (this.#plainRunCount >= runnerProfile.plainSlots + runnerProfile.plainQueueSlots) {
       answer.reject(503);
       return;
     }
     this.#plainRunCount += 1;
     this.#observer.began(arrival);
-    const factor = Math.max(1, this.#plainRunCount / figures.plainSlots) * this.mood.slowness;
-    await this.#work(figures.plainMs * factor, signal);
+    const factor =
+      Math.max(1, this.#plainRunCount / runnerProfile.plainSlots) * this.behaviour.slowdown;
+    await this.#work(runnerProfile.plainMs * factor, signal);
     this.#plainRunCount -= 1;
     this.#observer.ended(arrival);
-    if (this.#random() < this.mood.failPart) answer.fail();
-    else if (this.#random() < this.mood.cutPart) answer.cut();
-    else answer.text(plainAnswer(arrival.request, arrival.digest));
+    if (this.#random() < this.behaviour.failRatio) answer.fail();
+    else if (this.#random() < this.behaviour.cutRatio) answer.cut();
+    else answer.text(plainAnswer(arrival.requestId, arrival.digest));
   }
 
   async #decode(
@@ -407,20 +408,20 @@
     },
     signal: AbortSignal,
   ): Promise<void> {
-    const neededTokens = job.tokens + job.events * figures.eventTokens;
+    const neededTokens = job.tokens + job.events * runnerProfile.eventTokens;
     if (
-      this.#usedTokens + neededTokens > figures.memoryTokens ||
-      this.#runningTokens.size >= figures.slots
+      this.#usedTokens + neededTokens > runnerProfile.memoryTokens ||
+      this.#runningTokens.size >= runnerProfile.slots
     ) {
       answer.reject(503);
       return;
     }
     this.#observer.began(arrival);
-    this.#runningTokens.set(arrival.request, neededTokens);
-    if (!job.isPrefilled) await this.#work(job.tokens * figures.prefillTokenMs * 2, signal);
-    if (this.#random() < this.mood.failPart) answer.fail();
+    this.#runningTokens.set(arrival.requestId, neededTokens);
+    if (!job.isPrefilled) await this.#work(job.tokens * runnerProfile.prefillTokenMs * 2, signal);
+    if (this.#random() < this.behaviour.failRatio) answer.fail();
     else await this.#stream(arrival, answer, job.after, job.events, signal);
-    this.#runningTokens.delete(arrival.request);
+    this.#runningTokens.delete(arrival.requestId);
     this.#observer.ended(arrival);
   }
 
@@ -432,9 +433,9 @@
     signal: AbortSignal,
   ): Promise<void> {
     const cutsAt =
-      this.#random() < this.mood.cutPart ? after + 1 + this.#random() * events : Infinity;
+      this.#random() < this.behaviour.cutRatio ? after + 1 + this.#random() * events : Infinity;
     for (let event = after + 1; event <= events && !signal.aborted; event += 1) {
-      await this.#work(figures.eventMs, signal);
+      await this.#work(runnerProfile.eventMs, signal);
       if (event >= cutsAt) {
         answer.cut(eventOf(event, digest).slice(0, 5));
         return;
@@ -447,8 +448,8 @@
 
   /** Waits for the duration of some work, or for a minute if it hangs; ends early when the request is aborted. */
   async #work(ms: number, signal: AbortSignal): Promise<void> {
-    const isHanging = this.#random() < this.mood.mutePart;
-    const durationMs = isHanging ? 60_000 : ms * this.mood.slowness;
+    const isHanging = this.#random() < this.behaviour.hangRatio;
+    const durationMs = isHanging ? 60_000 : ms * this.behaviour.slowdown;
     await pause(durationMs, undefined, { signal, ref: false }).catch(() => undefined);
   }
 }
--- a/scripts/soak/soak.ts
+++ b/scripts/soak/soak.ts
@@ -9,13 +9,13 @@
 import { FakeStore } from '../../test/fakes/store';
 import { seeded } from '../../test/fakes/virtual/workload';
 import { CallerGroup } from './callers';
-import { Faults } from './faults';
+import { FaultInjector } from './faults';
 import { Mesh } from './mesh';
 import { Operator } from './operator';
-import { Plan } from './plan';
+import { Maintenance } from './maintenance';
 import { RunnerPool } from './pool';
-import type { Breach } from './promises';
-import { Promises } from './promises';
+import type { Breach } from './guarantees';
+import { GuaranteeChecker } from './guarantees';
 import type { FleetView, Timeline } from './timeline';
 import { Vm } from './vm';
 
@@ -27,7 +27,7 @@
   /** Number of decode runners; there are as many plain runners, and a third as many prefill runners. */
   readonly runners: number;
   /** Requests per second of all callers together. */
-  readonly perS: number;
+  readonly ratePerS: number;
   /** Kinds of faults to draw from; undefined for all. */
   readonly faults: readonly string[] | undefined;
 }
@@ -55,13 +55,13 @@
 
   readonly #mesh: Mesh;
 
-  readonly #guarantees: Promises;
+  readonly #guarantees: GuaranteeChecker;
 
   readonly #operator: Operator;
 
   readonly #pool: RunnerPool;
 
-  readonly #faults: Faults;
+  readonly #faults: FaultInjector;
 
   readonly #networkPrefix: string;
 
@@ -75,37 +75,37 @@
     const random = seeded(seed);
     const store = this.#store;
     const vms = this.#vms;
-    const onBreach = (breach: Breach): void => timeline.breach(breach);
+    const onBreach = (breach: Breach): void => timeline.recordBreach(breach);
     this.#operator = new Operator({
       store,
       vms,
       random: seeded(seed + 1),
       onBreach,
       onSent: (request) => this.#guarantees.sent(request),
-      calmMs: () => this.#faults.calmMs('vm', 'store'),
+      faultFreeMs: () => this.#faults.faultFreeMs('vm', 'store'),
     });
-    this.#guarantees = new Promises({
+    this.#guarantees = new GuaranteeChecker({
       onBreach,
-      calmMs: (...families) => this.#faults.calmMs(...families),
+      faultFreeMs: (...families) => this.#faults.faultFreeMs(...families),
       revokedAt: (key) => this.#operator.revokedAt(key),
       quotaOf: (customer) => this.#operator.quotaOf(customer),
     });
     const observer = this.#guarantees;
     this.#pool = new RunnerPool(
       store,
-      { witness: observer, random: seeded(seed + 2) },
+      { observer, random: seeded(seed + 2) },
       this.#networkPrefix,
       DOMAINS,
     );
-    this.#faults = new Faults(
+    this.#faults = new FaultInjector(
       {
         random,
         vms,
         mesh: this.#mesh,
         store,
         pool: this.#pool,
-        onReturn: () => this.#operator.writeAgain(),
-        onFault: (id, name, target, begins) => timeline.fault(id, name, target, begins),
+        onStoreRestored: () => this.#operator.rewrite(),
+        onFault: (id, name, target, begins) => timeline.recordFault(id, name, target, begins),
       },
       options.faults,
     );
@@ -117,8 +117,8 @@
   }
 
   /** Highest observed value of each bounded amount, as a fraction of its bound. */
-  get used(): Readonly<Record<string, number>> {
-    return this.#guarantees.used;
+  get peakUsage(): Readonly<Record<string, number>> {
+    return this.#guarantees.peakUsage;
   }
 
   /** Runs for the configured time, checks the recovery and stops all processes. Throws if the VMs do not become ready. */
@@ -127,16 +127,16 @@
       await this.#start();
       const until = Date.now() + this.#options.seconds * 1000;
       const recording = setInterval(() => this.#recordSecond(), SECOND_MS);
-      const plan = new Plan({
+      const maintenance = new Maintenance({
         random: seeded(this.#options.seed + 3),
         pool: this.#pool,
-        onLeaving: (listing, leaves) => this.#guarantees.leaving(listing, leaves),
-        onLimit: (runner, ratePerS) => this.#guarantees.limited(runner, ratePerS),
+        onDraining: (runnerId, isDraining) => this.#guarantees.setDraining(runnerId, isDraining),
+        onRateLimit: (instanceId, ratePerS) => this.#guarantees.setRateLimit(instanceId, ratePerS),
       });
       await Promise.all([
         this.#faults.run(until),
         this.#operator.run(until),
-        plan.run(until),
+        maintenance.run(until),
         ...this.#callers(until),
       ]);
       await this.#checkRecovery();
@@ -147,23 +147,23 @@
   }
 
   #callers(until: number): readonly Promise<void>[] {
-    const { seed, perS } = this.#options;
+    const { seed, ratePerS } = this.#options;
     const guarantees = this.#guarantees;
     const timeline = this.#timeline;
     return Array.from({ length: CALLER_GROUPS }, (_, group) =>
       new CallerGroup({
-        witness: {
+        observer: {
           sent: (request) => guarantees.sent(request),
           answered: (request, vm, answer) => {
-            timeline.answered(answer);
+            timeline.recordAnswer(answer);
             guarantees.answered(request, vm, answer);
           },
-          left: (request) => guarantees.left(request),
+          disconnected: (request) => guarantees.disconnected(request),
         },
         random: seeded(seed + 10 + group),
         keys: this.#operator,
-        directories: this.#vms.map(({ directory }) => directory),
-      }).run(perS / CALLER_GROUPS, until),
+        directories: this.#vms.map(({ directoryAddress }) => directoryAddress),
+      }).run(ratePerS / CALLER_GROUPS, until),
     );
   }
 
@@ -171,7 +171,7 @@
     const { vms, runners } = this.#options;
     this.#store.era = '0';
     await this.#store.start();
-    this.#operator.write();
+    this.#operator.writeNext();
     for (let i = 0; i < Math.ceil(runners / 3); i += 1) await this.#pool.add('prefill');
     for (let i = 0; i < runners; i += 1) {
       await this.#pool.add('decode');
@@ -202,32 +202,32 @@
       if (Date.now() > until) throw new Error(`not ready: ${missing.join(' ')}`);
       await pause(100);
       const ready = await Promise.all(this.#vms.map((vm) => isReady(vm)));
-      missing = this.#vms.filter((_, i) => !ready[i]).map(({ options: place }) => place.name);
+      missing = this.#vms.filter((_, i) => !ready[i]).map(({ options }) => options.name);
     }
   }
 
   async #checkRecovery(): Promise<void> {
     await this.#waitUntilReady(RECOVERY_TIMEOUT_MS).catch((error: Error) =>
-      this.#timeline.breach({ promise: 'recovery', detail: error.message }),
+      this.#timeline.recordBreach({ promise: 'recovery', detail: error.message }),
     );
-    for (const { ownEnds } of this.#vms) {
-      for (const detail of ownEnds) this.#timeline.breach({ promise: 'own end', detail });
+    for (const { crashes } of this.#vms) {
+      for (const detail of crashes) this.#timeline.recordBreach({ promise: 'own end', detail });
     }
   }
 
   #recordSecond(): void {
     this.#guarantees.prune();
     this.#readFleet()
-      .then((view) => this.#timeline.tick(view))
+      .then((view) => this.#timeline.recordSecond(view))
       .catch((error: Error) => console.error(error.message));
   }
 
   async #readFleet(): Promise<FleetView> {
-    const up = this.#vms.filter((vm) => vm.up && !vm.frozen);
+    const up = this.#vms.filter((vm) => vm.isUp && !vm.isPaused);
     const answers = await Promise.all(
       up.map((vm) =>
         Promise.race([
-          call('GET', vm.beliefs).catch(() => undefined),
+          call('GET', vm.snapshotUrl).catch(() => undefined),
           pause(SECOND_MS / 2, undefined, { ref: false }),
         ]),
       ),
@@ -241,15 +241,15 @@
 
   async #stop(): Promise<void> {
     for (const vm of this.#vms) vm.signal('SIGKILL');
-    await Promise.all(this.#vms.map((vm) => vm.gone()));
+    await Promise.all(this.#vms.map((vm) => vm.waitForExit()));
     await this.#pool.stop();
     this.#mesh.stop();
     this.#store.stop();
   }
 }
 
-async function isReady({ options: place }: Vm): Promise<boolean> {
-  const answer = call('GET', `http://${place.ip}:8141/v1/readiness`).catch(() => undefined);
+async function isReady({ options }: Vm): Promise<boolean> {
+  const answer = call('GET', `http://${options.ip}:8141/v1/readiness`).catch(() => undefined);
   const limit = pause(SECOND_MS, undefined, { ref: false });
   return (await Promise.race([answer, limit]))?.status === 200;
 }
--- a/scripts/soak/timeline.ts
+++ b/scripts/soak/timeline.ts
@@ -1,7 +1,7 @@
 /** Records a run second by second, as JSON lines and for the report. */
 
 import type { CallerAnswer, Outcome } from './callers';
-import type { Breach } from './promises';
+import type { Breach } from './guarantees';
 
 /** Measurements of one second of a run. */
 export interface Second {
@@ -68,13 +68,13 @@
   }
 
   /** Counts the outcome of an attempt. */
-  answered({ outcome, ms }: CallerAnswer): void {
+  recordAnswer({ outcome, ms }: CallerAnswer): void {
     this.#outcomeCounts.set(outcome, (this.#outcomeCounts.get(outcome) ?? 0) + 1);
     if (outcome === 'served') this.#servedMs.push(ms);
   }
 
   /** Records the beginning or the end of a fault. */
-  fault(id: number, name: string, target: string, begins: boolean): void {
+  recordFault(id: number, name: string, target: string, begins: boolean): void {
     const at = Math.round(this.#elapsedS * 1000) / 1000;
     this.#print({ at, fault: name, target, begins });
     if (begins) {
@@ -87,13 +87,13 @@
   }
 
   /** Records a violated guarantee. */
-  breach(breach: Breach): void {
+  recordBreach(breach: Breach): void {
     this.breaches.push(breach);
     this.#print({ at: this.#elapsedS, ...breach });
   }
 
   /** Completes the record of the current second and prints it. */
-  tick({ vmsUp, configVersions }: FleetView): void {
+  recordSecond({ vmsUp, configVersions }: FleetView): void {
     const sorted = [...this.#servedMs].sort((a, b) => a - b);
     const second: Second = {
       second: Math.round(this.#elapsedS),
--- a/scripts/soak/vm.ts
+++ b/scripts/soak/vm.ts
@@ -34,7 +34,7 @@
 } as const;
 
 /** Addresses and settings of a VM. */
-export interface VmPlace {
+export interface VmOptions {
   readonly name: string;
   readonly ip: string;
   readonly domain: string;
@@ -48,16 +48,16 @@
 
 /** One VM; its process can be started repeatedly. */
 export class Vm {
-  readonly options: VmPlace;
+  readonly options: VmOptions;
 
   /** Descriptions of exits that no signal of the soak caused. */
-  readonly ownEnds: string[] = [];
+  readonly crashes: string[] = [];
 
   /** How often its process was started. */
-  lives = 0;
+  startCount = 0;
 
   /** Whether its process is suspended by SIGSTOP. */
-  frozen = false;
+  isPaused = false;
 
   #process: ChildProcess | undefined;
 
@@ -73,32 +73,32 @@
 
   #isStopping = false;
 
-  constructor(options: VmPlace) {
+  constructor(options: VmOptions) {
     this.options = options;
   }
 
   /** `HOST:PORT` for callers' requests. */
-  get front(): string {
+  get frontAddress(): string {
     return `${this.options.ip}:${PORTS.front}`;
   }
 
   /** `HOST:PORT` of the directory at which callers look up addresses. */
-  get directory(): string {
+  get directoryAddress(): string {
     return `${this.options.ip}:${PORTS.directory}`;
   }
 
   /** `HOST:PORT` for connections from other VMs. */
-  get peer(): string {
+  get peerAddress(): string {
     return `${this.options.ip}:${PEER_PORT}`;
   }
 
   /** URL of its state snapshot. */
-  get beliefs(): string {
+  get snapshotUrl(): string {
     return `http://${this.options.ip}:${METRICS_PORT}/beliefs`;
   }
 
   /** Whether its process exists, suspended or not. */
-  get up(): boolean {
+  get isUp(): boolean {
     return this.#process !== undefined;
   }
 
@@ -122,14 +122,14 @@
     child.once('exit', (code, signal) => this.#onExit(code, signal));
     this.#process = child;
     this.#isStopping = false;
-    this.lives += 1;
+    this.startCount += 1;
   }
 
   /** Sends a signal to its process. An exit after SIGTERM or SIGKILL is expected. */
   signal(signal: NodeJS.Signals): void {
     if (signal === 'SIGTERM' || signal === 'SIGKILL') this.#isStopping = true;
-    if (signal === 'SIGSTOP') this.frozen = true;
-    if (signal === 'SIGCONT' || signal === 'SIGKILL') this.frozen = false;
+    if (signal === 'SIGSTOP') this.isPaused = true;
+    if (signal === 'SIGCONT' || signal === 'SIGKILL') this.isPaused = false;
     this.#process?.kill(signal);
   }
 
@@ -140,20 +140,20 @@
   }
 
   /** Redirects its outgoing connections from one `HOST:PORT` to another. */
-  route(from: string, to: string): void {
+  redirect(from: string, to: string): void {
     this.#routes.set(from, to);
     this.#updateShim();
   }
 
   /** Sets whether its datagrams to a host are dropped. */
-  lose(host: string, isLost: boolean): void {
+  setDatagramLoss(host: string, isLost: boolean): void {
     if (isLost) this.#lossyHosts.add(host);
     else this.#lossyHosts.delete(host);
     this.#updateShim();
   }
 
   /** Resolves once its process has exited. */
-  async gone(): Promise<void> {
+  async waitForExit(): Promise<void> {
     const child = this.#process;
     if (!child) return;
     await new Promise((resolve) => {
@@ -185,8 +185,8 @@
 
   #onExit(code: number | null, signal: NodeJS.Signals | null): void {
     this.#process = undefined;
-    this.frozen = false;
-    if (!this.#isStopping) this.ownEnds.push(`${this.options.name} exited with ${code ?? signal}`);
+    this.isPaused = false;
+    if (!this.#isStopping) this.crashes.push(`${this.options.name} exited with ${code ?? signal}`);
   }
 
   #settings(): unknown {
