--- a/scripts/soak/runner.ts
+++ b/scripts/soak/runner.ts
@@ -67,7 +67,7 @@
   readonly shedRatio: number;
   /** Fraction whose connection is reset before the answer is complete. */
   readonly cutRatio: number;
-  /** Fraction of work steps that hang: one per plain request, one per event of a stream. */
+  /** Fraction of work steps that hang. A step is a plain request, a local prefill or one event of a stream. */
   readonly hangRatio: number;
   /** Factor on the duration of all work. */
   readonly slowdown: number;
--- a/scripts/soak/soak.ts
+++ b/scripts/soak/soak.ts
@@ -68,7 +68,7 @@
   constructor(options: SoakOptions, timeline: Timeline) {
     this.#options = options;
     this.#timeline = timeline;
-    // Each process uses its own loopback network so that concurrent runs do not collide.
+    // Derived from the process id, so that concurrent runs use different addresses (except for equal remainders).
     this.#networkPrefix = `127.${60 + (process.pid % 60)}`;
     const { seed } = options;
     this.#mesh = new Mesh(this.#networkPrefix, this.#vms);
