--- a/src/core/memory/account.ts
+++ b/src/core/memory/account.ts
@@ -9,15 +9,15 @@
 
 import type { Engine, Runner } from '../routing/types';
 import type { Costs } from './cost';
-import { inBlocks, madeTokens, peakTokens } from './growth';
+import { roundUpToBlocks, generatedTokens, peakTokens } from './growth';
 import { ReportedPace } from './pace';
-import type { MemoryRules, TrustRules } from './policy';
-import type { Trust } from './trust';
-import { FULL_TRUST } from './trust';
+import type { MemoryRules, EjectionRules } from './policy';
+import type { FailureScore } from './ejection';
+import { NO_FAILURES } from './ejection';
 import type { Demand } from './types';
 
 /** A request in its place on a decode runner. */
-export interface Holder {
+export interface Allocation {
   readonly demand: Demand;
   readonly grantedAt: number;
   /** Output tokens that are expected of it. */
@@ -27,21 +27,21 @@
   /** When decoding began. */
   startedAt: number | undefined;
   /** Whether the decode runner reads the prompt itself. */
-  readonly direct: boolean;
+  readonly isLocalPrefill: boolean;
 }
 
 /** A decode runner and what it holds. */
 export interface DecodeState {
   readonly runner: Runner;
   readonly memoryTokens: number;
-  readonly holders: Map<string, Holder>;
+  readonly allocations: Map<string, Allocation>;
   /** Tokens in use there that this account does not know of, from reports. */
-  foreignTokens: number;
+  unexplainedTokens: number;
   /** Tokens given back a moment ago, which a late report may still count. */
-  readonly ended: { readonly at: number; readonly tokens: number }[];
+  readonly freed: { readonly at: number; readonly tokens: number }[];
   /** No work until then, while it changes its stage. */
-  avoidUntil: number;
-  trust: Trust;
+  switchingUntil: number;
+  failureScore: FailureScore;
   /** Measured time of a token against that of the engine; 1.3 is a runner slower by 30 %. */
   slowness: number;
   readonly pace: ReportedPace;
@@ -50,7 +50,7 @@
 /** A prompt that a prefill runner works on. */
 export interface PendingPrompt {
   readonly tokens: number;
-  readonly givenAt: number;
+  readonly queuedAt: number;
   /** Tokens that the runner had to read before it. */
   readonly aheadTokens: number;
 }
@@ -61,8 +61,8 @@
   readonly pending: Map<string, PendingPrompt>;
   /** Measured time against expected time; 1.3 is a runner slower by 30 %. */
   slowness: number;
-  avoidUntil: number;
-  trust: Trust;
+  switchingUntil: number;
+  failureScore: FailureScore;
 }
 
 /** A report that still counts a request that has ended looks back at most this far, in milliseconds. */
@@ -74,12 +74,15 @@
 const READ_LIMIT_MS = 1200;
 
 /** Whether the decode runner of a request reads its prompt itself at the moment. */
-function isBeingRead(now: number, { direct, startedAt, grantedAt }: Holder): boolean {
+function isBeingRead(
+  now: number,
+  { isLocalPrefill: direct, startedAt, grantedAt }: Allocation,
+): boolean {
   return direct && startedAt === undefined && now - grantedAt < READ_LIMIT_MS;
 }
 
 /** Whether a decode runner reads a prompt itself at the moment. */
-export function isReading(now: number, { holders }: DecodeState): boolean {
+export function isPrefillingLocally(now: number, { allocations: holders }: DecodeState): boolean {
   return [...holders.values()].some((holder) => isBeingRead(now, holder));
 }
 
@@ -87,36 +90,39 @@
 const READ_SHOWS_MS = 800;
 
 /** Whether a decode runner's streams are slow because it reads a prompt itself, or did a moment ago. */
-export function slowedByRead(now: number, { holders }: DecodeState): boolean {
+export function isSlowedByLocalPrefill(
+  now: number,
+  { allocations: holders }: DecodeState,
+): boolean {
   return [...holders.values()].some((holder) => {
-    const { direct, startedAt } = holder;
+    const { isLocalPrefill: direct, startedAt } = holder;
     const wasReading = direct && startedAt !== undefined && now - startedAt < READ_SHOWS_MS;
     return wasReading || isBeingRead(now, holder);
   });
 }
 
 /** When a request will probably give its memory back. */
-export function endOf(now: number, holder: Holder, tokenMs: number): number {
+export function expectedEndOf(now: number, holder: Allocation, tokenMs: number): number {
   const { expectedTokens, startedAt, grantedAt } = holder;
   const from = startedAt ?? grantedAt;
   return Math.max(now + tokenMs, from + expectedTokens * tokenMs);
 }
 
 /** By how many tokens the outputs of all are usually off together; single ones are off in both ways. */
-function deviationOf(holders: Iterable<Holder>): number {
+function deviationOf(holders: Iterable<Allocation>): number {
   let squared = 0;
   for (const { deviationTokens } of holders) squared += deviationTokens * deviationTokens;
   return Math.sqrt(squared);
 }
 
 /** Runners of one stage that may get work: those that are not changing and, unless too many are not, trusted. */
-export function ableOf<T extends DecodeState | PrefillState>(
+export function eligibleOf<T extends DecodeState | PrefillState>(
   now: number,
   states: Iterable<T>,
-  { distrustedPart }: TrustRules,
+  { maxEjectedShare: distrustedPart }: EjectionRules,
 ): readonly T[] {
-  const steady = [...states].filter(({ avoidUntil }) => now >= avoidUntil);
-  const trusted = steady.filter(({ trust }) => now >= trust.avoidUntil);
+  const steady = [...states].filter(({ switchingUntil: avoidUntil }) => now >= avoidUntil);
+  const trusted = steady.filter(({ failureScore: trust }) => now >= trust.ejectedUntil);
   return trusted.length >= steady.length * (1 - distrustedPart) ? trusted : steady;
 }
 
@@ -142,17 +148,17 @@
 
   /** Tokens that may still be given out at a runner. */
   freeTokens(now: number, state: DecodeState): number {
-    if (now < state.avoidUntil) return 0;
-    const { fill, deviations, peak } = this.#rules;
-    const taken = peak.of(now, state.holders.values(), this.tokenMs(state));
-    const margin = deviations * deviationOf(state.holders.values());
-    return Math.max(0, state.memoryTokens * fill - state.foreignTokens - taken - margin);
+    if (now < state.switchingUntil) return 0;
+    const { reservableShare: fill, deviationFactor: deviations, peak } = this.#rules;
+    const taken = peak.estimate(now, state.allocations.values(), this.tokenMs(state));
+    const margin = deviations * deviationOf(state.allocations.values());
+    return Math.max(0, state.memoryTokens * fill - state.unexplainedTokens - taken - margin);
   }
 
   /** Runners that get no work for now because of how their requests went. */
-  distrusted(now: number): readonly string[] {
+  ejected(now: number): readonly string[] {
     return [...this.prefill.values(), ...this.decode.values()]
-      .filter(({ trust }) => now < trust.avoidUntil)
+      .filter(({ failureScore: trust }) => now < trust.ejectedUntil)
       .map(({ runner }) => runner.id);
   }
 
@@ -164,11 +170,11 @@
         this.decode.set(runner.id, {
           runner,
           memoryTokens: engine.memoryTokens,
-          holders: new Map(),
-          foreignTokens: 0,
-          ended: [],
-          avoidUntil: 0,
-          trust: FULL_TRUST,
+          allocations: new Map(),
+          unexplainedTokens: 0,
+          freed: [],
+          switchingUntil: 0,
+          failureScore: NO_FAILURES,
           slowness: 1,
           pace: new ReportedPace(),
         });
@@ -178,8 +184,8 @@
           runner,
           pending: new Map(),
           slowness: 1,
-          avoidUntil: 0,
-          trust: FULL_TRUST,
+          switchingUntil: 0,
+          failureScore: NO_FAILURES,
         });
       }
     }
@@ -190,35 +196,37 @@
   }
 
   /** Compares a runner's own word with the account; what is not explained is somebody else's. */
-  report(now: number, id: string, usedTokens: number): void {
+  applyReport(now: number, id: string, usedTokens: number): void {
     const state = this.decode.get(id);
     if (!state) return;
-    while ((state.ended[0]?.at ?? Infinity) < now - REPORT_LAG_MS) state.ended.shift();
+    while ((state.freed[0]?.at ?? Infinity) < now - REPORT_LAG_MS) state.freed.shift();
     let known = REPORT_SLACK_TOKENS;
-    for (const { tokens } of state.ended) known += tokens;
+    for (const { tokens } of state.freed) known += tokens;
     const tokenMs = this.tokenMs(state);
-    for (const holder of state.holders.values()) known += peakTokens(now, holder, tokenMs);
-    state.foreignTokens = Math.max(0, usedTokens - known);
+    for (const holder of state.allocations.values()) known += peakTokens(now, holder, tokenMs);
+    state.unexplainedTokens = Math.max(0, usedTokens - known);
   }
 
   /**
    * A request that somebody else placed has become known. Where the runner's last
    * report must have counted it already, it is no longer unexplained there.
    */
-  explain(now: number, id: string, request: string): void {
+  explainReported(now: number, id: string, request: string): void {
     const state = this.decode.get(id);
-    const { demand, startedAt } = state?.holders.get(request) ?? {};
+    const { demand, startedAt } = state?.allocations.get(request) ?? {};
     if (!state || !demand || startedAt === undefined || now - startedAt < REPORT_LAG_MS) return;
-    const tokens = inBlocks(demand.promptTokens + madeTokens(now, startedAt, this.tokenMs(state)));
-    state.foreignTokens = Math.max(0, state.foreignTokens - tokens);
+    const tokens = roundUpToBlocks(
+      demand.promptTokens + generatedTokens(now, startedAt, this.tokenMs(state)),
+    );
+    state.unexplainedTokens = Math.max(0, state.unexplainedTokens - tokens);
   }
 
   /** Takes a request off its decode runner. */
-  leave(now: number, runner: string, id: string): void {
+  release(now: number, runner: string, id: string): void {
     const state = this.decode.get(runner);
-    const holder = state?.holders.get(id);
+    const holder = state?.allocations.get(id);
     if (!state || !holder) return;
-    state.holders.delete(id);
-    state.ended.push({ at: now, tokens: peakTokens(now, holder, this.tokenMs(state)) });
+    state.allocations.delete(id);
+    state.freed.push({ at: now, tokens: peakTokens(now, holder, this.tokenMs(state)) });
   }
 }
--- a/src/core/memory/ahead.ts
+++ b/src/core/memory/ahead.ts
@@ -3,7 +3,7 @@
 import type { AheadRules } from './policy';
 
 /** Time for which a finished prefill may wait for memory, in milliseconds. */
-export function waitableMs({ keepPart }: AheadRules, keepMs: number): number {
+export function maxWaitMs({ maxWaitShare: keepPart }: AheadRules, keepMs: number): number {
   return keepMs * keepPart;
 }
 
@@ -14,13 +14,13 @@
  * @param readMs time of a usual prefill, in milliseconds
  * @param residenceMs time for which a usual request holds its place, in milliseconds
  */
-export function allowedAhead(
+export function maxPrefillsAhead(
   rules: AheadRules,
   holders: number,
   readMs: number,
   residenceMs: number,
   keepMs: number,
 ): number {
-  const horizonMs = readMs + waitableMs(rules, keepMs);
-  return Math.floor((rules.part * holders * horizonMs) / residenceMs);
+  const horizonMs = readMs + maxWaitMs(rules, keepMs);
+  return Math.floor((rules.endingShare * holders * horizonMs) / residenceMs);
 }
--- a/src/core/memory/tries.ts
+++ b/src/core/memory/attempts.ts
@@ -15,7 +15,7 @@
 }
 
 /** Tries of requests that have no whole answer yet, by prompt. */
-export class EarlierTries {
+export class PreviousAttempts {
   /** In the order in which they were made. */
   readonly #tries = new Map<string, Try>();
 
@@ -24,7 +24,7 @@
    * runs from its first try. Guessed from deadlines, which callers draw by
    * themselves, two of five tries looked late before they began and were served last.
    */
-  note(now: number, demand: Demand): Demand {
+  record(now: number, demand: Demand): Demand {
     this.#expire(now);
     const { promptId, dueAt } = demand;
     if (promptId === undefined) return demand;
@@ -36,7 +36,7 @@
   }
 
   /** The caller has its answer; the same prompt is another request from now on. */
-  answered({ promptId }: Demand): void {
+  forget({ promptId }: Demand): void {
     if (promptId !== undefined) this.#tries.delete(promptId);
   }
 
--- a/src/core/memory/balance.ts
+++ b/src/core/memory/balance.ts
@@ -8,7 +8,7 @@
 
 import type { Engine } from '../routing/types';
 import type { DecodeState, PrefillState } from './account';
-import { DIRECT_READ_COST } from './cost';
+import { LOCAL_PREFILL_COST } from './cost';
 import type { StageRules } from './policy';
 
 /** A change of what a runner does. */
@@ -21,7 +21,7 @@
 export interface Workload {
   readonly promptTokens: number;
   /** Time that a prefill runner works on a prompt token, in milliseconds. */
-  readonly readTokenMs: number;
+  readonly prefillTokenMs: number;
   readonly outputTokens: number;
   /** Time that a request holds decode memory, in milliseconds. */
   readonly residenceMs: number;
@@ -40,18 +40,18 @@
   prefill: number,
   decode: number,
   slowness: number,
-  { promptTokens, readTokenMs, outputTokens, residenceMs }: Workload,
+  { promptTokens, prefillTokenMs: readTokenMs, outputTokens, residenceMs }: Workload,
 ): number {
   const promptMs = headroom * promptTokens * readTokenMs;
   const prefillRate = prefill / (promptMs * slowness);
   const decodeMs = ((promptTokens + outputTokens) * residenceMs) / memoryTokens;
   if (prefillRate * decodeMs >= decode) return decode / decodeMs;
-  const readMs = DIRECT_READ_COST * promptMs;
+  const readMs = LOCAL_PREFILL_COST * promptMs;
   return (decode + prefillRate * readMs) / (decodeMs + readMs);
 }
 
 /** Prefill runners with which most requests are served; in a tie more of them, since they take bursts better. */
-export function wantedPrefill(
+export function optimalPrefillCount(
   rules: StageRules,
   engine: Engine,
   runners: number,
@@ -62,7 +62,7 @@
   let bestRate = 0;
   for (let prefill = 1; prefill < runners; prefill += 1) {
     const rate = servedRate(rules, engine, prefill, runners - prefill, slowness, workload);
-    if (rate >= bestRate * (1 - rules.tiePart)) best = prefill;
+    if (rate >= bestRate * (1 - rules.tieTolerance)) best = prefill;
     bestRate = Math.max(bestRate, rate);
   }
   return best;
@@ -74,7 +74,7 @@
 const UNSURE_MS = 13_000;
 
 /** Decides on changes, one after the other; at once before the first work, patiently after. */
-export class StageBalance {
+export class StageBalancer {
   readonly #rules: StageRules;
 
   /** Since when the wanted number differs from what is there, and by what sign. */
@@ -94,7 +94,7 @@
   }
 
   /** A runner took an order, or may have; gives the time until which that is under way. */
-  ordered(now: number, runner: string, accepted: boolean, engine: Engine | undefined): number {
+  recordOrder(now: number, runner: string, accepted: boolean, engine: Engine | undefined): number {
     const until = now + (accepted ? (engine?.switchMs ?? 0) + LISTED_MS : UNSURE_MS);
     this.#changing.set(runner, until);
     return until;
@@ -117,7 +117,7 @@
   }
 
   /** Changes to make now. */
-  consider(
+  changes(
     now: number,
     engine: Engine,
     prefill: readonly PrefillState[],
@@ -133,7 +133,7 @@
     const runners = prefill.length + decode.length;
     if (this.#changing.size > 0 || runners < 2 || engine.switchMs === undefined) return [];
     const slowness = mean(prefill.map((state) => state.slowness));
-    const { steadyMs, lackMs } = this.#rules;
+    const { steadyMs, shortageMs: lackMs } = this.#rules;
     const surplusOf = (prefills: number, decodes: number): number =>
       worthwhileSurplus(this.#rules, engine, prefills, decodes, slowness, workload);
     const surplus = surplusOf(prefill.length, decode.length);
@@ -154,7 +154,7 @@
     if (!idle && now - this.#since.at < patienceMs) return [];
     // One at a time beside work: what each brings shows before the next.
     if (sign > 0) return idlest(prefill, idle ? surplus : 1);
-    const [least] = [...decode].sort((a, b) => a.holders.size - b.holders.size);
+    const [least] = [...decode].sort((a, b) => a.allocations.size - b.allocations.size);
     return least ? [{ runner: least.runner.id, role: 'prefill' }] : [];
   }
 }
@@ -175,10 +175,10 @@
   workload: Workload,
 ): number {
   const runners = prefill + decode;
-  const wanted = wantedPrefill(rules, engine, runners, slowness, workload);
+  const wanted = optimalPrefillCount(rules, engine, runners, slowness, workload);
   const rateOf = (count: number): number =>
     servedRate(rules, engine, count, runners - count, slowness, workload);
-  return rateOf(wanted) > rateOf(prefill) * (1 + rules.leastGain) ? prefill - wanted : 0;
+  return rateOf(wanted) > rateOf(prefill) * (1 + rules.minGain) ? prefill - wanted : 0;
 }
 
 function mean(values: readonly number[]): number {
--- a/src/core/memory/room.ts
+++ b/src/core/memory/capacity.ts
@@ -3,9 +3,9 @@
 import type { RateAllowance } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, MemoryAccount, PrefillState } from './account';
-import { ableOf, endOf, isReading } from './account';
+import { eligibleOf, expectedEndOf, isPrefillingLocally } from './account';
 import type { Costs } from './cost';
-import { DIRECT_READ_COST, backlogMs, pauseOfRead, prefillMs, workMs } from './cost';
+import { LOCAL_PREFILL_COST, backlogMs, localPrefillPauseMs, prefillMs, prefillWorkMs } from './cost';
 import type { PlanPolicy } from './policy';
 import type { Demand } from './types';
 
@@ -29,7 +29,7 @@
 const LOAD_RUNNERS = 6;
 
 /** A view of an account at one moment. */
-export class Room {
+export class CapacityView {
   readonly #policy: PlanPolicy;
 
   readonly #account: MemoryAccount;
@@ -54,12 +54,12 @@
   }
 
   /** The account may lack what other VMs hold, until they had time to tell. */
-  beCautious(now: number): void {
-    this.#cautiousUntil = now + this.#policy.caution.ms;
+  startWarmUp(now: number): void {
+    this.#cautiousUntil = now + this.#policy.warmUp.durationMs;
   }
 
   /** To be called when the account has changed. */
-  changed(): void {
+  invalidate(): void {
     this.#freeKnown.clear();
   }
 
@@ -70,7 +70,7 @@
     const memory = Math.round((1 - free / Math.max(1, this.memory)) * 100) / 100;
     const decode = states.slice(0, LOAD_RUNNERS).map((state) => {
       const part = 1 - this.free(now, state) / state.memoryTokens;
-      return `${state.holders.size}:${part.toFixed(2)}:${Math.round(state.foreignTokens)}`;
+      return `${state.allocations.size}:${part.toFixed(2)}:${Math.round(state.unexplainedTokens)}`;
     });
     const prefill = [...this.#account.prefill.values()]
       .slice(0, LOAD_RUNNERS)
@@ -79,7 +79,7 @@
   }
 
   /** The most that one decode runner has free which may get a request now. */
-  largest(now: number): number {
+  largestFreeTokens(now: number): number {
     let room = 0;
     for (const state of this.#account.decode.values()) {
       if (this.#hasTurn(now, state)) room = Math.max(room, this.free(now, state));
@@ -102,7 +102,7 @@
     return this.#roomiest(
       now,
       demand,
-      (state, free) => free >= need && mostSlots > state.holders.size,
+      (state, free) => free >= need && mostSlots > state.allocations.size,
     );
   }
 
@@ -113,17 +113,17 @@
    * loss of a prefill runner half of the decode memory was idle while requests
    * were refused. It slows the other answers there, so a full runner does not do it.
    */
-  findReader(
+  findLocalPrefill(
     now: number,
     demand: Demand,
     need: number,
     { slots, eventTokens }: Engine,
   ): DecodeState | undefined {
-    const { directSpare, pausePart } = this.#policy.reading;
-    const pauseMs = pauseOfRead(this.#costs, demand.promptTokens, eventTokens);
+    const { localFreeShare: directSpare, localPauseShare: pausePart } = this.#policy.prefill;
+    const pauseMs = localPrefillPauseMs(this.#costs, demand.promptTokens, eventTokens);
     return this.#roomiest(now, demand, (state, free) => {
       const spare = free - need > state.memoryTokens * directSpare;
-      const able = spare && slots > state.holders.size && !isReading(now, state);
+      const able = spare && slots > state.allocations.size && !isPrefillingLocally(now, state);
       const short = pauseMs <= leastGapMs(state) * pausePart;
       return able && (short || this.#account.prefill.size === 0);
     });
@@ -137,7 +137,7 @@
   ): DecodeState | undefined {
     let best: DecodeState | undefined;
     let bestFree = -Infinity;
-    for (const state of ableOf(now, this.#account.decode.values(), this.#policy.trust)) {
+    for (const state of eligibleOf(now, this.#account.decode.values(), this.#policy.ejection)) {
       const free = this.free(now, state);
       const able = free > bestFree && meets(state, free) && !avoid.includes(state.runner.id);
       if (able && this.#isSafe(now, state) && this.#hasTurn(now, state)) {
@@ -149,15 +149,15 @@
   }
 
   /** The decode runner that will probably have room first; only a guess until the request is bound. */
-  soonest(now: number, demand: Demand): DecodeState | undefined {
+  findSoonest(now: number, demand: Demand): DecodeState | undefined {
     return this.#roomiest(now, demand, () => true);
   }
 
   findPrefill(now: number, demand: Demand, domain: string): PrefillState | undefined {
-    const { backlogLimitMs, farMs } = this.#policy.reading;
+    const { backlogLimitMs, crossDomainMs: farMs } = this.#policy.prefill;
     let best: PrefillState | undefined;
     let bestMs = Infinity;
-    for (const state of ableOf(now, this.#account.prefill.values(), this.#policy.trust)) {
+    for (const state of eligibleOf(now, this.#account.prefill.values(), this.#policy.ejection)) {
       const backlog = backlogMs(this.#costs, now, state);
       const able = backlog <= backlogLimitMs;
       // Between failure domains the KV cache moves at half the speed; a tie goes to the nearer runner.
@@ -197,11 +197,11 @@
   }
 
   /** When the requests of a runner will probably have ended, and what each gives back. */
-  #endsOf(now: number, { holders, slowness }: DecodeState): readonly Release[] {
+  #endsOf(now: number, { allocations: holders, slowness }: DecodeState): readonly Release[] {
     // Taken to be longer than they may be, waits would have callers refused on a guess.
-    const tokenMs = this.#costs.leastTokenMs * slowness;
+    const tokenMs = this.#costs.minTokenMs * slowness;
     return [...holders.values()].map((holder) => ({
-      at: endOf(now, holder, tokenMs),
+      at: expectedEndOf(now, holder, tokenMs),
       tokens: holder.demand.promptTokens + holder.expectedTokens,
     }));
   }
@@ -227,18 +227,18 @@
    * Without any prefill runner that takes all it is given, the decode runners read them; taken for a
    * service that cannot read, it refused whatever did not start at once.
    */
-  readMs(now: number): (tokens: number) => number {
+  prefillWaitMs(now: number): (tokens: number) => number {
     const { decode } = this.#account;
     const prefill = [...this.#account.prefill.values()].filter(
       ({ runner }) => this.#ration.ratePerS(runner.id) === undefined,
     );
     if (prefill.length === 0) {
       return (tokens) =>
-        (DIRECT_READ_COST * workMs(this.#costs, tokens)) / Math.max(1, decode.size);
+        (LOCAL_PREFILL_COST * prefillWorkMs(this.#costs, tokens)) / Math.max(1, decode.size);
     }
     let backlog = 0;
     for (const state of prefill) backlog += backlogMs(this.#costs, now, state);
-    return (tokens) => (backlog + workMs(this.#costs, tokens)) / prefill.length;
+    return (tokens) => (backlog + prefillWorkMs(this.#costs, tokens)) / prefill.length;
   }
 
   /**
@@ -275,12 +275,12 @@
   /** Until all VMs have told what they hold, a part of each runner's memory counts as taken. */
   #isSafe(now: number, state: DecodeState): boolean {
     if (now >= this.#cautiousUntil) return true;
-    return this.free(now, state) > state.memoryTokens * this.#policy.caution.freePart;
+    return this.free(now, state) > state.memoryTokens * this.#policy.warmUp.minFreeShare;
   }
 }
 
 /** The shortest of the longest pauses that the answers of a runner allow, in milliseconds. */
-function leastGapMs({ holders }: DecodeState): number {
+function leastGapMs({ allocations: holders }: DecodeState): number {
   let leastMs = Infinity;
   for (const { demand } of holders.values()) {
     if (demand.gapMs > 0) leastMs = Math.min(leastMs, demand.gapMs);
@@ -289,7 +289,7 @@
 }
 
 /** Time until that many tokens will have come free, in milliseconds; the releases are in order. */
-export function waitFor(now: number, releases: readonly Release[], tokens: number): number {
+export function waitForTokensMs(now: number, releases: readonly Release[], tokens: number): number {
   let low = 0;
   let high = releases.length;
   while (low < high) {
--- a/src/core/memory/cost.ts
+++ b/src/core/memory/cost.ts
@@ -10,15 +10,15 @@
 /** Times of an engine whose runners have slowness 1. */
 export interface Costs {
   /** Milliseconds of every prefill beside its tokens. */
-  readonly readBaseMs: number;
+  readonly prefillBaseMs: number;
   /** Milliseconds of a prefill runner's work for each prompt token. */
-  readonly readTokenMs: number;
+  readonly prefillTokenMs: number;
   /** Time from the end of the prefill to the first event, in milliseconds: the move, and a step for each token of an event. */
   readonly firstEventMs: number;
   /** Milliseconds of an output token on a decode runner. */
   readonly tokenMs: number;
   /** The least that `tokenMs` may be by what was measured. */
-  readonly leastTokenMs: number;
+  readonly minTokenMs: number;
 }
 
 /** Figures that decide until something was measured: those of a mid-sized engine. */
@@ -29,7 +29,7 @@
 /** Prompt tokens that a decode runner reads between two of its token steps: the usual size of a piece in engines of this kind. */
 const PIECE_TOKENS = 512;
 /** A decode runner reads a prompt at half the speed of a prefill runner. */
-export const DIRECT_READ_COST = 2;
+export const LOCAL_PREFILL_COST = 2;
 /** A prompt counts as overdue after this many times the time that it should take, and not before a time in milliseconds. */
 const OVERDUE_TIMES = 2;
 /**
@@ -52,13 +52,17 @@
 const READ_KEPT = 0.98;
 
 /** Time that a runner of that slowness is busy with a prompt, in milliseconds. */
-export function workMs({ readTokenMs }: Costs, tokens: number, slowness = 1): number {
+export function prefillWorkMs(
+  { prefillTokenMs: readTokenMs }: Costs,
+  tokens: number,
+  slowness = 1,
+): number {
   return tokens * readTokenMs * slowness;
 }
 
 /** Time of a prompt on an idle runner, in milliseconds. */
 export function prefillMs(costs: Costs, tokens: number, slowness = 1): number {
-  return costs.readBaseMs + workMs(costs, tokens, slowness);
+  return costs.prefillBaseMs + prefillWorkMs(costs, tokens, slowness);
 }
 
 /** Time for which a request of such a size holds its place, in milliseconds. */
@@ -72,13 +76,17 @@
  * holds many tokens, all pieces of a prompt fall between two events, and up to
  * ten answers at a time had a pause over their limit.
  */
-export function pauseOfRead(costs: Costs, promptTokens: number, eventTokens: number): number {
+export function localPrefillPauseMs(
+  costs: Costs,
+  promptTokens: number,
+  eventTokens: number,
+): number {
   const tokens = Math.min(promptTokens, eventTokens * PIECE_TOKENS);
-  return eventTokens * costs.tokenMs + DIRECT_READ_COST * workMs(costs, tokens);
+  return eventTokens * costs.tokenMs + LOCAL_PREFILL_COST * prefillWorkMs(costs, tokens);
 }
 
 /** Time that a prompt should take on a runner of slowness 1 with what lay before it, in milliseconds. */
-export function expectedReadMs(costs: Costs, { tokens, aheadTokens }: PendingPrompt): number {
+export function expectedPrefillMs(costs: Costs, { tokens, aheadTokens }: PendingPrompt): number {
   return prefillMs(costs, tokens + aheadTokens);
 }
 
@@ -86,9 +94,9 @@
 function pendingTokens(costs: Costs, now: number, { pending, slowness }: PrefillState): number {
   let tokens = 0;
   for (const entry of pending.values()) {
-    const usualMs = expectedReadMs(costs, entry) * Math.max(1, slowness);
+    const usualMs = expectedPrefillMs(costs, entry) * Math.max(1, slowness);
     const limitMs = Math.max(OVERDUE_LEAST_MS, OVERDUE_TIMES * usualMs);
-    if (now < entry.givenAt + limitMs) tokens += entry.tokens;
+    if (now < entry.queuedAt + limitMs) tokens += entry.tokens;
   }
   return tokens;
 }
@@ -102,7 +110,7 @@
   tokens: number,
 ): void {
   const aheadTokens = pendingTokens(costs, now, state);
-  state.pending.set(id, { tokens, givenAt: now, aheadTokens });
+  state.pending.set(id, { tokens, queuedAt: now, aheadTokens });
 }
 
 /**
@@ -112,11 +120,11 @@
  * work for three seconds while eleven requests waited.
  */
 export function backlogMs(costs: Costs, now: number, state: PrefillState): number {
-  return workMs(costs, pendingTokens(costs, now, state), state.slowness);
+  return prefillWorkMs(costs, pendingTokens(costs, now, state), state.slowness);
 }
 
 /** What a runner's slowness becomes by work that took `ms` where `expectedMs` had been expected of slowness 1. */
-export function learntSlowness(slowness: number, expectedMs: number, ms: number): number {
+export function updatedSlowness(slowness: number, expectedMs: number, ms: number): number {
   const measured = Math.min(SLOWNESS_MOST, Math.max(SLOWNESS_LEAST, ms / expectedMs));
   return slowness + STEP * (measured - slowness);
 }
@@ -170,26 +178,26 @@
 /** Takes measurements of the times of one engine. */
 export interface CostModel extends Costs {
   /** A prompt was read in `ms` by a runner that had no other. */
-  read(tokens: number, ms: number): void;
+  recordPrefill(tokens: number, ms: number): void;
   /** The first event came `ms` after the prompt was read and a decode runner had room. */
-  began(ms: number): void;
+  recordFirstEvent(ms: number): void;
   /** A request made tokens at `ms` for each. */
-  made(ms: number): void;
+  recordTokenTime(ms: number): void;
 }
 
 /** Learns the times of one engine from what is measured. */
-export class LearntCosts implements CostModel {
+export class MeasuredCosts implements CostModel {
   readonly #reads = new ReadLine();
 
   readonly #firstEvent = new Estimate(START_FIRST_EVENT_MS, TIMES);
 
   readonly #token = new Estimate(START_TOKEN_MS, TIMES);
 
-  get readBaseMs(): number {
+  get prefillBaseMs(): number {
     return this.#reads.line.baseMs;
   }
 
-  get readTokenMs(): number {
+  get prefillTokenMs(): number {
     return this.#reads.line.tokenMs;
   }
 
@@ -201,19 +209,19 @@
     return this.#token.value;
   }
 
-  get leastTokenMs(): number {
+  get minTokenMs(): number {
     return Math.max(0, this.#token.value - this.#token.error);
   }
 
-  read(tokens: number, ms: number): void {
+  recordPrefill(tokens: number, ms: number): void {
     this.#reads.add(tokens, ms);
   }
 
-  began(ms: number): void {
+  recordFirstEvent(ms: number): void {
     this.#firstEvent.add(ms);
   }
 
-  made(ms: number): void {
+  recordTokenTime(ms: number): void {
     // Notes of a start and an end that arrive together tell nothing, and growth is counted by this figure.
     if (ms > 0) this.#token.add(ms);
   }
--- a/src/core/memory/trust.ts
+++ b/src/core/memory/ejection.ts
@@ -7,31 +7,31 @@
  * is back at once and one that fails half of its work gets little.
  */
 
-import type { TrustRules } from './policy';
+import type { EjectionRules } from './policy';
 
 /** What is remembered of one runner. */
-export interface Trust {
+export interface FailureScore {
   /** Failures, faded by good ends. */
-  readonly strikes: number;
+  readonly failures: number;
   /** No work before this time. */
-  readonly avoidUntil: number;
+  readonly ejectedUntil: number;
 }
 
 /** A runner of which nothing bad is known. */
-export const FULL_TRUST: Trust = { strikes: 0, avoidUntil: 0 };
+export const NO_FAILURES: FailureScore = { failures: 0, ejectedUntil: 0 };
 
 /**
  * After a failure. Requests that were under way together fail together: ten
  * streams slowed by the same prompt kept a sound runner without work for six
  * seconds. What comes in while the runner is avoided anyway is the same failure.
  */
-export function afterFailure({ firstMs, limitMs }: TrustRules, now: number, trust: Trust): Trust {
-  if (now < trust.avoidUntil) return trust;
-  const avoidMs = Math.min(limitMs, firstMs * 2 ** trust.strikes);
-  return { strikes: trust.strikes + 1, avoidUntil: now + avoidMs };
+export function afterFailure({ firstMs, maxMs: limitMs }: EjectionRules, now: number, trust: FailureScore): FailureScore {
+  if (now < trust.ejectedUntil) return trust;
+  const avoidMs = Math.min(limitMs, firstMs * 2 ** trust.failures);
+  return { failures: trust.failures + 1, ejectedUntil: now + avoidMs };
 }
 
 /** After a good end. */
-export function afterSuccess({ goodEnd }: TrustRules, { strikes, avoidUntil }: Trust): Trust {
-  return { strikes: strikes * goodEnd, avoidUntil };
+export function afterSuccess({ successFactor: goodEnd }: EjectionRules, { failures: strikes, ejectedUntil: avoidUntil }: FailureScore): FailureScore {
+  return { failures: strikes * goodEnd, ejectedUntil: avoidUntil };
 }
--- a/src/core/memory/flow.ts
+++ b/src/core/memory/flow.ts
@@ -29,13 +29,13 @@
   #askedAt = 0;
 
   /** Notes that a first attempt asked for that many tokens. */
-  asked(now: number, tokens: number): void {
+  recordDemand(now: number, tokens: number): void {
     this.#fade(now);
     this.#askedPerMs += tokens / WINDOW_MS;
   }
 
   /** Notes the size of a request, its output as expected. */
-  sized(promptTokens: number, outputTokens: number): void {
+  recordSize(promptTokens: number, outputTokens: number): void {
     this.#promptTokens.add(promptTokens);
     this.#outputTokens.add(outputTokens);
   }
@@ -48,7 +48,7 @@
    * Tokens in a millisecond that first attempts leave to the others.
    * @param capacity tokens that come free in a millisecond when all memory is in use
    */
-  spare(now: number, capacity: number): number {
+  spareTokensPerMs(now: number, capacity: number): number {
     this.#fade(now);
     return Math.max(LEAST_SPARE * capacity, capacity - this.#askedPerMs);
   }
--- a/src/core/memory/growth.ts
+++ b/src/core/memory/growth.ts
@@ -1,27 +1,31 @@
 /** How the memory of requests grows while they decode. */
 
-import type { Holder } from './account';
+import type { Allocation } from './account';
 
 /** Memory is taken in blocks of this many tokens. */
 const BLOCK_TOKENS = 16;
 
 /** Tokens with the rest of the last block. */
-export function inBlocks(tokens: number): number {
+export function roundUpToBlocks(tokens: number): number {
   return Math.ceil(tokens / BLOCK_TOKENS) * BLOCK_TOKENS;
 }
 
 /** Output tokens made so far, as expected. */
-export function madeTokens(now: number, startedAt: number | undefined, tokenMs: number): number {
+export function generatedTokens(
+  now: number,
+  startedAt: number | undefined,
+  tokenMs: number,
+): number {
   return startedAt === undefined ? 0 : (now - startedAt) / tokenMs;
 }
 
 /** Tokens that a request takes at its end, as expected now. */
-export function peakTokens(now: number, holder: Holder, tokenMs: number): number {
+export function peakTokens(now: number, holder: Allocation, tokenMs: number): number {
   const { demand, expectedTokens, startedAt } = holder;
-  const made = madeTokens(now, startedAt, tokenMs);
+  const made = generatedTokens(now, startedAt, tokenMs);
   // A request that has outgrown its estimate goes on for about as long again as it overran.
   const output = made <= expectedTokens ? expectedTokens : made + (made - expectedTokens);
-  return inBlocks(demand.promptTokens + Math.min(demand.maxOutputTokens, output));
+  return roundUpToBlocks(demand.promptTokens + Math.min(demand.maxOutputTokens, output));
 }
 
 /** How much memory the requests of one runner count for. */
@@ -30,7 +34,7 @@
    * Tokens that the requests will hold at once at most.
    * @param tokenMs time of an output token there, in milliseconds
    */
-  of(now: number, holders: Iterable<Holder>, tokenMs: number): number;
+  estimate(now: number, holders: Iterable<Allocation>, tokenMs: number): number;
 }
 
 /**
@@ -39,10 +43,10 @@
  * what it still made. Counting each at its full length left 4 % of the memory
  * unused; on stand-in engines in an overload none is pushed out this way either.
  */
-export class ComingPeak implements PeakEstimate {
-  of(now: number, holders: Iterable<Holder>, tokenMs: number): number {
+export class JointPeak implements PeakEstimate {
+  estimate(now: number, holders: Iterable<Allocation>, tokenMs: number): number {
     const entries = [...holders].map((holder) => {
-      const held = holder.demand.promptTokens + madeTokens(now, holder.startedAt, tokenMs);
+      const held = holder.demand.promptTokens + generatedTokens(now, holder.startedAt, tokenMs);
       return { held, left: Math.max(0, peakTokens(now, holder, tokenMs) - held) };
     });
     entries.sort((a, b) => b.left - a.left);
--- a/src/core/memory/lengths.ts
+++ b/src/core/memory/lengths.ts
@@ -36,16 +36,16 @@
   }
 
   /** Expected output tokens. */
-  expect(demand: Demand): number {
+  expectedTokens(demand: Demand): number {
     return this.#mix(demand, this.#best.weight);
   }
 
   /** By how many tokens an expectation is usually off, as a root of the mean square. */
-  deviation({ maxOutputTokens }: Demand): number {
+  deviationTokens({ maxOutputTokens }: Demand): number {
     return Math.sqrt(this.#best.squaredError.value) * maxOutputTokens;
   }
 
-  learn(demand: Demand, outputTokens: number): void {
+  record(demand: Demand, outputTokens: number): void {
     const most = Math.max(1, demand.maxOutputTokens);
     if (demand.hintTokens !== undefined) {
       for (const { weight, squaredError } of this.#weights) {
--- a/src/core/memory/turns.ts
+++ b/src/core/memory/order.ts
@@ -4,7 +4,7 @@
 import type { Demand } from './types';
 
 /** A request and what it will take. */
-export interface Turn {
+export interface QueueEntry {
   readonly demand: Demand;
   /** Tokens of memory. */
   readonly size: number;
@@ -13,31 +13,31 @@
 }
 
 /** A way to order requests. */
-export interface Turns {
-  order(turns: readonly Turn[]): readonly Turn[];
+export interface QueueOrder {
+  order(turns: readonly QueueEntry[]): readonly QueueEntry[];
   /** A customer has requests that wait from now on. */
-  entered(demand: Demand): void;
+  customerQueued(demand: Demand): void;
   /** A customer's last request that waited is gone. */
-  left(demand: Demand): void;
+  customerDequeued(demand: Demand): void;
   /** A request has a place. */
-  placed(turn: Turn): void;
+  reserved(turn: QueueEntry): void;
 }
 
-function bySize(a: Turn, b: Turn): number {
+function bySize(a: QueueEntry, b: QueueEntry): number {
   return a.size - b.size;
 }
 
 /** Small ones first, whosesoever: in an overload they bring the most answers for the memory. */
-export class SmallestFirst implements Turns {
-  order(turns: readonly Turn[]): readonly Turn[] {
+export class SmallestFirst implements QueueOrder {
+  order(turns: readonly QueueEntry[]): readonly QueueEntry[] {
     return [...turns].sort(bySize);
   }
 
-  entered(): void {}
+  customerQueued(): void {}
 
-  left(): void {}
+  customerDequeued(): void {}
 
-  placed(): void {}
+  reserved(): void {}
 }
 
 /** Requests without a customer, together. */
@@ -49,7 +49,7 @@
 
 interface Lane {
   readonly group: string;
-  readonly turns: Turn[];
+  readonly turns: QueueEntry[];
   tag: number;
 }
 
@@ -58,14 +58,14 @@
  * first: a customer that floods, within its quota, took the places of all others. Those
  * with a higher rank have a larger share.
  */
-export class FairTurns implements Turns {
+export class FairOrder implements QueueOrder {
   readonly #weights = new Map<string, number>();
 
   readonly #shares = new FairShares((group) => this.#weights.get(group) ?? 1, 0);
 
-  order(turns: readonly Turn[]): readonly Turn[] {
+  order(turns: readonly QueueEntry[]): readonly QueueEntry[] {
     const lanes = this.#lanesOf(turns);
-    const ordered: Turn[] = [];
+    const ordered: QueueEntry[] = [];
     while (ordered.length < turns.length) {
       const lane = leastOf(lanes);
       const turn = lane?.turns.shift();
@@ -76,21 +76,21 @@
     return ordered;
   }
 
-  entered(demand: Demand): void {
+  customerQueued(demand: Demand): void {
     const group = groupOf(demand);
     this.#weights.set(group, 1 / (1 + demand.rank));
     this.#shares.enter(group);
   }
 
-  left(demand: Demand): void {
+  customerDequeued(demand: Demand): void {
     this.#shares.leave(groupOf(demand));
   }
 
-  placed({ demand, cost }: Turn): void {
+  reserved({ demand, cost }: QueueEntry): void {
     this.#shares.charge(groupOf(demand), cost);
   }
 
-  #lanesOf(turns: readonly Turn[]): readonly Lane[] {
+  #lanesOf(turns: readonly QueueEntry[]): readonly Lane[] {
     const lanes = new Map<string, Lane>();
     for (const turn of [...turns].sort(bySize)) {
       const group = groupOf(turn.demand);
--- a/src/core/memory/pace.ts
+++ b/src/core/memory/pace.ts
@@ -17,7 +17,7 @@
   #seen: Seen | undefined;
 
   /** Milliseconds for each token between this report and the last; undefined if they cannot be compared. */
-  next(now: number, runs: readonly ReportedRun[]): number | undefined {
+  update(now: number, runs: readonly ReportedRun[]): number | undefined {
     const before = this.#seen;
     this.#seen = { at: now, tokens: new Map(runs.map(({ request, tokens }) => [request, tokens])) };
     const spanMs = now - (before?.at ?? now);
--- a/src/core/memory/planner.ts
+++ b/src/core/memory/planner.ts
@@ -10,22 +10,22 @@
 import { unlimited } from '../ratelimits/types';
 import type { Engine } from '../routing/types';
 import type { DecodeState, PrefillState } from './account';
-import { MemoryAccount, slowedByRead } from './account';
-import { allowedAhead, waitableMs } from './ahead';
-import { Learning } from './learning';
-import { afterFailure, afterSuccess } from './trust';
+import { MemoryAccount, isSlowedByLocalPrefill } from './account';
+import { maxPrefillsAhead, maxWaitMs } from './ahead';
+import { WorkloadStats } from './stats';
+import { afterFailure, afterSuccess } from './ejection';
 import type { StageChange } from './balance';
 import type { CostModel, Costs } from './cost';
-import { LearntCosts } from './cost';
-import { WaitingQueue, leastMs, sparePart } from './queue';
+import { MeasuredCosts } from './cost';
+import { WaitingQueue, minFirstEventMs, requiredFreeShare } from './queue';
 import type { PlanPolicy } from './policy';
-import type { Placed } from './placements';
-import { Placements } from './placements';
-import type { PlanLoad } from './room';
-import { ReturnTimes, hopelessOf } from './refusal';
-import { Room } from './room';
-import { Stages } from './stages';
-import { EarlierTries } from './tries';
+import type { Reservation } from './reservations';
+import { Reservations } from './reservations';
+import type { PlanLoad } from './capacity';
+import { RetryTimes, findUnservable } from './refusal';
+import { CapacityView } from './capacity';
+import { StageController } from './stages';
+import { PreviousAttempts } from './attempts';
 import type { Demand, Holding, MemoryReport, PlanAction, PlanEvent } from './types';
 
 /** When a caller may come back whose prefill found no memory, in milliseconds. */
@@ -43,23 +43,23 @@
 
   readonly #account: MemoryAccount;
 
-  readonly #learning: Learning;
+  readonly #learning: WorkloadStats;
 
-  readonly #tries = new EarlierTries();
+  readonly #tries = new PreviousAttempts();
 
-  readonly #stages: Stages;
+  readonly #stages: StageController;
 
   readonly #waiting: WaitingQueue;
 
-  readonly #room: Room;
+  readonly #room: CapacityView;
 
   readonly #ration: RateAllowance;
 
-  readonly #placed: Placements;
+  readonly #placed: Reservations;
 
   #engine: Engine | undefined;
 
-  readonly #returnTimes: ReturnTimes;
+  readonly #returnTimes: RetryTimes;
 
   readonly #distrusted: string[] = [];
 
@@ -67,21 +67,23 @@
 
   constructor(
     policy: PlanPolicy,
-    costs: CostModel = new LearntCosts(),
+    costs: CostModel = new MeasuredCosts(),
     ration: RateAllowance = unlimited,
   ) {
     this.#policy = policy;
     this.#ration = ration;
     this.#costs = costs;
-    this.#returnTimes = new ReturnTimes(policy.refusal);
-    this.#learning = new Learning(policy.lengths, costs);
+    this.#returnTimes = new RetryTimes(policy.refusal);
+    this.#learning = new WorkloadStats(policy.lengths, costs);
     this.#account = new MemoryAccount(policy.memory, costs);
-    this.#stages = new Stages(policy.stages, this.#account, this.#learning, costs);
-    this.#waiting = new WaitingQueue(costs, policy.order.turns(), (demand) =>
+    this.#stages = new StageController(policy.stages, this.#account, this.#learning, costs);
+    this.#waiting = new WaitingQueue(costs, policy.order.createOrder(), (demand) =>
       this.#learning.sizeOf(demand),
     );
-    this.#room = new Room(policy, this.#account, costs, ration);
-    this.#placed = new Placements(this.#account, this.#learning, costs, () => this.#room.changed());
+    this.#room = new CapacityView(policy, this.#account, costs, ration);
+    this.#placed = new Reservations(this.#account, this.#learning, costs, () =>
+      this.#room.invalidate(),
+    );
   }
 
   /** What is known of the engine's times. */
@@ -109,18 +111,18 @@
   }
 
   /** Runners that get no work for now because of how their requests went. */
-  distrusted(now: number): readonly string[] {
-    return this.#account.distrusted(now);
+  ejected(now: number): readonly string[] {
+    return this.#account.ejected(now);
   }
 
   /** Runners that were distrusted since this was asked last. */
-  takeDistrusted(): readonly string[] {
+  takeEjected(): readonly string[] {
     return this.#distrusted.splice(0);
   }
 
   /** The account may lack what other VMs hold: holds back until they had time to tell. */
-  startCautiously(now: number): void {
-    this.#room.beCautious(now);
+  startWarmUp(now: number): void {
+    this.#room.startWarmUp(now);
   }
 
   /** Changes of runners' stages that would serve more requests; none while one is under way. */
@@ -130,13 +132,13 @@
   }
 
   /** A runner took an order, or may have: it gets no new work until it is listed in its new stage. */
-  ordered(now: number, runner: string, accepted: boolean): void {
-    this.#stages.ordered(now, runner, accepted, this.#engine);
+  recordOrder(now: number, runner: string, accepted: boolean): void {
+    this.#stages.recordOrder(now, runner, accepted, this.#engine);
   }
 
   handle(now: number, event: PlanEvent): readonly PlanAction[] {
     this.#actions = [];
-    this.#room.changed();
+    this.#room.invalidate();
     match(event)
       .with({ kind: 'asked' }, ({ demand }) => this.#ask(now, demand))
       .with({ kind: 'prefilled' }, ({ id, ms, unreachable, shedBy }) => {
@@ -169,9 +171,9 @@
   }
 
   #enqueue(now: number, asked: Demand): void {
-    const demand = this.#tries.note(now, asked);
+    const demand = this.#tries.record(now, asked);
     this.#waiting.add(demand);
-    this.#learning.asked(now, demand, !demand.returned);
+    this.#learning.recordDemand(now, demand, !demand.returned);
   }
 
   /** Takes a request off a decode runner that was not reached, so that another is bound. */
@@ -179,9 +181,9 @@
     const placed = this.#placed.get(id);
     const state = this.#account.decode.get(unreachable ?? '');
     if (state) this.#distrust(now, state);
-    if (!placed?.bound || placed.grant.decode !== unreachable) return;
-    this.#account.leave(now, unreachable, id);
-    placed.bound = false;
+    if (!placed?.isAssigned || placed.grant.decode !== unreachable) return;
+    this.#account.release(now, unreachable, id);
+    placed.isAssigned = false;
     placed.demand = { ...placed.demand, avoid: [...placed.demand.avoid, unreachable] };
   }
 
@@ -202,73 +204,73 @@
       if (prefill) this.#distrust(now, prefill);
       return;
     }
-    state.foreignTokens += this.#learning.sizeOf(placed.demand);
-    this.#placed.leave(now, id);
+    state.unexplainedTokens += this.#learning.sizeOf(placed.demand);
+    this.#placed.release(now, id);
     this.#actions.push({ kind: 'refuse', id, retryAfterMs: RETRY_FULL_MS });
   }
 
   #prefilled(now: number, id: string, ms: number): void {
     const placed = this.#placed.get(id);
     if (!placed) return;
-    if (placed.bound) {
+    if (placed.isAssigned) {
       this.#actions.push({ kind: 'bind', id, decode: placed.grant.decode });
-      placed.boundAt = now;
+      placed.assignedAt = now;
     }
-    if (placed.readyAt !== undefined) return;
-    placed.readyAt = now;
+    if (placed.prefilledAt !== undefined) return;
+    placed.prefilledAt = now;
     const state = this.#placed.prefillOf(placed.grant);
     const pending = state?.pending.get(id);
     if (!state || !pending) return;
     state.pending.delete(id);
-    this.#learning.prefilled(state, pending, ms);
+    this.#learning.recordPrefill(state, pending, ms);
   }
 
   #started(now: number, id: string): void {
-    const holder = this.#placed.holderOf(id);
+    const holder = this.#placed.allocationOf(id);
     if (!holder || holder.startedAt !== undefined) return;
     holder.startedAt = now;
-    const boundAt = this.#placed.get(id)?.boundAt;
-    if (boundAt !== undefined) this.#learning.began(now - boundAt);
+    const boundAt = this.#placed.get(id)?.assignedAt;
+    if (boundAt !== undefined) this.#learning.recordFirstEvent(now - boundAt);
   }
 
   #finished(now: number, id: string, outputTokens: number): void {
     const placed = this.#placed.get(id);
     if (!placed) return;
-    this.#tries.answered(placed.demand);
-    this.#learning.finished(placed.demand, outputTokens);
+    this.#tries.forget(placed.demand);
+    this.#learning.recordOutput(placed.demand, outputTokens);
     const decode = this.#account.decode.get(placed.grant.decode);
-    if (decode) decode.trust = afterSuccess(this.#policy.trust, decode.trust);
+    if (decode) decode.failureScore = afterSuccess(this.#policy.ejection, decode.failureScore);
     this.#learnPace(now, placed, id, outputTokens);
     const prefill = this.#placed.prefillOf(placed.grant);
-    if (prefill) prefill.trust = afterSuccess(this.#policy.trust, prefill.trust);
-    this.#placed.leave(now, id);
+    if (prefill) prefill.failureScore = afterSuccess(this.#policy.ejection, prefill.failureScore);
+    this.#placed.release(now, id);
   }
 
   #reported(now: number, { runner, usedTokens, runs = [] }: MemoryReport): void {
     const decode = this.#account.decode.get(runner);
-    if (decode) this.#learning.reported(now, decode, runs);
-    this.#account.report(now, runner, usedTokens);
+    if (decode) this.#learning.recordReport(now, decode, runs);
+    this.#account.applyReport(now, runner, usedTokens);
   }
 
   /** What a finished request tells of the time of its tokens. */
-  #learnPace(now: number, { grant }: Placed, id: string, outputTokens: number): void {
+  #learnPace(now: number, { grant }: Reservation, id: string, outputTokens: number): void {
     const decode = this.#account.decode.get(grant.decode);
-    const startedAt = decode?.holders.get(id)?.startedAt;
+    const startedAt = decode?.allocations.get(id)?.startedAt;
     if (!decode || startedAt === undefined || !this.#engine) return;
-    this.#learning.streamed(decode, outputTokens, this.#engine.eventTokens, now - startedAt);
+    this.#learning.recordStream(decode, outputTokens, this.#engine.eventTokens, now - startedAt);
   }
 
   #slow(now: number, id: string): void {
     const decode = this.#account.decode.get(this.#placed.get(id)?.grant.decode ?? '');
-    if (decode && !slowedByRead(now, decode)) this.#distrust(now, decode);
+    if (decode && !isSlowedByLocalPrefill(now, decode)) this.#distrust(now, decode);
   }
 
   /** A request went badly at a runner. */
   #distrust(now: number, state: DecodeState | PrefillState): void {
     const runner = state;
-    const before = runner.trust;
-    runner.trust = afterFailure(this.#policy.trust, now, before);
-    if (runner.trust !== before) this.#distrusted.push(runner.runner.id);
+    const before = runner.failureScore;
+    runner.failureScore = afterFailure(this.#policy.ejection, now, before);
+    if (runner.failureScore !== before) this.#distrusted.push(runner.runner.id);
   }
 
   #release(now: number, id: string, blame: string | undefined): void {
@@ -276,8 +278,8 @@
     const placed = this.#placed.get(id);
     const prefill = this.#account.prefill.get(blame ?? '');
     const pending = prefill?.pending.get(id);
-    if (prefill && pending) this.#learning.givenUp(now, prefill, pending);
-    if (placed) this.#placed.leave(now, id);
+    if (prefill && pending) this.#learning.recordAbandonedPrefill(now, prefill, pending);
+    if (placed) this.#placed.release(now, id);
     if (blame === undefined) return;
     const state = this.#account.decode.get(blame) ?? this.#account.prefill.get(blame);
     if (state) this.#distrust(now, state);
@@ -285,7 +287,7 @@
 
   /** What a VM says it holds replaces what is counted for it. */
   #adopt(now: number, vm: string, holdings: readonly Holding[]): void {
-    for (const { demand } of this.#placed.adopt(now, vm, holdings)) this.#waiting.delete(demand.id);
+    for (const { demand } of this.#placed.sync(now, vm, holdings)) this.#waiting.delete(demand.id);
   }
 
   #vmLost(now: number, vm: string): void {
@@ -299,13 +301,13 @@
     if (this.#waiting.size === 0) return;
     const order = this.#waiting.order(now);
     let ahead = this.#allowedAhead();
-    let largest = this.#room.largest(now);
+    let largest = this.#room.largestFreeTokens(now);
     for (const demand of order) {
       const decode = this.#mayHave(now, demand, largest)
         ? this.#findDecode(now, demand)
         : undefined;
-      const mayLead = ahead > 0 && this.#learning.sizeOf(demand) <= this.#learning.usualSize;
-      const chosen = decode ?? (mayLead ? this.#room.soonest(now, demand) : undefined);
+      const mayLead = ahead > 0 && this.#learning.sizeOf(demand) <= this.#learning.usualSizeTokens;
+      const chosen = decode ?? (mayLead ? this.#room.findSoonest(now, demand) : undefined);
       const prefill = chosen && this.#room.findPrefill(now, demand, chosen.runner.domain);
       const reader = decode && !prefill ? this.#findReader(now, demand) : undefined;
       const place = prefill ? chosen : reader;
@@ -313,12 +315,12 @@
         const bound = decode !== undefined;
         if (!bound) ahead -= 1;
         const grant = { prefill: prefill?.runner.id, decode: place.runner.id };
-        this.#waiting.place(demand);
+        this.#waiting.removeReserved(demand);
         if (prefill) this.#ration.take(now, prefill.runner.id);
         if (bound) this.#ration.take(now, place.runner.id);
         this.#placed.add(now, demand, grant, bound, undefined);
         this.#actions.push({ kind: 'grant', id: demand.id, grant });
-        largest = this.#room.largest(now);
+        largest = this.#room.largestFreeTokens(now);
       }
     }
     this.#refuseHopeless(now, order);
@@ -327,22 +329,23 @@
   /** Whether a request may have the most room that one decode runner has. */
   #mayHave(now: number, demand: Demand, largest: number): boolean {
     const spare =
-      sparePart(this.#policy.order, this.#costs, now, demand) * (this.#engine?.memoryTokens ?? 0);
+      requiredFreeShare(this.#policy.order, this.#costs, now, demand) *
+      (this.#engine?.memoryTokens ?? 0);
     return this.#learning.sizeOf(demand) + spare <= largest;
   }
 
   /** Prefilled requests get memory before any other, since what was read for them lapses. */
   #bindReady(now: number): void {
-    const keepMs = waitableMs(this.#policy.ahead, this.#engine?.keepMs ?? 0);
+    const keepMs = maxWaitMs(this.#policy.ahead, this.#engine?.keepMs ?? 0);
     for (const [id, placed] of this.#placed.entries) {
-      if (!placed.bound && placed.readyAt !== undefined) {
+      if (!placed.isAssigned && placed.prefilledAt !== undefined) {
         const decode = this.#findDecode(now, placed.demand);
         if (decode) {
           this.#ration.take(now, decode.runner.id);
-          this.#placed.bind(now, placed, decode.runner.id);
+          this.#placed.assign(now, placed, decode.runner.id);
           this.#actions.push({ kind: 'bind', id, decode: decode.runner.id });
-        } else if (now - placed.readyAt > keepMs) {
-          this.#placed.leave(now, id);
+        } else if (now - placed.prefilledAt > keepMs) {
+          this.#placed.release(now, id);
           this.#actions.push({ kind: 'refuse', id, retryAfterMs: RETRY_UNBOUND_MS });
         }
       }
@@ -352,23 +355,26 @@
   /** Prefills that may start now ahead of the memory for them. */
   #allowedAhead(): number {
     let holders = 0;
-    for (const state of this.#account.decode.values()) holders += state.holders.size;
-    const ahead = this.#placed.unbound;
-    const { readMs, residenceMs } = this.#learning;
+    for (const state of this.#account.decode.values()) holders += state.allocations.size;
+    const ahead = this.#placed.unassignedCount;
+    const { prefillMs: readMs, residenceMs } = this.#learning;
     const keepMs = this.#engine?.keepMs ?? 0;
-    return allowedAhead(this.#policy.ahead, holders, readMs, residenceMs, keepMs) - ahead;
+    return maxPrefillsAhead(this.#policy.ahead, holders, readMs, residenceMs, keepMs) - ahead;
   }
 
   /** Refuses what cannot be served while its caller waits. */
   #refuseHopeless(now: number, order: readonly Demand[]): void {
-    const { usualSize, residenceMs } = this.#learning;
+    const { usualSizeTokens: usualSize, residenceMs } = this.#learning;
     const left = order.filter(({ id }) => this.#waiting.has(id));
-    const hopeless = hopelessOf(this.#policy.refusal, now, left, {
+    const hopeless = findUnservable(this.#policy.refusal, now, left, {
       sizeOf: (demand) => this.#learning.sizeOf(demand),
-      leastMs: (demand) => leastMs(this.#costs, demand),
-      spare: this.#learning.spare(now, this.#room.capacity(usualSize, residenceMs)),
+      minFirstEventMs: (demand) => minFirstEventMs(this.#costs, demand),
+      spareTokensPerMs: this.#learning.spareTokensPerMs(
+        now,
+        this.#room.capacity(usualSize, residenceMs),
+      ),
       releases: this.#room.releases(now, usualSize),
-      readMs: this.#room.readMs(now),
+      prefillWaitMs: this.#room.prefillWaitMs(now),
     });
     for (const wait of hopeless) {
       const { id } = wait.demand;
@@ -394,7 +400,7 @@
   #findReader(now: number, demand: Demand): DecodeState | undefined {
     return (
       this.#engine &&
-      this.#room.findReader(now, demand, this.#learning.sizeOf(demand), this.#engine)
+      this.#room.findLocalPrefill(now, demand, this.#learning.sizeOf(demand), this.#engine)
     );
   }
 }
--- a/src/core/memory/queue.ts
+++ b/src/core/memory/queue.ts
@@ -3,22 +3,22 @@
 import type { Costs } from './cost';
 import { prefillMs } from './cost';
 import type { OrderRules } from './policy';
-import type { Turn, Turns } from './turns';
+import type { QueueEntry, QueueOrder } from './order';
 import type { Demand } from './types';
 
 /** Least time from a grant to the first event, in milliseconds. */
-export function leastMs(costs: Costs, { promptTokens }: Demand): number {
+export function minFirstEventMs(costs: Costs, { promptTokens }: Demand): number {
   return prefillMs(costs, promptTokens) + costs.firstEventMs;
 }
 
 /** Part of a decode runner's memory that a request has to leave free. */
-export function sparePart(
-  { lateSpare }: OrderRules,
+export function requiredFreeShare(
+  { lateFreeShare: lateSpare }: OrderRules,
   costs: Costs,
   now: number,
   demand: Demand,
 ): number {
-  const late = now + leastMs(costs, demand) > demand.dueAt;
+  const late = now + minFirstEventMs(costs, demand) > demand.dueAt;
   return late && !demand.resuming ? lateSpare : 0;
 }
 
@@ -30,13 +30,13 @@
 
   readonly #costs: Costs;
 
-  readonly #turns: Turns;
+  readonly #turns: QueueOrder;
 
   /** Requests that wait, by customer. */
   readonly #counts = new Map<string | undefined, number>();
 
   /** @param sizeOf tokens of memory that a request will take */
-  constructor(costs: Costs, turns: Turns, sizeOf: (demand: Demand) => number) {
+  constructor(costs: Costs, turns: QueueOrder, sizeOf: (demand: Demand) => number) {
     this.#costs = costs;
     this.#turns = turns;
     this.#sizeOf = sizeOf;
@@ -57,7 +57,7 @@
 
   add(demand: Demand): void {
     const count = this.#counts.get(demand.customer) ?? 0;
-    if (count === 0) this.#turns.entered(demand);
+    if (count === 0) this.#turns.customerQueued(demand);
     this.#counts.set(demand.customer, count + 1);
     this.#demands.set(demand.id, demand);
   }
@@ -70,13 +70,13 @@
     if (count > 0) this.#counts.set(demand.customer, count);
     else {
       this.#counts.delete(demand.customer);
-      this.#turns.left(demand);
+      this.#turns.customerDequeued(demand);
     }
   }
 
   /** A request has a place: it waits no more, and its customer had its turn. */
-  place(demand: Demand): void {
-    this.#turns.placed(this.#turnOf(demand));
+  removeReserved(demand: Demand): void {
+    this.#turns.reserved(this.#turnOf(demand));
     this.delete(demand.id);
   }
 
@@ -102,13 +102,13 @@
   }
 
   #isInTime(now: number, demand: Demand): boolean {
-    return now + leastMs(this.#costs, demand) <= demand.dueAt;
+    return now + minFirstEventMs(this.#costs, demand) <= demand.dueAt;
   }
 
-  #turnOf(demand: Demand): Turn {
+  #turnOf(demand: Demand): QueueEntry {
     const size = this.#sizeOf(demand);
     const heldMs =
-      leastMs(this.#costs, demand) + (size - demand.promptTokens) * this.#costs.tokenMs;
+      minFirstEventMs(this.#costs, demand) + (size - demand.promptTokens) * this.#costs.tokenMs;
     return { demand, size, cost: size * heldMs };
   }
 }
--- a/src/core/memory/refusal.ts
+++ b/src/core/memory/refusal.ts
@@ -1,30 +1,30 @@
 /** Who among the waiting requests is refused, and when their callers may come back. */
 
 import type { RefusalRules } from './policy';
-import type { Release } from './room';
-import { waitFor } from './room';
+import type { Release } from './capacity';
+import { waitForTokensMs } from './capacity';
 import type { Demand } from './types';
 
 /** What is expected of the runners. */
-export interface Outlook {
+export interface CapacityForecast {
   /** Tokens of memory that a request will take. */
   readonly sizeOf: (demand: Demand) => number;
   /** Least time from a grant to the first event, in milliseconds. */
-  readonly leastMs: (demand: Demand) => number;
+  readonly minFirstEventMs: (demand: Demand) => number;
   /** Tokens in a millisecond that first attempts leave to the others. */
-  readonly spare: number;
+  readonly spareTokensPerMs: number;
   readonly releases: readonly Release[];
   /** Time until so many tokens of prompts will have been read, in milliseconds. */
-  readonly readMs: (tokens: number) => number;
+  readonly prefillWaitMs: (tokens: number) => number;
 }
 
 /** A request that cannot be served while its caller waits. */
-export interface HopelessWait {
+export interface UnservableRequest {
   readonly demand: Demand;
   /** Time until its turn would come, in milliseconds. */
   readonly waitMs: number;
   /** Time that its turn takes of what is left over for late requests, in milliseconds. */
-  readonly turnMs: number;
+  readonly slotMs: number;
 }
 
 /** A request whose caller leaves sooner than this after its first event could come is not started, in milliseconds. */
@@ -36,19 +36,25 @@
  * for less likely room.
  * @param order waiting requests, who goes first in front
  */
-export function hopelessOf(
-  { lastTryDoubt }: RefusalRules,
+export function findUnservable(
+  { lastAttemptFactor: lastTryDoubt }: RefusalRules,
   now: number,
   order: readonly Demand[],
-  { sizeOf, leastMs, spare, releases, readMs }: Outlook,
-): readonly HopelessWait[] {
-  const found: HopelessWait[] = [];
+  {
+    sizeOf,
+    minFirstEventMs: leastMs,
+    spareTokensPerMs: spare,
+    releases,
+    prefillWaitMs: readMs,
+  }: CapacityForecast,
+): readonly UnservableRequest[] {
+  const found: UnservableRequest[] = [];
   let ahead = 0;
   let late = 0;
   for (const demand of order) {
     const size = sizeOf(demand);
     ahead += size;
-    const waitMs = Math.max(waitFor(now, releases, ahead), readMs(ahead));
+    const waitMs = Math.max(waitForTokensMs(now, releases, ahead), readMs(ahead));
     const inTime = now + waitMs + leastMs(demand) <= demand.dueAt;
     const lateMs = waitMs + (late + size) / spare;
     const lastAt = demand.lostAt - LOST_MARGIN_MS - leastMs(demand);
@@ -57,14 +63,14 @@
     if (!inTime && keep) late += size;
     if (!inTime && !keep) {
       ahead -= size;
-      found.push({ demand, waitMs: lateMs, turnMs: size / spare });
+      found.push({ demand, waitMs: lateMs, slotMs: size / spare });
     }
   }
   return found;
 }
 
 /** Times at which refused callers may come back: one after the other, so that they do not all come at once. */
-export class ReturnTimes {
+export class RetryTimes {
   readonly #rules: RefusalRules;
 
   #lastAt = 0;
@@ -74,8 +80,8 @@
   }
 
   /** Retry-After of the next one, in milliseconds. */
-  next(now: number, { waitMs, turnMs }: HopelessWait): number {
-    const { leastMs, mostMs, stepMs } = this.#rules;
+  next(now: number, { waitMs, slotMs: turnMs }: UnservableRequest): number {
+    const { minMs: leastMs, maxMs: mostMs, maxStepMs: stepMs } = this.#rules;
     const earliest = now + Math.min(waitMs, mostMs / 2);
     const next = Math.max(this.#lastAt, earliest) + Math.min(turnMs, stepMs);
     this.#lastAt = next > now + mostMs ? earliest : next;
--- a/src/core/memory/placements.ts
+++ b/src/core/memory/reservations.ts
@@ -1,41 +1,41 @@
 /** Requests that were given a place, from the grant to their end. */
 
-import type { Holder, MemoryAccount, PrefillState } from './account';
+import type { Allocation, MemoryAccount, PrefillState } from './account';
 import type { Costs } from './cost';
 import { addPending } from './cost';
-import type { Learning } from './learning';
+import type { WorkloadStats } from './stats';
 import type { Demand, Grant, Holding } from './types';
 
 /** A request and its place. */
-export interface Placed {
+export interface Reservation {
   demand: Demand;
   grant: Grant;
   readonly grantedAt: number;
   /** When the prefill was done. */
-  readyAt: number | undefined;
+  prefilledAt: number | undefined;
   /** Whether a decode runner keeps memory for it. */
-  bound: boolean;
+  isAssigned: boolean;
   /** When it was told its decode runner after the prefill. */
-  boundAt: number | undefined;
+  assignedAt: number | undefined;
 }
 
 /** Time after which a VM surely knows of a grant, in milliseconds. */
 const GRANT_TRAVEL_MS = 1000;
 
 /** All placed requests of one service; keeps the account of its runners in step. */
-export class Placements {
+export class Reservations {
   readonly #account: MemoryAccount;
 
-  readonly #learning: Learning;
+  readonly #learning: WorkloadStats;
 
   readonly #costs: Costs;
 
   readonly #onChange: () => void;
 
-  readonly #placed = new Map<string, Placed>();
+  readonly #placed = new Map<string, Reservation>();
 
   /** @param onChange called when the account has changed */
-  constructor(account: MemoryAccount, learning: Learning, costs: Costs, onChange: () => void) {
+  constructor(account: MemoryAccount, learning: WorkloadStats, costs: Costs, onChange: () => void) {
     this.#account = account;
     this.#learning = learning;
     this.#costs = costs;
@@ -46,18 +46,18 @@
     return this.#placed.size;
   }
 
-  get entries(): Iterable<[string, Placed]> {
+  get entries(): Iterable<[string, Reservation]> {
     return this.#placed;
   }
 
   /** Requests whose prefill runs or is kept and that have no decode memory yet. */
-  get unbound(): number {
+  get unassignedCount(): number {
     let count = 0;
-    for (const { bound } of this.#placed.values()) if (!bound) count += 1;
+    for (const { isAssigned: bound } of this.#placed.values()) if (!bound) count += 1;
     return count;
   }
 
-  get(id: string): Placed | undefined {
+  get(id: string): Reservation | undefined {
     return this.#placed.get(id);
   }
 
@@ -75,7 +75,7 @@
     startedAt: number | undefined,
   ): void {
     const readyAt = startedAt === undefined ? undefined : now;
-    const placed: Placed = { demand, grant, grantedAt: now, readyAt, bound, boundAt: undefined };
+    const placed: Reservation = { demand, grant, grantedAt: now, prefilledAt: readyAt, isAssigned: bound, assignedAt: undefined };
     this.#placed.set(demand.id, placed);
     if (bound) this.#reserve(now, placed, startedAt);
     if (readyAt !== undefined) return;
@@ -84,26 +84,26 @@
   }
 
   /** A prefilled request gets memory at a decode runner. */
-  bind(now: number, request: Placed, decode: string): void {
+  assign(now: number, request: Reservation, decode: string): void {
     const placed = request;
-    placed.bound = true;
-    placed.boundAt = now;
+    placed.isAssigned = true;
+    placed.assignedAt = now;
     placed.grant = { ...placed.grant, decode };
     this.#reserve(now, placed, undefined);
   }
 
-  leave(now: number, id: string): void {
+  release(now: number, id: string): void {
     const placed = this.#placed.get(id);
     if (!placed) return;
     this.#onChange();
     this.#placed.delete(id);
     this.prefillOf(placed.grant)?.pending.delete(id);
-    this.#account.leave(now, placed.grant.decode, id);
+    this.#account.release(now, placed.grant.decode, id);
   }
 
   /** Forgets the requests of a VM that is gone. */
   dropVm(now: number, vm: string): void {
-    for (const [id, { demand }] of this.#placed) if (demand.vm === vm) this.leave(now, id);
+    for (const [id, { demand }] of this.#placed) if (demand.vm === vm) this.release(now, id);
   }
 
   /**
@@ -111,16 +111,16 @@
    * frozen or cut off would go on counting requests that have long ended.
    * @returns what was not known here
    */
-  adopt(now: number, vm: string, holdings: readonly Holding[]): readonly Holding[] {
+  sync(now: number, vm: string, holdings: readonly Holding[]): readonly Holding[] {
     const held = new Set(holdings.map(({ demand }) => demand.id));
     for (const [id, placed] of this.#placed) {
       const settled = now - placed.grantedAt > GRANT_TRAVEL_MS;
-      if (placed.demand.vm === vm && settled && !held.has(id)) this.leave(now, id);
+      if (placed.demand.vm === vm && settled && !held.has(id)) this.release(now, id);
     }
     const fresh = holdings.filter(({ demand }) => !this.#placed.has(demand.id));
     for (const { demand, grant, startedAt } of fresh) {
       this.add(now, demand, grant, true, startedAt);
-      this.#account.explain(now, grant.decode, demand.id);
+      this.#account.explainReported(now, grant.decode, demand.id);
     }
     return fresh;
   }
@@ -130,20 +130,20 @@
   }
 
   /** A request's place on its decode runner. */
-  holderOf(id: string): Holder | undefined {
+  allocationOf(id: string): Allocation | undefined {
     const placed = this.#placed.get(id);
-    return placed && this.#account.decode.get(placed.grant.decode)?.holders.get(id);
+    return placed && this.#account.decode.get(placed.grant.decode)?.allocations.get(id);
   }
 
-  #reserve(now: number, { demand, grant }: Placed, startedAt: number | undefined): void {
+  #reserve(now: number, { demand, grant }: Reservation, startedAt: number | undefined): void {
     this.#onChange();
-    this.#account.decode.get(grant.decode)?.holders.set(demand.id, {
+    this.#account.decode.get(grant.decode)?.allocations.set(demand.id, {
       demand,
       grantedAt: now,
-      expectedTokens: this.#learning.expect(demand),
-      deviationTokens: this.#learning.deviation(demand),
+      expectedTokens: this.#learning.expectedOutputTokens(demand),
+      deviationTokens: this.#learning.deviationTokens(demand),
       startedAt,
-      direct: grant.prefill === undefined,
+      isLocalPrefill: grant.prefill === undefined,
     });
   }
 }
--- a/src/node/router/plannerhost.ts
+++ b/src/node/router/plannerhost.ts
@@ -11,7 +11,7 @@
 import { PauseDetector } from '../../core/pause';
 import type { RateAllowance } from '../../core/ratelimits/types';
 import type { Engine } from '../../core/routing/types';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type {
   ReservationRequest,
   HoldingsReport,
@@ -62,7 +62,7 @@
 
 /** All planners of this VM, by service. */
 export class PlannerHost {
-  readonly #knowledge: Knowledge;
+  readonly #knowledge: RoutingState;
 
   readonly #runners: RunnerClient;
 
@@ -79,7 +79,7 @@
   #draining = false;
 
   constructor(
-    knowledge: Knowledge,
+    knowledge: RoutingState,
     runners: RunnerClient,
     log: Logger,
     context: PlannerHostContext,
@@ -182,7 +182,7 @@
       waiting: planner.waiting,
       placed: planner.placed,
       ...planner.load(now),
-      distrusted: planner.distrusted(now),
+      distrusted: planner.ejected(now),
       heardAgoMs: Object.fromEntries(
         [...lastSeen].map(([vm, at]) => [vm, Math.round(now - at)] as const),
       ),
@@ -206,7 +206,7 @@
 
   /** Records the outcome of an order to change the stage of a runner. */
   onOrderOutcome(now: number, service: string, runner: string, outcome: OrderOutcome): void {
-    this.#plans.get(service)?.planner.ordered(now, runner, outcome === 'accepted');
+    this.#plans.get(service)?.planner.recordOrder(now, runner, outcome === 'accepted');
   }
 
   /** Drops the reservations of a VM that has failed. */
@@ -235,7 +235,7 @@
 
   /** Starts the warm-up of a planner and requests reports from all VMs at once: their periodic reports take up to two seconds, in which full runners look free or free ones full. */
   #startWarmUp(now: number, service: string, { planner }: ServicePlan): void {
-    planner.startCautiously(now);
+    planner.startWarmUp(now);
     this.#context.onIncompleteState(service);
   }
 
@@ -286,7 +286,7 @@
 
   /** Logs each runner that was ejected, with the event that caused it. */
   #logEjections(service: string, { planner }: ServicePlan, event: PlanEvent): void {
-    for (const runner of planner.takeDistrusted()) {
+    for (const runner of planner.takeEjected()) {
       const request = 'id' in event ? event.id : undefined;
       this.#log.info({ request, service, runner, event: event.kind }, 'Ejected a runner.');
     }
--- a/test/fakes/memory/known.ts
+++ b/test/fakes/memory/known.ts
@@ -9,27 +9,27 @@
 
 /** Knows the figures and learns nothing. */
 export class KnownCosts implements CostModel {
-  readonly readBaseMs: number;
+  readonly prefillBaseMs: number;
 
-  readonly readTokenMs: number;
+  readonly prefillTokenMs: number;
 
   readonly firstEventMs: number;
 
   readonly tokenMs: number;
 
-  readonly leastTokenMs: number;
+  readonly minTokenMs: number;
 
   constructor(figures: MemoryFigures) {
-    this.readBaseMs = figures.prefillBaseMs;
-    this.readTokenMs = 1 / figures.prefillTokensPerMs;
+    this.prefillBaseMs = figures.prefillBaseMs;
+    this.prefillTokenMs = 1 / figures.prefillTokensPerMs;
     this.tokenMs = figures.stepMs + figures.stepSlotMs * USUAL_RUNNING;
-    this.leastTokenMs = this.tokenMs;
+    this.minTokenMs = this.tokenMs;
     this.firstEventMs = MOVE_MS + figures.eventTokens * this.tokenMs;
   }
 
-  read(): void {}
+  recordPrefill(): void {}
 
-  began(): void {}
+  recordFirstEvent(): void {}
 
-  made(): void {}
+  recordTokenTime(): void {}
 }
--- a/test/fakes/virtual/handover.ts
+++ b/test/fakes/virtual/handover.ts
@@ -268,7 +268,7 @@
   #move(vm: number, owner: number): void {
     if (this.#dead.has(vm)) return;
     this.#ownerOf[vm] = owner;
-    this.#planners[owner]?.startCautiously(this.now);
+    this.#planners[owner]?.startWarmUp(this.now);
     this.#tell(vm);
   }
 
--- a/test/router/tries.test.ts
+++ b/test/router/attempts.test.ts
@@ -1,4 +1,4 @@
-import { EarlierTries } from '../../src/core/memory/tries';
+import { PreviousAttempts } from '../../src/core/memory/attempts';
 import type { Demand } from '../../src/core/memory/types';
 
 const demand = (id: string, now: number, promptId: string | undefined): Demand => ({
@@ -27,18 +27,18 @@
    * caller, it would go before those that can still be served in time.
    */
   test('is known by its prompt', () => {
-    const tries = new EarlierTries();
-    expect(seen(tries.note(0, demand('a/1', 0, 'p')))).toEqual([900, false]);
-    expect(seen(tries.note(2000, demand('b/1', 2000, 'p')))).toEqual([900, true]);
-    expect(seen(tries.note(2000, demand('c/1', 2000, 'q')))).toEqual([2900, false]);
-    expect(seen(tries.note(3000, demand('d/1', 3000, undefined)))).toEqual([3900, false]);
-    expect(seen(tries.note(3000, demand('e/1', 3000, undefined)))).toEqual([3900, false]);
+    const tries = new PreviousAttempts();
+    expect(seen(tries.record(0, demand('a/1', 0, 'p')))).toEqual([900, false]);
+    expect(seen(tries.record(2000, demand('b/1', 2000, 'p')))).toEqual([900, true]);
+    expect(seen(tries.record(2000, demand('c/1', 2000, 'q')))).toEqual([2900, false]);
+    expect(seen(tries.record(3000, demand('d/1', 3000, undefined)))).toEqual([3900, false]);
+    expect(seen(tries.record(3000, demand('e/1', 3000, undefined)))).toEqual([3900, false]);
   });
 
   test('is new once it has its answer, or after long', () => {
-    const tries = new EarlierTries();
-    tries.answered(tries.note(0, demand('a/1', 0, 'p')));
-    expect(seen(tries.note(5000, demand('b/1', 5000, 'p')))).toEqual([5900, false]);
-    expect(seen(tries.note(30_000, demand('c/1', 30_000, 'p')))).toEqual([30_900, false]);
+    const tries = new PreviousAttempts();
+    tries.forget(tries.record(0, demand('a/1', 0, 'p')));
+    expect(seen(tries.record(5000, demand('b/1', 5000, 'p')))).toEqual([5900, false]);
+    expect(seen(tries.record(30_000, demand('c/1', 30_000, 'p')))).toEqual([30_900, false]);
   });
 });
--- a/test/router/cost.test.ts
+++ b/test/router/cost.test.ts
@@ -1,4 +1,9 @@
-import { LearntCosts, learntSlowness, pauseOfRead, prefillMs } from '../../src/core/memory/cost';
+import {
+  MeasuredCosts,
+  updatedSlowness,
+  localPrefillPauseMs,
+  prefillMs,
+} from '../../src/core/memory/cost';
 import { Estimate } from '../../src/core/memory/estimate';
 
 describe('the times of an engine', () => {
@@ -15,13 +20,13 @@
   });
 
   test('are read off prefills of different sizes', () => {
-    const costs = new LearntCosts();
+    const costs = new MeasuredCosts();
     for (let i = 0; i < 100; i += 1) {
       const tokens = 2000 + 80 * i;
-      costs.read(tokens, 20 + tokens / 100);
+      costs.recordPrefill(tokens, 20 + tokens / 100);
     }
-    expect(costs.readBaseMs).toBeCloseTo(20, 0);
-    expect(costs.readTokenMs).toBeCloseTo(0.01, 3);
+    expect(costs.prefillBaseMs).toBeCloseTo(20, 0);
+    expect(costs.prefillTokenMs).toBeCloseTo(0.01, 3);
     expect(prefillMs(costs, 5000)).toBeCloseTo(70, 0);
   });
 
@@ -31,23 +36,23 @@
    * boundless, and nobody would get a place any more.
    */
   test('are not learnt from a request that seems to take no time', () => {
-    const costs = new LearntCosts();
-    costs.made(0);
+    const costs = new MeasuredCosts();
+    costs.recordTokenTime(0);
     expect(costs.tokenMs).toBe(7);
-    costs.made(2);
+    costs.recordTokenTime(2);
     expect(costs.tokenMs).toBe(2);
   });
 
   test('bound how far one stray measurement moves a runner', () => {
-    expect(learntSlowness(1, 100, 100_000)).toBeCloseTo(2.05, 2);
-    expect(learntSlowness(1, 100, 0)).toBeCloseTo(0.895, 3);
+    expect(updatedSlowness(1, 100, 100_000)).toBeCloseTo(2.05, 2);
+    expect(updatedSlowness(1, 100, 0)).toBeCloseTo(0.895, 3);
   });
 
   /* Pieces are read before each token. An event of few tokens waits for few of them, one of many for the whole prompt. */
   test('give the pause of answers beside a prompt that is read', () => {
-    const costs = new LearntCosts();
+    const costs = new MeasuredCosts();
     const pauses = [2, 7, 59].map((eventTokens) =>
-      Math.round(pauseOfRead(costs, 5000, eventTokens) - eventTokens * costs.tokenMs),
+      Math.round(localPrefillPauseMs(costs, 5000, eventTokens) - eventTokens * costs.tokenMs),
     );
     expect(pauses).toEqual([37, 129, 180]);
   });
--- a/test/router/trust.test.ts
+++ b/test/router/ejection.test.ts
@@ -1,5 +1,5 @@
 import { planPolicy } from '../../src/core/memory/policy';
-import { FULL_TRUST, afterFailure, afterSuccess } from '../../src/core/memory/trust';
+import { NO_FAILURES, afterFailure, afterSuccess } from '../../src/core/memory/ejection';
 import { PaceMonitor } from '../../src/node/router/pace';
 
 describe('trust in a runner', () => {
@@ -8,16 +8,16 @@
    * failures in a row would never find it; it must spend most of its time without work.
    */
   test('keeps most work off a runner that fails every second request', () => {
-    let trust = FULL_TRUST;
+    let trust = NO_FAILURES;
     let now = 0;
     let given = 0;
     while (now < 20_000) {
-      if (now >= trust.avoidUntil) {
+      if (now >= trust.ejectedUntil) {
         given += 1;
         trust =
           given % 2 === 0
-            ? afterFailure(planPolicy.trust, now, trust)
-            : afterSuccess(planPolicy.trust, trust);
+            ? afterFailure(planPolicy.ejection, now, trust)
+            : afterSuccess(planPolicy.ejection, trust);
       }
       now += 100;
     }
@@ -25,9 +25,9 @@
   });
 
   test('is whole again soon after one bad end', () => {
-    const trust = afterFailure(planPolicy.trust, 1000, FULL_TRUST);
-    expect(trust.avoidUntil).toBe(1400);
-    expect(afterSuccess(planPolicy.trust, afterSuccess(planPolicy.trust, trust)).strikes).toBe(
+    const trust = afterFailure(planPolicy.ejection, 1000, NO_FAILURES);
+    expect(trust.ejectedUntil).toBe(1400);
+    expect(afterSuccess(planPolicy.ejection, afterSuccess(planPolicy.ejection, trust)).failures).toBe(
       0.25,
     );
   });
@@ -40,10 +40,10 @@
   test('counts failures that come together as one', () => {
     const together = Array.from({ length: 10 }, (_, i) => 1000 + i * 10);
     const trust = together.reduce(
-      (before, now) => afterFailure(planPolicy.trust, now, before),
-      FULL_TRUST,
+      (before, now) => afterFailure(planPolicy.ejection, now, before),
+      NO_FAILURES,
     );
-    expect(trust).toEqual({ strikes: 1, avoidUntil: 1400 });
+    expect(trust).toEqual({ failures: 1, ejectedUntil: 1400 });
   });
 });
 
--- a/test/router/turns.test.ts
+++ b/test/router/order.test.ts
@@ -1,8 +1,8 @@
 import { Planner } from '../../src/core/memory/planner';
 import { planPolicy } from '../../src/core/memory/policy';
-import type { Turn, Turns } from '../../src/core/memory/turns';
+import type { QueueEntry, QueueOrder } from '../../src/core/memory/order';
 import type { Demand } from '../../src/core/memory/types';
-import { FairTurns, SmallestFirst } from '../../src/core/memory/turns';
+import { FairOrder, SmallestFirst } from '../../src/core/memory/order';
 import { MemoryBench } from '../fakes/memory/bench';
 import { tightFigures } from '../fakes/memory/engines';
 import type { MemoryJob } from '../fakes/memory/load';
@@ -51,13 +51,13 @@
 }
 
 /** Part of the requests that were served, of the flood and of the others, while it lasts. */
-function play(turns: () => Turns, sizePart: number): { flood: number; others: number } {
+function play(turns: () => QueueOrder, sizePart: number): { flood: number; others: number } {
   const sums = { flood: 0, others: 0 };
   const seeds = [1, 2, 3];
   for (const seed of seeds) {
     const bench = new MemoryBench({
       jobs: jobsOf(seed, sizePart),
-      policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, turns } }),
+      policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
       figures: tightFigures,
       prefillRunners: 2,
       decodeRunners: 4,
@@ -78,7 +78,7 @@
    * changed anything, lost every seventh answer in time.
    */
   test('keep the others in time while one customer floods', () => {
-    const fair = play(() => new FairTurns(), 1);
+    const fair = play(() => new FairOrder(), 1);
     const bySize = play(() => new SmallestFirst(), 1);
     expect(fair.others).toBeGreaterThan(0.9);
     expect(fair.others).toBeGreaterThan(bySize.others);
@@ -87,7 +87,7 @@
   });
 
   test('help those with larger requests than the flood', () => {
-    const fair = play(() => new FairTurns(), 0.3);
+    const fair = play(() => new FairOrder(), 0.3);
     const bySize = play(() => new SmallestFirst(), 0.3);
     expect(fair.others).toBeGreaterThan(bySize.others);
   });
@@ -95,10 +95,10 @@
   /* Without customers nothing is to be shared, and the order stays what it was. */
   test('are those of the sizes where requests name no customer', () => {
     const jobs = drawMemoryJobs({ perSecond: 12, bursts: [], untilMs: UNTIL_MS }, 5);
-    const results = [() => new FairTurns(), () => new SmallestFirst()].map((turns) =>
+    const results = [() => new FairOrder(), () => new SmallestFirst()].map((turns) =>
       new MemoryBench({
         jobs,
-        policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, turns } }),
+        policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
         figures: tightFigures,
         prefillRunners: 2,
         decodeRunners: 4,
@@ -109,14 +109,14 @@
 
   /* A customer of the first rank has twice the share of one of the second. */
   test('come more often to a customer of a higher rank', () => {
-    const turns = new FairTurns();
-    const turnOf = (customer: string, rank: number, i: number): Turn => ({
+    const turns = new FairOrder();
+    const turnOf = (customer: string, rank: number, i: number): QueueEntry => ({
       demand: { ...demand, id: `${customer}${i}`, customer, rank },
       size: 100,
       cost: 100,
     });
     const all = [0, 1, 2, 3].flatMap((i) => [turnOf('high', 0, i), turnOf('low', 1, i)]);
-    all.slice(0, 2).forEach((turn) => turns.entered(turn.demand));
+    all.slice(0, 2).forEach((turn) => turns.customerQueued(turn.demand));
     const order = turns.order(all).map(({ demand: { id } }) => id);
     expect(order.slice(0, 6).filter((id) => id.startsWith('high'))).toHaveLength(4);
   });
--- a/test/router/planner.test.ts
+++ b/test/router/planner.test.ts
@@ -1,4 +1,4 @@
-import { StageBalance, wantedPrefill } from '../../src/core/memory/balance';
+import { StageBalancer, optimalPrefillCount } from '../../src/core/memory/balance';
 import { Planner } from '../../src/core/memory/planner';
 import { planPolicy } from '../../src/core/memory/policy';
 import type { Demand, PlanAction } from '../../src/core/memory/types';
@@ -79,9 +79,9 @@
     };
     planner.handle(0, { kind: 'told', vm: 'vm2', holdings: [held] });
     planner.handle(1000, { kind: 'slow', id: 'held' });
-    expect(planner.distrusted(1001)).toEqual([]);
+    expect(planner.ejected(1001)).toEqual([]);
     planner.handle(3000, { kind: 'slow', id: 'held' });
-    expect(planner.distrusted(3001)).toEqual(['d1']);
+    expect(planner.ejected(3001)).toEqual(['d1']);
   });
 
   /*
@@ -205,7 +205,7 @@
     planner.handle(150, { ...ready, shedBy: undefined });
     const again = planner.handle(160, { ...ready, shedBy: 'd1' });
     expect(again).toEqual([{ kind: 'bind', id: 'r', decode: 'd1' }]);
-    expect(planner.distrusted(160)).toEqual(['p1']);
+    expect(planner.ejected(160)).toEqual(['p1']);
   });
 
   /*
@@ -220,7 +220,7 @@
     const ready = { kind: 'prefilled', id: 'r', ms: 150, unreachable: undefined } as const;
     const shed = planner.handle(160, { ...ready, shedBy: 'd1' });
     expect(shed).toEqual([{ kind: 'refuse', id: 'r', retryAfterMs: 1000 }]);
-    expect(planner.distrusted(160)).toEqual([]);
+    expect(planner.ejected(160)).toEqual([]);
   });
 
   /*
@@ -234,7 +234,7 @@
     const other = grants.find(({ grant }) => grant.prefill !== undefined)?.id ?? '';
     const slow = (now: number): boolean => {
       planner.handle(now, { kind: 'slow', id: other });
-      return planner.distrusted(now).includes('d1');
+      return planner.ejected(now).includes('d1');
     };
     expect(slow(100)).toBe(false);
     planner.handle(300, { kind: 'started', id: direct });
@@ -315,7 +315,7 @@
   /* A new owner gets requests before the other VMs told what they hold: it must not fill runners that may be full. */
   test('keeps to half of the memory until it was told what is held', () => {
     const planner = plannerOf(pool);
-    planner.startCautiously(500);
+    planner.startWarmUp(500);
     const now = 10;
     const started = [...granted(flood(planner, now, 20))];
     for (let t = 20; t < 400; t += 20) {
@@ -413,12 +413,17 @@
        ],
      }
     `);
-    expect(planner.distrusted(210)).toEqual([]);
+    expect(planner.ejected(210)).toEqual([]);
   });
 });
 
 describe('the balance of stages', () => {
-  const workload = { promptTokens: 5200, readTokenMs: 0.018, outputTokens: 480, residenceMs: 3500 };
+  const workload = {
+    promptTokens: 5200,
+    prefillTokenMs: 0.018,
+    outputTokens: 480,
+    residenceMs: 3500,
+  };
 
   /*
    * Six runners read prompts with two of them; when one is lost for good, one of
@@ -427,7 +432,7 @@
    */
   test('wants as many prefill runners as serve most requests', () => {
     const wanted = [2, 4, 5, 6, 7, 13, 63].map((count) =>
-      wantedPrefill(planPolicy.stages, engine, count, 1, workload),
+      optimalPrefillCount(planPolicy.stages, engine, count, 1, workload),
     );
     expect(wanted).toEqual([1, 1, 1, 2, 2, 4, 20]);
   });
@@ -437,16 +442,16 @@
    * would take a decode runner away for ten seconds to serve hardly more after.
    */
   test('orders nothing that brings less than it costs', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const state = (id: string): never =>
       ({
         runner: runner(id, 'decode'),
         pending: new Map(),
-        holders: new Map(),
+        allocations: new Map(),
         slowness: 1,
       }) as never;
     const changes = (now: number, prefill: readonly string[]): number =>
-      balance.consider(
+      balance.changes(
         now,
         engine,
         prefill.map(state),
@@ -463,19 +468,18 @@
     ({
       runner: runner(id, 'prefill'),
       pending: new Map(),
-      holders: new Map(),
+      allocations: new Map(),
       slowness: 1,
     }) as never;
 
   /** Orders given at a time with so many runners of each stage. */
   const orderedAt = (
-    balance: StageBalance,
+    balance: StageBalancer,
     now: number,
     prefill: readonly string[],
     decode: readonly string[],
   ): number =>
-    balance.consider(now, engine, prefill.map(stateOf), decode.map(stateOf), workload, false)
-      .length;
+    balance.changes(now, engine, prefill.map(stateOf), decode.map(stateOf), workload, false).length;
 
   /*
    * Two decode runners crash and are back after six seconds. While they are away
@@ -483,7 +487,7 @@
    * and with them back it would be missed; none is ordered.
    */
   test('does not answer a crash that passes', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const all = ['d1', 'd2', 'd3', 'd4', 'd5'];
     for (let now = 0; now < 4000; now += 500) {
       expect(orderedAt(balance, now, ['p1', 'p2'], all)).toBe(0);
@@ -498,7 +502,7 @@
 
   /* The same, but they are gone for good: after the time in which they might return, the order comes. */
   test('answers a crash that does not pass', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const all = ['d1', 'd2', 'd3', 'd4', 'd5'];
     const orders: number[] = [];
     for (let now = 0; now < 20_000; now += 500) {
@@ -513,7 +517,7 @@
    * second until that is changed, requests are refused for want of decode memory.
    */
   test('changes a lasting excess as soon as the runners are known', () => {
-    const balance = new StageBalance(planPolicy.stages);
+    const balance = new StageBalancer(planPolicy.stages);
     const orders: number[] = [];
     for (let now = 0; now < 5000; now += 500) {
       const count = orderedAt(balance, now, ['p1', 'p2', 'p3', 'p4'], ['d1', 'd2', 'd3', 'd4']);
