--- a/scripts/soak/faults.ts
+++ b/scripts/soak/faults.ts
@@ -263,19 +263,19 @@
     return this.#busyTargets.has('store') ? undefined : { target: 'store', done: work() };
   }
 
-  #disturbStore(mood: FakeStore['mood']): ActiveFault | undefined {
+  #disturbStore(mood: FakeStore['fault']): ActiveFault | undefined {
     return this.#onStore(async () => {
       const { store } = this.#context;
-      store.mood = mood;
+      store.fault = mood;
       await pause(this.#drawDurationMs());
-      store.mood = 'well';
+      store.fault = 'well';
     });
   }
 
   /** Restores the store from the last copy; the operator and the runners then rewrite the entries that it lacks. */
   async #restoreStore(): Promise<void> {
     const { store, pool, onStoreRestored } = this.#context;
-    if (this.#storeCopy) store.comeBack(this.#storeCopy);
+    if (this.#storeCopy) store.restore(this.#storeCopy);
     await pause(RESTORE_REWRITE_DELAY_MS);
     onStoreRestored();
     for (const member of pool.members) pool.publish(member.runner);
--- a/test/router/order.test.ts
+++ b/test/router/order.test.ts
@@ -4,7 +4,7 @@
 import type { Demand } from '../../src/core/memory/types';
 import { FairOrder, SmallestFirst } from '../../src/core/memory/order';
 import { MemoryBench } from '../fakes/memory/bench';
-import { tightFigures } from '../fakes/memory/engines';
+import { smallMemoryFigures } from '../fakes/memory/engines';
 import type { MemoryJob } from '../fakes/memory/load';
 import { drawMemoryJobs } from '../fakes/memory/load';
 
@@ -58,7 +58,7 @@
     const bench = new MemoryBench({
       jobs: jobsOf(seed, sizePart),
       policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
-      figures: tightFigures,
+      figures: smallMemoryFigures,
       prefillRunners: 2,
       decodeRunners: 4,
     });
@@ -99,7 +99,7 @@
       new MemoryBench({
         jobs,
         policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder: turns } }),
-        figures: tightFigures,
+        figures: smallMemoryFigures,
         prefillRunners: 2,
         decodeRunners: 4,
       }).run(),
