--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -8,8 +8,8 @@
   plugins.typescriptEslint,
   ...configs.base.typescript,
   {
-    // Layout belongs to Prettier, set to Airbnb's widths and quotes; the house
-    // style's lines on imports and named exports go before Airbnb's.
+    // Prettier formats the code with Airbnb's line width and quotes, so the layout rules are off. The
+    // project's own style for imports and named exports overrides Airbnb's.
     rules: {
       'import-x/prefer-default-export': 'off',
       'import-x/extensions': 'off',
@@ -17,19 +17,19 @@
       'import-x/no-extraneous-dependencies': 'off',
       'import-x/no-rename-default': 'off',
       '@typescript-eslint/consistent-type-imports': 'error',
-      // Airbnb bans for-of for the sake of regenerator-runtime, which Node 20 does not need.
+      // Airbnb forbids for-of because it needs regenerator-runtime on old targets; Node 20 does not.
       'no-restricted-syntax': ['error', 'ForInStatement', 'LabeledStatement', 'WithStatement'],
       'no-await-in-loop': 'off',
-      // Behaviour that varies is an interface with its classes side by side.
+      // The implementations of an interface may share a file.
       'max-classes-per-file': 'off',
       'class-methods-use-this': 'off',
       '@typescript-eslint/class-methods-use-this': [
         'error',
         { ignoreClassesThatImplementAnInterface: true },
       ],
-      // Files read from the general to the particular; functions are hoisted.
+      // Functions are hoisted, so a file may define helpers below their callers.
       '@typescript-eslint/no-use-before-define': ['error', { functions: false }],
-      // Records of a blackboard section are written in place by the controller that owns them.
+      // The controller that owns a section of the blackboard modifies its records in place.
       'no-param-reassign': [
         'error',
         {
--- a/scripts/absent.cjs
+++ b/scripts/absent.cjs
@@ -1,2 +1,2 @@
-// Stands in for an optional native add-on: its users catch the error and go on without it.
-throw new Error('This optional add-on is not part of the program.');
+// Replaces optional native add-ons in the bundle. The packages that require them catch the error and work without.
+throw new Error('This optional native add-on is not part of the bundle.');
--- a/scripts/binary.mjs
+++ b/scripts/binary.mjs
@@ -1,4 +1,4 @@
-// Makes dist/goldcrestdock: the bundle inside a copy of Node, as a single executable.
+// Builds dist/goldcrestdock: the bundle embedded in a copy of the Node binary, as a single executable application.
 import { execFileSync } from 'node:child_process';
 import { chmodSync, copyFileSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles the program, the stand-ins and the scripts, each into one CommonJS file under build/.
+// Bundles the program, the simulated servers and the scripts, each into one CommonJS file under build/.
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 
@@ -8,7 +8,7 @@
 
 const { version } = JSON.parse(readFileSync(new URL('../package.json', import.meta.url), 'utf8'));
 
-/** The commit of the checkout, without starting git: this also runs where git is missing. */
+/** Abbreviated commit of the checkout, or `unknown`. Reads the files under .git because git may not be installed. */
 function commit() {
   const read = (path) => readFileSync(new URL(`../.git/${path}`, import.meta.url), 'utf8').trim();
   try {
@@ -19,7 +19,7 @@
   }
 }
 
-const all = {
+const entryPoints = {
   goldcrestdock: 'src/cli/main.ts',
   fakes: 'test/fakes/main.ts',
   start: 'scripts/start.ts',
@@ -35,7 +35,8 @@
 };
 
 await build({
-  entryPoints: values.only === undefined ? all : { [values.only]: all[values.only] },
+  entryPoints:
+    values.only === undefined ? entryPoints : { [values.only]: entryPoints[values.only] },
   outdir: values.out ?? 'build',
   outExtension: { '.js': '.cjs' },
   bundle: true,
--- a/scripts/chaos/callers.ts
+++ b/scripts/chaos/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of all kinds, as long as the run lasts. */
+/** Simulated callers: keyed, unkeyed, disconnecting, unservable and non-idempotent requests until the run ends. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
@@ -8,15 +8,15 @@
 import { call } from '../../test/fakes/http';
 import type { OpenStream } from '../../test/fakes/caller';
 import { openStream } from '../../test/fakes/caller';
-import type { Ledger } from './invariants';
-
-/** Callers at work at once. */
-const CALLERS = 24;
-/** The caller whose prompts are too long to be served in time. */
-const HOPELESS_CALLER = 3;
-/** Bytes of such a prompt: about 200,000 tokens. */
-const HOPELESS_BYTES = 800_000;
-/** Time in which a keyed request must be answered after the faults have ended, in milliseconds. */
+import type { InvariantRecorder } from './invariants';
+
+/** Concurrent callers. */
+const CALLER_COUNT = 24;
+/** Index of the caller whose prompts are too long to be served before their deadline. */
+const UNSERVABLE_CALLER = 3;
+/** Size of an unservable prompt: about 200,000 tokens. */
+const UNSERVABLE_PROMPT_BYTES = 800_000;
+/** Time limit for the answer to a keyed request after the last fault has ended. */
 const SETTLE_MS = 30_000;
 const TEAMS = ['clerks', 'lawyers', 'loan-officers'];
 
@@ -24,48 +24,50 @@
   readonly error?: { readonly code: number; readonly notRun: boolean };
 }
 
-/** Callers and what they saw. */
+/** Sends requests of all kinds and checks each answer against the invariants. */
 export class Callers {
-  /** Keys of receipts that were sent. */
+  /** Idempotency keys of all receipts that were sent. */
   readonly receipts = new Set<string>();
 
   readonly #deployment: Deployment;
 
-  readonly #ledger: Ledger;
+  readonly #recorder: InvariantRecorder;
 
   readonly #random: Random;
 
-  /** Ids of requests of which a refusal said "not run". */
+  /** Ids of requests that were refused as not run. */
   readonly #notRun = new Set<string>();
 
-  /** Keyed requests under way. */
-  readonly #open = new Set<Promise<void>>();
+  /** Keyed requests that are still being retried. */
+  readonly #pending = new Set<Promise<void>>();
 
   readonly #counts: Record<string, number> = {};
 
-  /** Receipts whose every answer so far said "not run". */
+  /** Receipts that were refused as not run on every attempt. */
   readonly #receiptsNotRun = new Set<string>();
 
-  /** Attempts of keyed requests that wait for their answer. */
-  readonly #waiting = new Map<string, { address: string; stream: OpenStream; since: number }>();
+  /** Attempts without a complete answer so far, by key, or by prompt for requests without a key. */
+  readonly #unanswered = new Map<string, { address: string; stream: OpenStream; since: number }>();
 
-  #watch: NodeJS.Timeout | undefined;
+  #reportTimer: NodeJS.Timeout | undefined;
 
   #sequence = 0;
 
-  #settledBy = Infinity;
+  #settleDeadline = Infinity;
 
-  constructor(deployment: Deployment, ledger: Ledger, random: Random) {
+  constructor(deployment: Deployment, recorder: InvariantRecorder, random: Random) {
     this.#deployment = deployment;
-    this.#ledger = ledger;
+    this.#recorder = recorder;
     this.#random = random;
   }
 
+  /** Number of answers by kind of request and outcome, as one line of text. */
   get summary(): string {
     return `callers: ${JSON.stringify(this.#counts)}`;
   }
 
-  async #tellStatus(address: string): Promise<void> {
+  /** Prints the oldest requests of the gateway and the state of all schedulers to standard error, for diagnosis. */
+  async #printStatus(address: string): Promise<void> {
     const headers = { authorization: `Bearer ${this.#deployment.spec.operatorToken}` };
     const { body } = await call(
       'GET',
@@ -85,103 +87,105 @@
     );
   }
 
+  /** Sends requests until the time `end`, in milliseconds since the epoch. */
   async run(end: number): Promise<void> {
-    this.#watch = setInterval(() => this.#tellWaiting(), SETTLE_MS / 3);
-    await Promise.all(Array.from({ length: CALLERS }, (_, i) => this.#caller(i, end)));
+    this.#reportTimer = setInterval(() => this.#reportUnanswered(), SETTLE_MS / 3);
+    await Promise.all(Array.from({ length: CALLER_COUNT }, (_, i) => this.#runCaller(i, end)));
   }
 
-  /** Lets keyed requests come to their end. */
+  /** Waits until all keyed requests have ended; they stop retrying after `SETTLE_MS`. */
   async settle(): Promise<void> {
-    this.#settledBy = Date.now() + SETTLE_MS;
-    await Promise.all(this.#open);
-    clearInterval(this.#watch);
+    this.#settleDeadline = Date.now() + SETTLE_MS;
+    await Promise.all(this.#pending);
+    clearInterval(this.#reportTimer);
   }
 
-  /** Tells on standard error what has been waiting for long, to find the cause. */
-  #tellWaiting(): void {
-    for (const [key, { address, stream, since }] of this.#waiting) {
+  /** Prints the attempts without an answer for a third of `SETTLE_MS` to standard error, for diagnosis. */
+  #reportUnanswered(): void {
+    for (const [key, { address, stream, since }] of this.#unanswered) {
       const age = Date.now() - since;
       if (age > SETTLE_MS / 3) {
         console.error(
-          `${key} waits for ${age} ms at ${address}: ${stream.requestId}, ${stream.offsets.length} tokens`,
+          `${key} has waited for ${age} ms at ${address}: ${stream.requestId}, ${stream.offsets.length} tokens`,
         );
       }
     }
   }
 
+  /** Checks that none of the run ids that engines executed belongs to a request refused as not run. */
   checkNotRun(ran: ReadonlySet<string>): void {
     const requests = new Set([...ran].map((runId) => runId.slice(0, runId.lastIndexOf('.'))));
     for (const id of this.#notRun) {
-      this.#ledger.check(
+      this.#recorder.check(
         'notRun',
         !requests.has(id),
-        () => `${id} was refused as not run, but a runner had it`,
+        () => `${id} was refused as not run, but a runner executed it`,
       );
     }
   }
 
-  /** Receipts whose caller was only ever told "not run". */
+  /** Receipts that were refused as not run on every attempt. */
   get neverRun(): ReadonlySet<string> {
     return this.#receiptsNotRun;
   }
 
-  #count(what: string): void {
+  #increment(what: string): void {
     this.#counts[what] = (this.#counts[what] ?? 0) + 1;
   }
 
-  #address(): string {
+  #randomAddress(): string {
     return `http://${this.#deployment.callers(1 + Math.floor(this.#random() * this.#deployment.spec.vms))}`;
   }
 
-  #token(): string {
+  #randomToken(): string {
     return `${TEAMS[Math.floor(this.#random() * TEAMS.length)]}-token`;
   }
 
-  async #caller(number: number, end: number): Promise<void> {
+  async #runCaller(number: number, end: number): Promise<void> {
     while (Date.now() < end) {
       const kind = number % 4;
-      if (kind === 0) await this.#receipt();
-      else if (kind === 1) this.#keyed(this.#newKeyed());
-      else if (kind === 2) await this.#stream(false);
-      else if (number === HOPELESS_CALLER) await this.#hopeless();
-      else await this.#stream(true);
+      if (kind === 0) await this.#sendReceipt();
+      else if (kind === 1) this.#startKeyed(this.#drawKeyed());
+      else if (kind === 2) await this.#sendStream(false);
+      else if (number === UNSERVABLE_CALLER) await this.#sendUnservable();
+      else await this.#sendStream(true);
       await pause(50 + this.#random() * 400);
     }
   }
 
-  #prompt(): string {
+  #drawPrompt(): string {
     this.#sequence += 1;
     return `history ${this.#sequence} `.repeat(1 + Math.floor(this.#random() * 400));
   }
 
-  /** A prompt so long that no first token can be in time: refused at once as not run. */
-  async #hopeless(): Promise<void> {
-    const prompt = this.#prompt().padEnd(HOPELESS_BYTES, 'x');
-    const stream = openStream(this.#address(), prompt, 200, { token: this.#token() });
+  /** Sends a prompt so long that its first token cannot meet the deadline; it should be refused at once as not run. */
+  async #sendUnservable(): Promise<void> {
+    const prompt = this.#drawPrompt().padEnd(UNSERVABLE_PROMPT_BYTES, 'x');
+    const stream = openStream(this.#randomAddress(), prompt, 200, { token: this.#randomToken() });
     await stream.ended;
-    this.#judge(stream, prompt, 200, 'hopeless');
+    this.#checkAnswer(stream, prompt, 200, 'unservable');
   }
 
-  /** A request without a key; it may be cut by a fault, but what ends must be whole. */
-  async #stream(hangsUp: boolean): Promise<void> {
-    const prompt = this.#prompt();
-    const address = this.#address();
-    const stream = openStream(address, prompt, 200, { token: this.#token() });
-    this.#waiting.set(prompt, { address, stream, since: Date.now() });
-    if (hangsUp) setTimeout(() => stream.close(), this.#random() * 3000);
+  /** Sends a request without a key. A fault may cut its stream, but a finished answer must be complete. */
+  async #sendStream(disconnecting: boolean): Promise<void> {
+    const prompt = this.#drawPrompt();
+    const address = this.#randomAddress();
+    const stream = openStream(address, prompt, 200, { token: this.#randomToken() });
+    this.#unanswered.set(prompt, { address, stream, since: Date.now() });
+    if (disconnecting) setTimeout(() => stream.close(), this.#random() * 3000);
     await stream.ended;
-    this.#waiting.delete(prompt);
-    this.#judge(stream, prompt, 200, hangsUp ? 'hung up' : 'stream');
+    this.#unanswered.delete(prompt);
+    this.#checkAnswer(stream, prompt, 200, disconnecting ? 'disconnected' : 'stream');
   }
 
-  /** True if the answer is whole. */
-  #judge(stream: OpenStream, prompt: string, maxTokens: number, what: string): boolean {
+  /** Checks the answer against the invariants and returns whether it is complete. */
+  #checkAnswer(stream: OpenStream, prompt: string, maxTokens: number, what: string): boolean {
     const { error } = (stream.error ?? {}) as ErrorBody;
     if (error?.notRun && stream.requestId !== '') this.#notRun.add(stream.requestId);
-    this.#count(`${what} ${stream.whole ? 'whole' : (error?.code ?? 'cut')}`);
+    this.#increment(`${what} ${stream.whole ? 'whole' : (error?.code ?? 'cut')}`);
     if (!stream.whole) return false;
     const expected = answerText(prompt, maxTokens);
-    this.#ledger.check(
+    this.#recorder.check(
       'once',
       stream.text === expected,
       () =>
@@ -190,18 +194,18 @@
     return true;
   }
 
-  #newKeyed(): { key: string; prompt: string; token: string } {
-    const prompt = this.#prompt();
-    return { key: `key-${this.#sequence}`, prompt, token: this.#token() };
+  #drawKeyed(): { key: string; prompt: string; token: string } {
+    const prompt = this.#drawPrompt();
+    return { key: `key-${this.#sequence}`, prompt, token: this.#randomToken() };
   }
 
-  #keyed(request: { key: string; prompt: string; token: string }): void {
-    const work = this.#untilWhole(request).finally(() => this.#open.delete(work));
-    this.#open.add(work);
+  #startKeyed(request: { key: string; prompt: string; token: string }): void {
+    const work = this.#retryUntilComplete(request).finally(() => this.#pending.delete(work));
+    this.#pending.add(work);
   }
 
-  /** Asks again with the same key, at any gateway, until the answer is whole. */
-  async #untilWhole({
+  /** Retries with the same key, at a random gateway each time, until the answer is complete. */
+  async #retryUntilComplete({
     key,
     prompt,
     token,
@@ -210,25 +214,25 @@
     prompt: string;
     token: string;
   }): Promise<void> {
-    const began = Date.now();
+    const startedAt = Date.now();
     for (;;) {
-      const address = this.#address();
+      const address = this.#randomAddress();
       const stream = openStream(address, prompt, 200, { token, key });
-      this.#waiting.set(key, { address, stream, since: Date.now() });
-      // Some callers lose patience in mid-answer and come again.
+      this.#unanswered.set(key, { address, stream, since: Date.now() });
+      // One in ten attempts disconnects before its answer is complete and is retried.
       if (this.#random() < 0.1) setTimeout(() => stream.close(), this.#random() * 1000);
       await stream.ended;
-      this.#waiting.delete(key);
-      if (this.#judge(stream, prompt, 200, 'keyed')) {
-        this.#ledger.check('lost', true, () => '');
+      this.#unanswered.delete(key);
+      if (this.#checkAnswer(stream, prompt, 200, 'keyed')) {
+        this.#recorder.check('lost', true, () => '');
         return;
       }
-      if (Date.now() > Math.min(this.#settledBy, began + 10 * SETTLE_MS)) {
-        this.#ledger.check(
+      if (Date.now() > Math.min(this.#settleDeadline, startedAt + 10 * SETTLE_MS)) {
+        this.#recorder.check(
           'lost',
           false,
           () =>
-            `${key} without answer for ${Date.now() - began} ms; last ${JSON.stringify(stream.error)}`,
+            `${key} had no complete answer for ${Date.now() - startedAt} ms; last ${JSON.stringify(stream.error)}`,
         );
         return;
       }
@@ -236,25 +240,25 @@
     }
   }
 
-  /** A receipt, sent several times at once or one after another with the same key. */
-  async #receipt(): Promise<void> {
+  /** Sends a receipt up to three times in sequence with the same key. */
+  async #sendReceipt(): Promise<void> {
     this.#sequence += 1;
     const key = `receipt-${this.#sequence}`;
     this.receipts.add(key);
     let notRun = 0;
-    const tries = 1 + Math.floor(this.#random() * 3);
-    for (let attempt = 0; attempt < tries; attempt += 1) {
+    const attemptCount = 1 + Math.floor(this.#random() * 3);
+    for (let attempt = 0; attempt < attemptCount; attempt += 1) {
       const headers = { authorization: 'Bearer clerks-token', 'idempotency-key': key };
       const answer = await call(
         'POST',
-        `${this.#address()}/services/registry/receipts`,
+        `${this.#randomAddress()}/services/registry/receipts`,
         { key },
         headers,
       ).catch(() => undefined);
       const { error } = (answer?.body ?? {}) as ErrorBody;
-      this.#count(`receipt ${answer === undefined ? 'cut' : (error?.code ?? 'done')}`);
+      this.#increment(`receipt ${answer === undefined ? 'cut' : (error?.code ?? 'done')}`);
       if (error?.notRun) notRun += 1;
     }
-    if (notRun === tries) this.#receiptsNotRun.add(key);
+    if (notRun === attemptCount) this.#receiptsNotRun.add(key);
   }
 }
--- a/scripts/chaos/checks.ts
+++ b/scripts/chaos/checks.ts
@@ -1,32 +1,33 @@
-/** Checks against the stand-ins' own records. */
+/** Checks of invariants against the records of the simulated engines and services. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
 import type { Deployment } from '../../test/fakes/deployment';
 import { call } from '../../test/fakes/http';
-import type { Ledger } from './invariants';
+import type { InvariantRecorder } from './invariants';
 
-/** Time in which engines must be free after the last request, in milliseconds. */
-const FREE_MS = 15_000;
+/** Time limit for engines to release all requests after the last caller has ended. */
+const RELEASE_TIMEOUT_MS = 15_000;
 
-function engines(deployment: Deployment): readonly string[] {
+/** URLs of all engines of the model service. */
+function engineUrls(deployment: Deployment): readonly string[] {
   return (deployment.consortium.pools.deeds?.runners ?? []).map(({ url }) => url);
 }
 
-/** Adds the runs that engines have worked on; an engine that is killed forgets its own. */
+/** Adds to `ran` the run ids that each engine has executed. Call it before an engine is killed: its record is lost with it. */
 export async function snapshotRuns(deployment: Deployment, ran: Set<string>): Promise<void> {
   const answers = await Promise.all(
-    engines(deployment).map((url) => call('GET', `${url}/ran`).catch(() => undefined)),
+    engineUrls(deployment).map((url) => call('GET', `${url}/ran`).catch(() => undefined)),
   );
   for (const answer of answers) {
     for (const id of (answer?.body as { ran?: string[] } | undefined)?.ran ?? []) ran.add(id);
   }
 }
 
-/** Every receipt ran at most once, and those whose caller was only ever told "not run" did not. */
+/** Checks that each receipt ran at most once, and that the receipts in `neverRun` (always refused as not run) did not run. */
 export async function checkRuns(
   deployment: Deployment,
-  ledger: Ledger,
+  recorder: InvariantRecorder,
   receipts: ReadonlySet<string>,
   neverRun: ReadonlySet<string>,
 ): Promise<void> {
@@ -40,9 +41,13 @@
   }
   for (const key of receipts) {
     if (neverRun.has(key)) {
-      ledger.check('notRun', !runs.has(key), () => `${key} ran, its caller was told it did not`);
+      recorder.check(
+        'notRun',
+        !runs.has(key),
+        () => `${key} ran, but all its attempts were refused as not run`,
+      );
     }
-    ledger.check(
+    recorder.check(
       'atMostOnce',
       (runs.get(key) ?? 0) <= 1,
       () => `${key} ran ${runs.get(key)} times`,
@@ -50,17 +55,20 @@
   }
 }
 
-/** With no caller left, every engine is free. */
-export async function checkMemory(deployment: Deployment, ledger: Ledger): Promise<void> {
-  for (const url of engines(deployment)) {
-    const until = Date.now() + FREE_MS;
+/** Checks that every engine releases all requests once no caller is left. */
+export async function checkMemory(
+  deployment: Deployment,
+  recorder: InvariantRecorder,
+): Promise<void> {
+  for (const url of engineUrls(deployment)) {
+    const deadline = Date.now() + RELEASE_TIMEOUT_MS;
     let held: readonly string[] = [];
     do {
       const { body } = await call('GET', `${url}/v1/requests`);
       ({ held } = body as { held: string[] });
       await pause(100);
-    } while (held.length > 0 && Date.now() < until);
-    ledger.check('memory', held.length === 0, () => `${url} holds ${held.join(', ')}`);
+    } while (held.length > 0 && Date.now() < deadline);
+    recorder.check('memory', held.length === 0, () => `${url} holds ${held.join(', ')}`);
   }
 }
 
@@ -71,7 +79,7 @@
   }[];
 }
 
-/** What `ctl status` would show. */
+/** Returns the status of the deployment, as `ctl status` shows it. */
 export async function readStatus(deployment: Deployment): Promise<Status> {
   const headers = { authorization: `Bearer ${deployment.spec.operatorToken}` };
   const { body } = await call(
@@ -83,11 +91,18 @@
   return body as Status;
 }
 
-/** No scheduler has counted a broken invariant. */
-export async function checkStatus(deployment: Deployment, ledger: Ledger): Promise<void> {
+/** Checks that every scheduler reports its status and no broken invariant. */
+export async function checkStatus(
+  deployment: Deployment,
+  recorder: InvariantRecorder,
+): Promise<void> {
   const { schedulers } = await readStatus(deployment);
   for (const { vm, detail } of schedulers) {
     const broken = detail?.metrics['invariant.broken'] ?? 0;
-    ledger.check('account', detail !== null && broken === 0, () => `${vm} counted ${broken}`);
+    recorder.check(
+      'account',
+      detail !== null && broken === 0,
+      () => `${vm}: found ${broken} broken invariants, expected a status with 0`,
+    );
   }
 }
--- a/scripts/chaos/faults.ts
+++ b/scripts/chaos/faults.ts
@@ -1,4 +1,4 @@
-/** Faults of all kinds, drawn at random. */
+/** Random faults in processes, VMs, engines, services and the simulated platform. */
 
 import { setTimeout as pause } from 'node:timers/promises';
 
@@ -9,7 +9,7 @@
 
 type Fault = () => Promise<void>;
 
-/** Draws faults and heals them. */
+/** Injects random faults, several at the same time, and ends each one. */
 export class Faults {
   readonly #deployment: Deployment;
 
@@ -19,10 +19,10 @@
 
   readonly #counts: Record<string, number> = {};
 
-  /** Processes that a fault works on; another fault leaves them alone until it is over. */
+  /** Processes with an active fault; a second fault on the same process is skipped. */
   readonly #busy = new Set<string>();
 
-  readonly #open = new Set<Promise<void>>();
+  readonly #active = new Set<Promise<void>>();
 
   constructor(deployment: Deployment, random: Random, ran: Set<string>) {
     this.#deployment = deployment;
@@ -30,10 +30,12 @@
     this.#ran = ran;
   }
 
+  /** Number of injected faults by name, as JSON. */
   get summary(): string {
     return JSON.stringify(this.#counts);
   }
 
+  /** Starts random faults until the time `end`, in milliseconds since the epoch. */
   async run(end: number): Promise<void> {
     const kinds: Readonly<Record<string, Fault>> = {
       killGateway: () => this.#restart('gateway', 'SIGKILL'),
@@ -59,19 +61,19 @@
       this.#counts[name] = (this.#counts[name] ?? 0) + 1;
       const work = (kinds[name] as Fault)()
         .catch(() => {})
-        .finally(() => this.#open.delete(work));
-      this.#open.add(work);
+        .finally(() => this.#active.delete(work));
+      this.#active.add(work);
       await pause(200 + this.#random() * 1500);
     }
   }
 
-  /** Waits until all faults are over and everything serves again. */
+  /** Waits until all faults have ended and all processes are ready. */
   async heal(): Promise<void> {
-    await Promise.all(this.#open);
+    await Promise.all(this.#active);
     await this.#deployment.ready();
   }
 
-  #someVm(): number {
+  #randomVm(): number {
     return 1 + Math.floor(this.#random() * this.#deployment.spec.vms);
   }
 
@@ -80,8 +82,8 @@
     return domains[(vm - 1) % domains.length] as string;
   }
 
-  /** Runs a fault on a process that no other fault works on. */
-  async #alone(name: string, fault: Fault): Promise<void> {
+  /** Runs a fault on a process, or skips it if another fault is active there. */
+  async #runExclusive(name: string, fault: Fault): Promise<void> {
     if (this.#busy.has(name)) return;
     this.#busy.add(name);
     try {
@@ -92,8 +94,8 @@
   }
 
   async #restart(role: 'gateway' | 'scheduler', signal: 'SIGKILL' | 'SIGTERM'): Promise<void> {
-    const vm = this.#someVm();
-    await this.#alone(`${role}-${vm}`, async () => {
+    const vm = this.#randomVm();
+    await this.#runExclusive(`${role}-${vm}`, async () => {
       await this.#deployment.signal(`${role}-${vm}`, signal);
       await pause(this.#random() * 2000);
       if (role === 'gateway') this.#deployment.startGateway(vm, this.#domainOf(vm));
@@ -102,9 +104,9 @@
   }
 
   async #killVm(): Promise<void> {
-    const vm = this.#someVm();
-    await this.#alone(`gateway-${vm}`, () =>
-      this.#alone(`scheduler-${vm}`, async () => {
+    const vm = this.#randomVm();
+    await this.#runExclusive(`gateway-${vm}`, () =>
+      this.#runExclusive(`scheduler-${vm}`, async () => {
         await Promise.all([
           this.#deployment.signal(`gateway-${vm}`, 'SIGKILL'),
           this.#deployment.signal(`scheduler-${vm}`, 'SIGKILL'),
@@ -117,24 +119,24 @@
   }
 
   async #freeze(role: 'gateway' | 'scheduler'): Promise<void> {
-    const name = `${role}-${this.#someVm()}`;
-    await this.#alone(name, async () => {
+    const name = `${role}-${this.#randomVm()}`;
+    await this.#runExclusive(name, async () => {
       await this.#deployment.signal(name, 'SIGSTOP');
       await pause(200 + this.#random() * 6000);
       await this.#deployment.signal(name, 'SIGCONT');
     });
   }
 
-  #someEngine(): { pool: string; id: string; url: string; role: string } {
+  #randomEngine(): { pool: string; id: string; url: string; role: string } {
     const { runners } = this.#deployment.consortium.pools.deeds ?? { runners: [] };
     const runner = runners[Math.floor(this.#random() * runners.length)];
-    if (!runner) throw new Error('there is no engine');
+    if (!runner) throw new Error('found no engine, expected at least one in the pool deeds');
     return { pool: 'deeds', ...runner };
   }
 
   async #killEngine(): Promise<void> {
-    const { pool, id, url, role } = this.#someEngine();
-    await this.#alone(id, async () => {
+    const { pool, id, url, role } = this.#randomEngine();
+    await this.#runExclusive(id, async () => {
       await snapshotRuns(this.#deployment, this.#ran);
       await this.#deployment.signal(id, 'SIGKILL');
       await pause(this.#random() * 2000);
@@ -143,8 +145,8 @@
   }
 
   async #freezeEngine(): Promise<void> {
-    const { id } = this.#someEngine();
-    await this.#alone(id, async () => {
+    const { id } = this.#randomEngine();
+    await this.#runExclusive(id, async () => {
       await this.#deployment.signal(id, 'SIGSTOP');
       await pause(200 + this.#random() * 3000);
       await this.#deployment.signal(id, 'SIGCONT');
@@ -152,21 +154,22 @@
   }
 
   async #engineFault(begin: object, end: object): Promise<void> {
-    const { id, url } = this.#someEngine();
-    await this.#alone(id, () => this.#faultAt(url, begin, end));
+    const { id, url } = this.#randomEngine();
+    await this.#runExclusive(id, () => this.#inject(url, begin, end));
   }
 
   async #serviceFault(begin: object, end: object): Promise<void> {
     const { runners } = this.#deployment.consortium.pools.registry ?? { runners: [] };
     const runner = runners[Math.floor(this.#random() * runners.length)];
-    if (runner) await this.#alone(runner.id, () => this.#faultAt(runner.url, begin, end));
+    if (runner) await this.#runExclusive(runner.id, () => this.#inject(runner.url, begin, end));
   }
 
   async #platformFault(begin: object, end: object): Promise<void> {
-    await this.#alone('platform', () => this.#faultAt(this.#deployment.platform, begin, end));
+    await this.#runExclusive('platform', () => this.#inject(this.#deployment.platform, begin, end));
   }
 
-  async #faultAt(url: string, begin: object, end: object): Promise<void> {
+  /** Starts a fault at a simulated server, waits for a random time and ends it. */
+  async #inject(url: string, begin: object, end: object): Promise<void> {
     await call('POST', `${url}/fault`, begin);
     await pause(200 + this.#random() * 3000);
     await call('POST', `${url}/fault`, end);
--- a/scripts/chaos/invariants.ts
+++ b/scripts/chaos/invariants.ts
@@ -1,6 +1,6 @@
-/** Counts how often each invariant was tried, held and broken. */
+/** Counts how often each invariant was checked, held and was broken. */
 
-/** The invariants of the brief, as this run can check them. */
+/** The required invariants that a run from outside can check, with their meaning. */
 export const invariants = {
   memory: 'no engine memory stays held by a request whose caller is gone',
   once: 'a finished request is answered once and with its own whole answer',
@@ -14,32 +14,33 @@
 /** Name of an invariant. */
 export type Invariant = keyof typeof invariants;
 
-const EXAMPLES = 3;
+/** Broken checks that are printed for each invariant. */
+const MAX_EXAMPLES = 3;
 
-/** The book of tries. */
-export class Ledger {
+/** Records the result of every check of an invariant. */
+export class InvariantRecorder {
   readonly #tried = new Map<Invariant, number>();
 
   readonly #broken = new Map<Invariant, string[]>();
 
-  /** Notes one try; `detail` says what was seen when it did not hold. */
+  /** Records one check; `detail` describes what was found and is called only if the invariant is broken. */
   check(invariant: Invariant, held: boolean, detail: () => string): void {
     this.#tried.set(invariant, (this.#tried.get(invariant) ?? 0) + 1);
     if (!held) this.#broken.set(invariant, [...(this.#broken.get(invariant) ?? []), detail()]);
   }
 
-  /** Prints a line for each invariant; true if all were tried and held. */
+  /** Prints a line for each invariant and returns whether each was checked at least once and never broken. */
   print(): boolean {
-    let whole = true;
+    let passed = true;
     for (const name of Object.keys(invariants) as Invariant[]) {
       const tried = this.#tried.get(name) ?? 0;
       const broken = this.#broken.get(name) ?? [];
-      if (tried === 0 || broken.length > 0) whole = false;
+      if (tried === 0 || broken.length > 0) passed = false;
       console.log(
         `${name.padEnd(11)} tried ${tried}, held ${tried - broken.length}, broken ${broken.length}: ${invariants[name]}`,
       );
-      for (const line of broken.slice(0, EXAMPLES)) console.log(`    ${line}`);
+      for (const line of broken.slice(0, MAX_EXAMPLES)) console.log(`    ${line}`);
     }
-    return whole;
+    return passed;
   }
 }
--- a/scripts/chaos/main.ts
+++ b/scripts/chaos/main.ts
@@ -1,7 +1,7 @@
 /**
- * A long randomised run with real processes: random faults of all kinds,
- * together and twice, while callers go on. Prints one line for each invariant
- * and exits accordingly.
+ * Randomised chaos test with real processes: injects overlapping and repeated
+ * faults while callers send requests and operators change settings. Prints one
+ * line for each invariant; exits with 1 if one is broken or was never checked.
  *
  *     node build/chaos.cjs [SECONDS] [SEED]
  */
@@ -10,24 +10,25 @@
 import { seeded } from '../../test/fakes/virtual/workload';
 import { Callers } from './callers';
 import { Faults } from './faults';
-import { Ledger } from './invariants';
+import { InvariantRecorder } from './invariants';
 import { Operators } from './operators';
 import { checkMemory, checkRuns, checkStatus, readStatus, snapshotRuns } from './checks';
 
-const RUNS_PERIOD_MS = 500;
+/** Interval between snapshots of the runs that engines have executed. */
+const SNAPSHOT_PERIOD_MS = 500;
 
-/** Tells on standard error how long a phase took. */
+/** Waits for a phase and prints its duration to standard error. */
 async function timed(phase: string, work: Promise<void>): Promise<void> {
-  const began = Date.now();
+  const startedAt = Date.now();
   await work;
-  console.error(`${phase}: ${Date.now() - began} ms`);
+  console.error(`${phase}: ${Date.now() - startedAt} ms`);
 }
 
 async function main(): Promise<void> {
   const seconds = Number(process.argv[2] ?? 120);
   const seed = Number(process.argv[3] ?? 1);
   const random = seeded(seed);
-  const ledger = new Ledger();
+  const recorder = new InvariantRecorder();
   const deployment = new Deployment(bagmati);
   process.once('SIGTERM', () => {
     deployment.stop().finally(() => process.exit(1));
@@ -35,30 +36,30 @@
   try {
     await deployment.start();
     const ran = new Set<string>();
-    const watcher = setInterval(() => {
+    const snapshotTimer = setInterval(() => {
       snapshotRuns(deployment, ran).catch(() => {});
-    }, RUNS_PERIOD_MS);
-    const callers = new Callers(deployment, ledger, seeded(seed + 1));
-    const operators = new Operators(deployment, ledger, seeded(seed + 2));
+    }, SNAPSHOT_PERIOD_MS);
+    const callers = new Callers(deployment, recorder, seeded(seed + 1));
+    const operators = new Operators(deployment, recorder, seeded(seed + 2));
     const faults = new Faults(deployment, random, ran);
     const end = Date.now() + seconds * 1000;
     await Promise.all([callers.run(end), operators.run(end), faults.run(end)]);
-    clearInterval(watcher);
+    clearInterval(snapshotTimer);
     await timed('heal', faults.heal());
     await timed('settle', callers.settle());
     await timed('settings', operators.check());
     await snapshotRuns(deployment, ran);
     callers.checkNotRun(ran);
-    await checkRuns(deployment, ledger, callers.receipts, callers.neverRun);
-    await checkMemory(deployment, ledger);
-    await checkStatus(deployment, ledger);
+    await checkRuns(deployment, recorder, callers.receipts, callers.neverRun);
+    await checkMemory(deployment, recorder);
+    await checkStatus(deployment, recorder);
     console.log(`seed ${seed}, ${seconds} s, faults: ${faults.summary}`);
     console.log(callers.summary);
     if (process.env.CHAOS_STATUS) console.log(JSON.stringify(await readStatus(deployment)));
   } finally {
     await deployment.stop();
   }
-  process.exitCode = ledger.print() ? 0 : 1;
+  process.exitCode = recorder.print() ? 0 : 1;
 }
 
 main().catch((error: Error) => {
--- a/scripts/docs/render.ts
+++ b/scripts/docs/render.ts
@@ -1,4 +1,4 @@
-/** Renders the reference pages from the code that they describe. */
+/** Renders the reference pages of settings and result codes from the schemas and the code table. */
 
 import { z } from 'zod';
 
@@ -6,6 +6,7 @@
 import { consortiumSchema, teamDocumentSchema } from '../../src/core/settings/schema';
 import { gatewaySchema, schedulerSchema } from '../../src/node/config';
 
+/** The keywords of JSON Schema that the rendered schemas use. */
 interface JsonSchema {
   readonly type?: string;
   readonly description?: string;
@@ -23,6 +24,7 @@
   readonly exclusiveMinimum?: number;
 }
 
+/** Text of the column "type". */
 function typeOf(schema: JsonSchema): string {
   if (schema.const !== undefined) return JSON.stringify(schema.const);
   if (schema.enum) return schema.enum.map((value) => JSON.stringify(value)).join(' or ');
@@ -31,23 +33,24 @@
   return schema.type ?? 'object';
 }
 
+/** Table rows of all fields below `path`; `NAME` stands for a key of a record, `[]` for an item of a list. */
 function rows(schema: JsonSchema, path: string, inherited: string | undefined): readonly string[] {
   const choices = schema.anyOf ?? schema.oneOf;
   if (choices) return choices.flatMap((choice) => rows(choice, path, inherited));
-  const own = Object.entries(schema.properties ?? {}).flatMap(([name, field]) => {
+  const fieldRows = Object.entries(schema.properties ?? {}).flatMap(([name, field]) => {
     const at = path === '' ? name : `${path}.${name}`;
     const required = schema.required?.includes(name) ?? false;
     const fallback = field.default === undefined ? '' : JSON.stringify(field.default);
-    const shown = fallback === '' && required ? 'required' : fallback;
-    const row = `| \`${at}\` | ${typeOf(field)} | ${shown} | ${field.description ?? ''} |`;
+    const defaultText = fallback === '' && required ? 'required' : fallback;
+    const row = `| \`${at}\` | ${typeOf(field)} | ${defaultText} | ${field.description ?? ''} |`;
     return [row, ...rows(field, at, field.description)];
   });
-  const named =
+  const recordRows =
     typeof schema.additionalProperties === 'object'
       ? rows(schema.additionalProperties, `${path}.NAME`, inherited)
       : [];
   const items = schema.items ? rows(schema.items, `${path}[]`, inherited) : [];
-  return [...own, ...named, ...items];
+  return [...fieldRows, ...recordRows, ...items];
 }
 
 function table(title: string, schema: z.ZodType): string {
@@ -63,7 +66,7 @@
   ].join('\n');
 }
 
-/** `docs/SETTINGS.md`. */
+/** Returns the text of `docs/SETTINGS.md`. */
 export function renderSettings(): string {
   return [
     '# Settings',
@@ -78,7 +81,7 @@
   ].join('\n');
 }
 
-/** `docs/ERRORS.md`. */
+/** Returns the text of `docs/ERRORS.md`. */
 export function renderErrors(): string {
   const lines = Object.entries(codes).map(
     ([name, { number, http, notRun, meaning, remedy }]) =>
--- a/scripts/load.ts
+++ b/scripts/load.ts
@@ -1,6 +1,6 @@
 /**
- * Added latency and processor time of gateway and scheduler, against calling the
- * stand-in runners directly, side by side in one run.
+ * Measures the latency and CPU time that gateway and scheduler add to a request,
+ * compared with direct calls to the simulated runners in the same run.
  *
  *     node build/load.cjs [REQUESTS] [CALLERS] [MAX-TOKENS]
  */
@@ -16,28 +16,30 @@
 
 const PROMPT = 'a title history of some length. '.repeat(60);
 const MAX_TOKENS = Number(process.argv[4] ?? 24);
-/** Clock ticks of /proc/PID/stat in a second, as on every Linux. */
-const TICKS = 100;
-const MICROSECONDS = 1000;
+/** Unit of the CPU times in /proc/PID/stat; 100 on Linux. */
+const CLOCK_TICKS_PER_SECOND = 100;
+const MICROSECONDS_PER_MS = 1000;
 
+/** Sends the request with this number and returns its HTTP status. */
 type Send = (index: number) => Promise<number>;
 
-/** Processor time of a process so far, in milliseconds. */
+/** CPU time that a process has used so far, in milliseconds. */
 function cpuMs(pid: number | undefined): number {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
-  return ((Number(fields[11]) + Number(fields[12])) * 1000) / TICKS;
+  return ((Number(fields[11]) + Number(fields[12])) * 1000) / CLOCK_TICKS_PER_SECOND;
 }
 
+/** Measures the latency of `requests` calls from concurrent callers, in microseconds; throws on a status other than 200. */
 async function measure(requests: number, callers: number, send: Send): Promise<Histogram> {
   const histogram = build({ highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3 });
   let next = 0;
   const caller = async (): Promise<void> => {
     while (next < requests) {
       next += 1;
-      const began = performance.now();
+      const startedAt = performance.now();
       const status = await send(next);
-      if (status !== 200) throw new Error(`found status ${status}`);
-      histogram.recordValue(Math.round((performance.now() - began) * MICROSECONDS));
+      if (status !== 200) throw new Error(`found status ${status}, expected 200`);
+      histogram.recordValue(Math.round((performance.now() - startedAt) * MICROSECONDS_PER_MS));
     }
   };
   await Promise.all(Array.from({ length: callers }, caller));
@@ -46,11 +48,11 @@
 
 function row(name: string, histogram: Histogram): string {
   const at = (percentile: number): string =>
-    (histogram.getValueAtPercentile(percentile) / MICROSECONDS).toFixed(2);
+    (histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS).toFixed(2);
   return `| ${name} | ${at(50)} | ${at(95)} | ${at(99)} |`;
 }
 
-/** Prefill on one engine and decode on another, as the gateway does, without it. */
+/** Sends prefill to one engine and decode to another without the gateway, with the same calls as the gateway. */
 function directModel(deployment: Deployment): Send {
   const runners = deployment.consortium.pools.deeds?.runners ?? [];
   const prefills = runners.filter(({ role }) => role === 'prefill');
@@ -75,7 +77,7 @@
   };
 }
 
-function throughModel(deployment: Deployment): Send {
+function routedModel(deployment: Deployment): Send {
   const headers = { authorization: 'Bearer clerks-token' };
   return async (index) => {
     const body = {
@@ -89,13 +91,13 @@
   };
 }
 
-function directPlain(deployment: Deployment): Send {
+function directService(deployment: Deployment): Send {
   const runners = deployment.consortium.pools.registry?.runners ?? [];
   return async (index) =>
     (await call('GET', `${runners[index % runners.length]?.url}/parcels/${index}`)).status;
 }
 
-function throughPlain(deployment: Deployment): Send {
+function routedService(deployment: Deployment): Send {
   const headers = { authorization: 'Bearer clerks-token' };
   return async (index) =>
     (
@@ -108,6 +110,7 @@
     ).status;
 }
 
+/** CPU time in milliseconds. */
 interface Usage {
   readonly gateway: number;
   readonly schedulers: number;
@@ -121,6 +124,7 @@
   return { gateway: of('gateway'), schedulers: of('scheduler') };
 }
 
+/** Measures direct and routed requests after a warm-up and prints a row for each, and the CPU time for each routed request. */
 async function compare(
   deployment: Deployment,
   what: string,
@@ -155,15 +159,15 @@
       deployment,
       'model',
       directModel(deployment),
-      throughModel(deployment),
+      routedModel(deployment),
       requests,
       callers,
     );
     await compare(
       deployment,
       'plain',
-      directPlain(deployment),
-      throughPlain(deployment),
+      directService(deployment),
+      routedService(deployment),
       requests * 5,
       callers,
     );
--- a/scripts/memory.ts
+++ b/scripts/memory.ts
@@ -1,6 +1,6 @@
 /**
- * Compares policies where the memory of decode runners binds, under virtual
- * time, and prints the table of `docs/MEASUREMENTS.md`.
+ * Compares placement policies in virtual time under loads that are limited by
+ * the memory of decode runners, and prints the table of `docs/MEASUREMENTS.md`.
  *
  *     node build/memory.cjs [SEEDS]
  */
@@ -21,6 +21,7 @@
 import type { MemoryLoad } from '../test/fakes/memory/load';
 import { drawMemoryJobs, shiftBursts as bursts } from '../test/fakes/memory/load';
 
+/** Constructor of each policy by its name in the table; a policy keeps state, so each run gets a new one. */
 type Policies = Readonly<Record<string, (figures: MemoryFigures) => PlacePolicy>>;
 
 const planners: Policies = {
@@ -36,54 +37,66 @@
   'eleven a runner': () => new SlotPolicy(11),
 };
 
+/** A row group of the table: a load on a number of runners. */
 interface Case {
   readonly name: string;
-  /** Default: `tightFigures`. */
+  /** Performance figures of the engine; default `tightFigures`. */
   readonly figures?: MemoryFigures;
   readonly load: MemoryLoad;
   readonly prefill: number;
   readonly decode: number;
 }
 
-const UNTIL_MS = 34_000;
+/** Virtual time at which arrivals end. */
+const ARRIVALS_END_MS = 34_000;
 
-/** Engines unlike the one of `tightFigures`, each near what its memory bears, with bursts above. */
-const unlike: readonly Case[] = [
+/** Engines that differ from `tightFigures`. The steady load nearly fills the memory; the bursts exceed it. */
+const otherEngineCases: readonly Case[] = [
   {
     name: 'fast tokens, long answers',
     figures: fastFigures,
-    load: { perSecond: 11, bursts, untilMs: UNTIL_MS, output: { mean: 4000, most: 7670 } },
+    load: { perSecond: 11, bursts, untilMs: ARRIVALS_END_MS, output: { mean: 4000, most: 7670 } },
     prefill: 2,
     decode: 5,
   },
   {
     name: 'slow tokens, short answers',
     figures: slowFigures,
-    load: { perSecond: 6, bursts, untilMs: UNTIL_MS, output: { mean: 50, most: 120 } },
+    load: { perSecond: 6, bursts, untilMs: ARRIVALS_END_MS, output: { mean: 50, most: 120 } },
     prefill: 6,
     decode: 3,
   },
   {
     name: 'fast reading',
     figures: readerFigures,
-    load: { perSecond: 12, bursts, untilMs: UNTIL_MS, output: { mean: 300, most: 700 } },
+    load: { perSecond: 12, bursts, untilMs: ARRIVALS_END_MS, output: { mean: 300, most: 700 } },
     prefill: 1,
     decode: 4,
   },
 ];
 
 const cases: readonly Case[] = [
-  { name: 'steady', load: { perSecond: 9, bursts: [], untilMs: UNTIL_MS }, prefill: 2, decode: 4 },
-  { name: 'bursts', load: { perSecond: 8, bursts, untilMs: UNTIL_MS }, prefill: 2, decode: 4 },
+  {
+    name: 'steady',
+    load: { perSecond: 9, bursts: [], untilMs: ARRIVALS_END_MS },
+    prefill: 2,
+    decode: 4,
+  },
+  {
+    name: 'bursts',
+    load: { perSecond: 8, bursts, untilMs: ARRIVALS_END_MS },
+    prefill: 2,
+    decode: 4,
+  },
   {
     name: 'overload',
-    load: { perSecond: 16, bursts: [], untilMs: UNTIL_MS },
+    load: { perSecond: 16, bursts: [], untilMs: ARRIVALS_END_MS },
     prefill: 2,
     decode: 4,
   },
   {
     name: 'one prefill runner',
-    load: { perSecond: 8, bursts, untilMs: UNTIL_MS },
+    load: { perSecond: 8, bursts, untilMs: ARRIVALS_END_MS },
     prefill: 1,
     decode: 4,
   },
@@ -126,4 +139,4 @@
 }
 
 for (const each of cases) printRows(each, policies);
-for (const each of unlike) printRows(each, planners);
+for (const each of otherEngineCases) printRows(each, planners);
--- a/scripts/policies.ts
+++ b/scripts/policies.ts
@@ -1,6 +1,6 @@
 /**
- * Compares policies of one cell under virtual time and prints the table of
- * `docs/MEASUREMENTS.md`.
+ * Compares scheduling policies of one cell in virtual time and prints the table
+ * of `docs/MEASUREMENTS.md`.
  *
  *     node build/policies.cjs [SECONDS] [SEEDS] [POLICY]
  */
@@ -16,7 +16,7 @@
 
 type Policy = Omit<CellOptions, 'policy'>;
 
-/** Made anew for each run: some keep state. */
+/** Each run creates its own policy because some policies keep state. */
 const policies: Readonly<Record<string, () => Policy>> = {
   current: () => ({}),
   'round robin': () => ({
@@ -33,6 +33,7 @@
   'no admission': () => ({ admission: new QueueLimitAdmission() }),
 };
 
+/** A load as a factor of the decode capacity, with its bursts, cancelled fraction and faults. */
 interface Load {
   readonly name: string;
   readonly factor: number;
@@ -49,6 +50,7 @@
   faults: {},
 });
 
+/** Virtual time at the start of each run that is left out of the results. */
 const WARM_UP_MS = 20_000;
 
 function median(values: readonly number[]): number {
@@ -56,6 +58,7 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
+/** Median, minimum and maximum as text. */
 function spread(values: readonly number[]): string {
   return `${median(values).toFixed(1)} (${Math.min(...values).toFixed(1)}–${Math.max(...values).toFixed(1)})`;
 }
@@ -85,7 +88,7 @@
   }).run();
 }
 
-/** Goodput in percent of the most that could have been completed in time. */
+/** Goodput as a percentage of the upper bound: the requests sent and not cancelled, or the decode capacity if lower. */
 function goodputOfBound(
   work: Workload,
   load: Load,
@@ -113,16 +116,16 @@
   const p95 = results.map(
     ({ firstTokenMs }) => firstTokenMs[Math.floor(firstTokenMs.length * 0.95)] ?? 0,
   );
-  const untrue = results.reduce(
+  const falseReports = results.reduce(
     (sum, { falseNotRun, endsMissing }) => sum + falseNotRun + endsMissing,
     0,
   );
   console.log(
-    `| ${work.name} | ${load.name} | ${name} | ${spread(goodput)} | ${spread(wasted)} | ${median(p95).toFixed(0)} | ${lag.toFixed(1)} | ${untrue} |`,
+    `| ${work.name} | ${load.name} | ${name} | ${spread(goodput)} | ${spread(wasted)} | ${median(p95).toFixed(0)} | ${lag.toFixed(1)} | ${falseReports} |`,
   );
 }
 
-/** Goodput of the two teams within their share while the first floods at ten times its share, against alone. */
+/** Prints the goodput of two teams within their share while a third sends ten times its share, as a percentage of their goodput without it. */
 function printFairness(work: Workload, seeds: number, durationMs: number): void {
   const share = (decodeCapacity(work) * 0.9) / work.teams.length;
   const rows = Array.from({ length: seeds }, (_, i) => {
@@ -151,10 +154,10 @@
 function main(): void {
   const seconds = Number(process.argv[2] ?? 120);
   const seeds = Number(process.argv[3] ?? 5);
-  const only = process.argv[4];
-  const names = Object.keys(policies).filter((name) => only === undefined || name === only);
+  const selected = process.argv[4];
+  const names = Object.keys(policies).filter((name) => selected === undefined || name === selected);
   const durationMs = WARM_UP_MS + seconds * 1000;
-  const extra: readonly Load[] = [
+  const extraLoads: readonly Load[] = [
     { name: 'bursts 1.2', factor: 1.2, burstMs: 20_000, cancelled: 0, faults: {} },
     { name: 'cancels 1.2', factor: 1.2, burstMs: 0, cancelled: 0.1, faults: {} },
     {
@@ -183,7 +186,7 @@
     for (const load of [0.5, 0.9, 1.2, 2].map(steady)) {
       for (const name of names) printRow(work, load, name, seeds, durationMs);
     }
-    for (const load of extra) printRow(work, load, 'current', seeds, durationMs);
+    for (const load of extraLoads) printRow(work, load, 'current', seeds, durationMs);
   }
   console.log(
     '\n| deployment | goodput within share under a tenfold flood, % of alone |\n| --- | --- |',
--- a/scripts/slopes.ts
+++ b/scripts/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the slopes of `docs/CAPACITY.md`: cost against size, at least three
- * sizes each, with a fitted line and its residual; then works the page's table out.
+ * Measures the slopes of `docs/CAPACITY.md`: cost against size at three or more
+ * sizes each. Prints a table with the fitted lines and their residuals.
  *
  *     node build/slopes.cjs
  */
@@ -22,12 +22,13 @@
 interface Line {
   readonly base: number;
   readonly slope: number;
-  /** Largest distance of a point from the line, as a part of the point. */
+  /** Largest distance of a point from the line, as a fraction of its cost. */
   readonly residual: number;
 }
 
 type Point = readonly [size: number, cost: number];
 
+/** Fits a line by least squares. */
 function fit(points: readonly Point[]): Line {
   const n = points.length;
   const sum = (pick: (point: Point) => number): number =>
@@ -43,6 +44,7 @@
   return { base, slope, residual };
 }
 
+/** Fits a line to the points, prints it as a table row and returns it. */
 function print(what: string, unit: string, points: readonly Point[]): Line {
   const line = fit(points);
   const seen = points.map(([x, y]) => `${x}: ${y.toFixed(3)}`).join(', ');
@@ -52,8 +54,8 @@
   return line;
 }
 
-/** Microseconds of one call, best of several rounds so that collections of garbage do not count. */
-function time(rounds: number, calls: number, work: (i: number) => void): number {
+/** Microseconds of one call: the fastest of several rounds, to leave out garbage collection. */
+function timePerCall(rounds: number, calls: number, work: (i: number) => void): number {
   let best = Infinity;
   for (let round = 0; round < rounds; round += 1) {
     const began = performance.now();
@@ -63,8 +65,8 @@
   return best;
 }
 
-/** Microseconds of the whole life of a request in a cell: arrival, prefill, transfer, first token, end. */
-function decisionCost(runners: number, teams: number): number {
+/** Microseconds that a cell spends on one request in total: arrival, prefill, transfer, first token, end. */
+function requestCost(runners: number, teams: number): number {
   const prefill = Math.max(1, Math.round(runners * 0.3));
   const work = { ...bagmatiWork, prefillRunners: prefill, decodeRunners: runners - prefill };
   const cell = new Cell({ policy: policyOf(work) });
@@ -90,15 +92,15 @@
     open.push(id);
   };
   for (let i = 0; i < busy; i += 1) start(i);
-  return time(4, 2000, (i) => {
+  return timePerCall(4, 2000, (i) => {
     start(busy + i);
     const id = open.shift();
     if (id !== undefined) cell.handle(now, { kind: 'finished', id, tokens: 200 });
   });
 }
 
-/** Microseconds of an arrival that finds every slot taken and many teams waiting. */
-function queuedCost(teams: number): number {
+/** Microseconds of an arrival, and its cancellation, while all slots are occupied and many teams have queued requests. */
+function queuedArrivalCost(teams: number): number {
   const work = { ...bagmatiWork, prefillRunners: 4, decodeRunners: 12 };
   const cell = new Cell({ policy: { ...policyOf(work), queueLimit: 1e6 }, warmUpUntil: 1e12 });
   cell.handle(0, { kind: 'runners', runners: runnersOf(work) });
@@ -115,7 +117,7 @@
     cell.handle(1, { kind: 'arrived', arrival });
   };
   for (let i = 0; i < teams; i += 1) arrive(i);
-  return time(3, 500, (i) => {
+  return timePerCall(3, 500, (i) => {
     arrive(teams + i);
     cell.handle(1, { kind: 'cancelled', id: `r${teams + i}` });
   });
@@ -123,16 +125,17 @@
 
 const packr = new Packr({ useRecords: false });
 const TAG_BYTES = 16;
-const DATAGRAM_HEADER = 28;
+/** IPv4 and UDP headers. */
+const DATAGRAM_HEADER_BYTES = 28;
 
-/** Bytes and microseconds a second of membership on each of `size` schedulers. */
+/** Cost of the membership protocol on each of `size` schedulers, per second: bytes and packets sent, CPU time in microseconds. */
 function membershipCost(size: number): { bytes: number; packets: number; cpuUs: number } {
   const fleet = new Fleet(
     size,
     1,
-    (packet) => packr.pack(packet).length + TAG_BYTES + DATAGRAM_HEADER,
+    (packet) => packr.pack(packet).length + TAG_BYTES + DATAGRAM_HEADER_BYTES,
   );
-  // News of a fleet that starts goes round for a while; what is measured is the quiet after it.
+  // Skips the gossip about the start of the fleet, to measure the steady state.
   fleet.run(120_000);
   const before = fleet.cost;
   const began = performance.now();
@@ -146,6 +149,7 @@
   };
 }
 
+/** Virtual time until another scheduler considers a killed one dead. */
 function detectionMs(size: number): number {
   const fleet = new Fleet(size, 2);
   fleet.run(20_000);
@@ -153,13 +157,15 @@
   return fleet.runUntil(() => fleet.viewOf(0).state('vm3') === 'dead', 60_000);
 }
 
-function spreadMs(size: number): number {
+/** Virtual time until a settings revision has reached all schedulers. */
+function propagationMs(size: number): number {
   const fleet = new Fleet(size, 3);
   fleet.run(20_000);
   return fleet.spread('teams/a', 1);
 }
 
-function heapOf(make: () => unknown): number {
+/** Heap bytes that the made object retains; exact only with `--expose-gc`. */
+function retainedBytes(make: () => unknown): number {
   global.gc?.();
   const before = process.memoryUsage().heapUsed;
   const kept = make();
@@ -168,17 +174,18 @@
   return kept === undefined ? 0 : used;
 }
 
-const TEAM_TEXT = (i: number): string =>
+const teamText = (i: number): string =>
   `{ "services": { "deeds": { "kind": "model", "pool": "p${i}", "maxTokens": ${i + 1} }, "registry": { "kind": "plain", "pool": "q" } } }`;
 
-function bookOf(teams: number): SettingsDocuments {
-  const book = new SettingsDocuments();
+function documentsOf(teams: number): SettingsDocuments {
+  const documents = new SettingsDocuments();
   for (let i = 0; i < teams; i += 1) {
-    book.apply({ path: `teams/t${i}`, revision: 1, text: TEAM_TEXT(i) });
+    documents.apply({ path: `teams/t${i}`, revision: 1, text: teamText(i) });
   }
-  return book;
+  return documents;
 }
 
+/** Microseconds of one commit of a ledger shard: parse, apply, serialise. */
 function ledgerCost(entries: number): number {
   const shard = LedgerShard.parse(undefined);
   for (let i = 0; i < entries; i += 1) {
@@ -193,13 +200,14 @@
     });
   }
   const text = shard.toString();
-  return time(3, 5, (i) => {
+  return timePerCall(3, 5, (i) => {
     const read = LedgerShard.parse(text);
     read.apply({ kind: 'claim', claim: { key: `new-${i}`, nonce: 'n', fingerprint: 'f' }, at: 1 });
     read.toString();
   });
 }
 
+/** Total size of the messages between gateway and scheduler for one model request. */
 function messageBytes(): number {
   const id = '10.10.10.10:8080~0123456789abcdef01';
   const blocks = Array.from({ length: 12 }, () => 2 ** 47);
@@ -229,17 +237,17 @@
   print(
     'whole life of a request in a cell, by runners',
     'µs',
-    [16, 64, 128, 256].map((n) => [n, decisionCost(n, 100)]),
+    [16, 64, 128, 256].map((n) => [n, requestCost(n, 100)]),
   );
   print(
     'whole life of a request in a cell of 16, by teams',
     'µs',
-    [1, 400, 1600].map((n) => [n, decisionCost(16, n)]),
+    [1, 400, 1600].map((n) => [n, requestCost(16, n)]),
   );
   print(
     'arrival with that many teams waiting',
     'µs',
-    [1, 100, 400, 1600].map((n) => [n, queuedCost(n)]),
+    [1, 100, 400, 1600].map((n) => [n, queuedArrivalCost(n)]),
   );
   const sizes = [8, 32, 128, 400];
   const costs = sizes.map((n) => membershipCost(n));
@@ -266,19 +274,19 @@
   print(
     'time of settings to all, by log2 of schedulers',
     'ms',
-    [16, 64, 256].map((n) => [Math.log2(n), spreadMs(n)]),
+    [16, 64, 256].map((n) => [Math.log2(n), propagationMs(n)]),
   );
   print(
     'settings in memory, by teams',
     'KB',
-    [200, 800, 1600].map((n) => [n, heapOf(() => bookOf(n)) / 1024]),
+    [200, 800, 1600].map((n) => [n, retainedBytes(() => documentsOf(n)) / 1024]),
   );
   print(
     'request keys in memory, by keys',
     'KB',
     [2000, 8000, 16000].map((n) => [
       n,
-      heapOf(() => {
+      retainedBytes(() => {
         const keys = new KeyRegistry(1e6);
         for (let i = 0; i < n; i += 1) {
           keys.attempt(0, `team/key-${i}`, 'f'.repeat(43), '10.0.0.1:8080', `id-${i}`);
@@ -309,7 +317,7 @@
     'µs',
     [50, 200, 790].map((n) => {
       const list = members(n);
-      return [n, time(3, 50, (i) => ownersOfKey(`k${i}`, list))];
+      return [n, timePerCall(3, 50, (i) => ownersOfKey(`k${i}`, list))];
     }),
   );
   console.log(
--- a/scripts/start.ts
+++ b/scripts/start.ts
@@ -1,7 +1,7 @@
 /**
- * Development run: starts stand-ins and daemons of both deployments as
- * processes, sends sample requests, prints what came back, and ends.
- * With `--stay` everything keeps running until it is interrupted.
+ * Development run: starts the simulated runners and platform and the daemons of
+ * both deployments as processes, sends sample requests, prints the answers and
+ * stops. With `--stay` the processes run until SIGINT.
  */
 
 import { answerText } from '../test/fakes/engine/text';
@@ -9,12 +9,14 @@
 import { Deployment, bagmati, dosel } from '../test/fakes/deployment';
 import { call } from '../test/fakes/http';
 
+/** Result of a sample request. */
 interface Sample {
   readonly what: string;
   readonly ok: boolean;
   readonly seen: string;
 }
 
+/** Sends a completion request and checks the text of the answer. */
 async function sendModel(
   address: string,
   token: string,
@@ -23,7 +25,7 @@
 ): Promise<Sample> {
   const prompt = `${'City preamble. '.repeat(200)}Street notes of ${model}: ${token}`;
   const headers = { authorization: `Bearer ${token}` };
-  const began = Date.now();
+  const startedAt = Date.now();
   const answer = await call(
     'POST',
     `http://${address}/v1/completions`,
@@ -33,11 +35,12 @@
   const text = (answer.body as { choices?: { text: string }[] }).choices?.[0]?.text;
   const ok = text === answerText(prompt, maxTokens);
   const seen = ok
-    ? `${text.split(' ').length - 1} tokens, whole, in ${Date.now() - began} ms`
+    ? `${text.split(' ').length - 1} tokens, whole, in ${Date.now() - startedAt} ms`
     : JSON.stringify(answer.body);
   return { what: `POST /v1/completions ${model}`, ok, seen };
 }
 
+/** Sends a request to a plain service; with a key, checks that the call ran exactly once. */
 async function sendPlain(
   address: string,
   token: string,
@@ -56,13 +59,14 @@
   return { what: `${method} ${path}`, ok, seen: `${answer.status} ${JSON.stringify(answer.body)}` };
 }
 
-async function sample(
+/** Sends the sample requests of a deployment, prints their results and returns whether all are correct. */
+async function sendSamples(
   deployment: Deployment,
   send: (address: string) => Promise<Sample[]>,
 ): Promise<boolean> {
   const { body } = await call('GET', `http://${deployment.callers(1)}/v1/addresses`);
   const { addresses } = body as { addresses: string[] };
-  console.log(`${deployment.spec.name}: callers are told ${addresses.join(', ')}`);
+  console.log(`${deployment.spec.name}: caller addresses ${addresses.join(', ')}`);
   const samples = await send(addresses[0] as string);
   for (const { what, ok, seen } of samples) {
     console.log(`  ${ok ? 'ok  ' : 'FAIL'} ${what}: ${seen}`);
@@ -96,7 +100,7 @@
   try {
     await Promise.all(deployments.map((deployment) => deployment.start()));
     const [first, second] = deployments as [Deployment, Deployment];
-    const results = [await sample(first, sendDosel), await sample(second, sendBagmati)];
+    const results = [await sendSamples(first, sendDosel), await sendSamples(second, sendBagmati)];
     const whole = results.every(Boolean);
     console.log(whole ? 'Both deployments answered whole.' : 'Some answers were not whole.');
     if (!whole) process.exitCode = 1;
--- a/scripts/storm.ts
+++ b/scripts/storm.ts
@@ -1,5 +1,6 @@
 /**
- * A long storm at one cell with all invariants on.
+ * Runs a long random sequence of events on one cell and checks all invariants.
+ * Exits with 1 if one is broken or a request is left over.
  *
  *     node build/storm.cjs [EVENTS] [SEED]
  */
@@ -9,10 +10,10 @@
 
 const events = Number(process.argv[2] ?? 1_000_000);
 const seed = Number(process.argv[3] ?? 1);
-const began = Date.now();
-const { broken, ends, left, events: told } = new Storm(seeded(seed)).run(events);
+const startedAt = Date.now();
+const { broken, ends, left, events: eventCount } = new Storm(seeded(seed)).run(events);
 console.log(
-  `seed ${seed}: ${told} events in ${Date.now() - began} ms; ends ${JSON.stringify(ends)}`,
+  `seed ${seed}: ${eventCount} events in ${Date.now() - startedAt} ms; ends ${JSON.stringify(ends)}`,
 );
 console.log(`invariants broken: ${broken.length}; requests left over: ${left}`);
 for (const line of broken.slice(0, 5)) console.log(`  ${line}`);
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,9 +1,9 @@
-// Runs the tests. Those named in KNOWN-RED.txt may fail; they are printed, and so is one that passes again.
+// Runs the tests. Tests listed in KNOWN-RED.txt may fail; the list is printed, and so is each listed test that passes.
 import { existsSync, readFileSync } from 'node:fs';
 
 import { runCLI } from 'jest';
 
-/** Lines of the file: `full name of the test: cause: issue`. */
+/** Entries of the file, one a line: `full name of the test: cause: issue`. */
 function knownRed(file) {
   if (!existsSync(file)) return [];
   return readFileSync(file, 'utf8')
@@ -22,13 +22,15 @@
 ]);
 const tests = results.testResults.flatMap(({ testResults }) => testResults);
 const failed = tests.filter(({ status }) => status === 'failed');
-const fresh = failed.filter(({ fullName }) => !isKnown(fullName));
-const passed = tests.filter(({ status, fullName }) => status === 'passed' && isKnown(fullName));
-const broken = results.numRuntimeErrorTestSuites > 0 || results.wasInterrupted;
+const unexpected = failed.filter(({ fullName }) => !isKnown(fullName));
+const passedKnown = tests.filter(
+  ({ status, fullName }) => status === 'passed' && isKnown(fullName),
+);
+const hasRunError = results.numRuntimeErrorTestSuites > 0 || results.wasInterrupted;
 
 if (known.length > 0) print(`known red, passed over:\n${known.join('\n')}`);
-passed.forEach(({ fullName }) => print(`known red, but passes now: ${fullName}`));
-fresh.forEach(({ fullName }) => print(`failed: ${fullName}`));
-const green = tests.filter(({ status }) => status === 'passed');
-print(`${green.length} passed, ${failed.length} failed`);
-process.exit(fresh.length > 0 || broken || tests.length === 0 ? 1 : 0);
+passedKnown.forEach(({ fullName }) => print(`known red, but passes now: ${fullName}`));
+unexpected.forEach(({ fullName }) => print(`failed: ${fullName}`));
+const passedTests = tests.filter(({ status }) => status === 'passed');
+print(`${passedTests.length} passed, ${failed.length} failed`);
+process.exit(unexpected.length > 0 || hasRunError || tests.length === 0 ? 1 : 0);
--- a/src/version.ts
+++ b/src/version.ts
@@ -1,6 +1,6 @@
-/** Version of this build; the bundler puts the values in. */
+/** Version of this build, defined by the bundler. */
 
 declare const GOLDCRESTDOCK_VERSION: string | undefined;
 
-/** Version and commit, or `dev` when run from sources. */
+/** Package version and abbreviated commit, such as `1.2.3 (0123abcdef)`; `dev` when run from sources. */
 export const version = typeof GOLDCRESTDOCK_VERSION === 'undefined' ? 'dev' : GOLDCRESTDOCK_VERSION;
