--- a/test/fakes/listener.ts
+++ b/test/fakes/listener.ts
@@ -1,5 +1,8 @@
 /** A listener of knowledge that takes no notice. */
 
-import type { KnowledgeListener } from '../../src/node/router/knowledge';
+import type { RoutingStateListener } from '../../src/node/router/routingstate';
 
-export const silentListener: KnowledgeListener = { onNews: () => {}, onUnfitEntry: () => {} };
+export const silentListener: RoutingStateListener = {
+  onChange: () => {},
+  onInvalidEntry: () => {},
+};
--- a/test/fakes/routers.ts
+++ b/test/fakes/routers.ts
@@ -13,7 +13,7 @@
 import pino from 'pino';
 
 import type { Router } from '../../src/node/router/daemon';
-import { createRouter } from '../../src/platform/run';
+import { createRouter } from '../../src/platform/router';
 import { eventually } from './cluster';
 import { entryOf } from './entry';
 import { closeServer, listen, readBody, sendJson } from './http';
--- a/test/fakes/virtual/newsfleet.ts
+++ b/test/fakes/virtual/newsfleet.ts
@@ -25,8 +25,8 @@
 import type { Position } from '../../../src/core/routing/position';
 import { StoreHistory } from '../../../src/core/routing/position';
 import { ERA_PATH, UpdatePropagation, RUNNER_PATH } from '../../../src/core/routing/propagation';
-import { fromRumour } from '../../../src/node/router/rumours';
-import { SUSPECT_PATH, suspectRumour, suspectSchema } from '../../../src/node/router/suspects';
+import { fromUpdate } from '../../../src/node/router/updates';
+import { SUSPECT_PATH, suspectUpdate, suspectSchema } from '../../../src/node/router/suspects';
 import { runnerOf } from '../runner';
 import { Schedule } from './schedule';
 import { seeded } from './workload';
@@ -542,7 +542,7 @@
     if (!news) return;
     if (vm.suspects.size === 0) {
       this.#later(vm, GATHER_MS, () => {
-        const rumours = [...vm.suspects.values()].map(suspectRumour);
+        const rumours = [...vm.suspects.values()].map(suspectUpdate);
         vm.suspects.clear();
         this.#tell(vm, { kind: 'rumours', rumours });
       });
@@ -552,7 +552,7 @@
 
   #hear(vm: Vm, rumour: GossipUpdate, address: string): void {
     if (rumour.path.startsWith(SUSPECT_PATH)) {
-      this.#suspect(vm, vm.quarantine.apply(this.now, fromRumour(rumour, suspectSchema)));
+      this.#suspect(vm, vm.quarantine.apply(this.now, fromUpdate(rumour, suspectSchema)));
       return;
     }
     if (rumour.path === ERA_PATH) {
--- a/test/fakes/virtual/storehistory.ts
+++ b/test/fakes/virtual/storehistory.ts
@@ -10,8 +10,8 @@
 import { StoreHistory } from '../../../src/core/routing/position';
 import type { Runner } from '../../../src/core/routing/types';
 
-import type { News } from '../../../src/node/router/knowledge';
-import { Knowledge } from '../../../src/node/router/knowledge';
+import type { StateChange } from '../../../src/node/router/routingstate';
+import { RoutingState } from '../../../src/node/router/routingstate';
 import { runnerOf } from '../runner';
 
 interface Item {
@@ -150,16 +150,19 @@
 export class HistoryVm {
   readonly history = new StoreHistory();
 
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
 
   /** Until when it cannot reach the store. */
   cutUntil = 0;
 
   #followed: { era: number; revision: number } | undefined;
 
-  constructor(onNews: (news: News) => void) {
+  constructor(onNews: (news: StateChange) => void) {
     const log = pino({ level: 'silent' });
-    this.knowledge = new Knowledge(this.history, log, { onNews, onUnfitEntry: () => {} });
+    this.knowledge = new RoutingState(this.history, log, {
+      onChange: onNews,
+      onInvalidEntry: () => {},
+    });
   }
 
   read(now: number, store: HistoryStore): void {
@@ -172,7 +175,7 @@
     const changes =
       this.#followed?.era === era ? store.changes(this.#followed.revision) : undefined;
     this.#followed = { era, revision };
-    this.knowledge.heardStore(now);
+    this.knowledge.storeAnswered(now);
     if (changes) {
       this.knowledge.learnRunners(now, this.#facts(changes), 'store');
       return;
@@ -186,7 +189,7 @@
   /** Takes over what another VM knows. */
   ask(now: number, other: HistoryVm): void {
     this.knowledge.learnEras(now, other.knowledge.eras, 'peer');
-    const facts = other.knowledge.factsBeside(now, this.knowledge.digestParts, 1000);
+    const facts = other.knowledge.recordsDiffering(now, this.knowledge.digestParts, 1000);
     this.knowledge.learnRunners(now, facts, 'peer');
   }
 
--- a/test/platform/holders.test.ts
+++ b/test/platform/lock.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 
-import type { OrderRight } from '../../src/node/router/types';
+import type { OrderLease } from '../../src/node/router/types';
 import { StoreLock } from '../../src/platform/lock';
 import type { StoreCopy } from '../fakes/store';
 import { FakeStore, clientOf } from '../fakes/store';
@@ -34,7 +34,7 @@
 
   #locks: readonly StoreLock[] = [];
 
-  readonly #rights = new Map<number, OrderRight>();
+  readonly #rights = new Map<number, OrderLease>();
 
   readonly #copies: StoreCopy[] = [];
 
--- a/test/platform/olderstore.test.ts
+++ b/test/platform/restore.test.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 
 import { StoreHistory } from '../../src/core/routing/position';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { StoreFeed } from '../../src/platform/feed';
 import { StoreLock } from '../../src/platform/lock';
 import { eventually } from '../fakes/cluster';
@@ -15,7 +15,7 @@
 class Reader {
   readonly #history = new StoreHistory();
 
-  readonly knowledge = new Knowledge(this.#history, log, silentListener);
+  readonly knowledge = new RoutingState(this.#history, log, silentListener);
 
   readonly #feed: StoreFeed;
 
@@ -32,11 +32,11 @@
       onListed: (ids, position) => knowledge.learnList(performance.now(), ids, position),
       onVms: () => {},
       onStore: (up) => {
-        if (up) knowledge.heardStore(performance.now());
+        if (up) knowledge.storeAnswered(performance.now());
         else knowledge.storeFailed(performance.now());
       },
       onSuspects: () => {},
-      onProof: () => {},
+      onConfirmed: () => {},
     });
     this.#feed.setReading(true);
   }
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -47,7 +47,7 @@
 
   onSuspects(): void {}
 
-  onProof(): void {}
+  onConfirmed(): void {}
 
   onStore(up: boolean): void {
     if (this.store.at(-1) !== up) this.store.push(up);
--- a/test/router/frontend.test.ts
+++ b/test/router/frontend.test.ts
@@ -8,7 +8,7 @@
 import type { RoutingConfig } from '../../src/core/routing/types';
 import type { FrontEndContext } from '../../src/node/router/frontend';
 import { FrontEnd } from '../../src/node/router/frontend';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { RouterMetrics } from '../../src/node/router/metrics';
 import { silentListener } from '../fakes/listener';
 import { gateOf } from '../fakes/runs';
@@ -58,7 +58,7 @@
 const log = pino({ level: 'silent' });
 
 /** A front end that passes its requests to `onRequest`. */
-function frontOf(knowledge: Knowledge, onRequest: FrontEndContext['onRequest']): FrontEnd {
+function frontOf(knowledge: RoutingState, onRequest: FrontEndContext['onRequest']): FrontEnd {
   return new FrontEnd({
     knowledge,
     authorizer: gateOf(knowledge),
@@ -71,7 +71,7 @@
 }
 
 describe('the front end', () => {
-  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), log, silentListener);
   const seen: string[] = [];
   const front = frontOf(knowledge, async (exchange) => {
     seen.push(exchange.request.target);
@@ -120,7 +120,7 @@
   const REQUEST = 'GET /a/ HTTP/1.0\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n';
   /** Time to observe a connection, longer than a response of this test takes. */
   const OBSERVED_MS = 300;
-  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), log, silentListener);
   const front = frontOf(knowledge, async (exchange) => {
     exchange.writeHead(200, ['content-type', 'text/event-stream']);
     await exchange.write(Buffer.from(EVENT));
--- a/test/router/model.test.ts
+++ b/test/router/model.test.ts
@@ -125,7 +125,7 @@
     const out: string[] = [];
     const route = { ...streamRoute, attempts: 3, resumable: true };
     const exchange = exchangeInto(out, promptRequest, route);
-    for (const id of ['x', 'y']) quarantine.ended(performance.now(), exchange.fingerprint, id);
+    for (const id of ['x', 'y']) quarantine.crashed(performance.now(), exchange.fingerprint, id);
     const sent: string[] = [];
     const context = {
       knowledge: { runnersOf: () => [runner('d1', 'decode'), runner('d2', 'decode')] },
--- a/test/router/plainbalancer.test.ts
+++ b/test/router/plainbalancer.test.ts
@@ -1,7 +1,7 @@
 import { RunnerHealth } from '../../src/core/cell/health';
 import { Failure } from '../../src/core/failure';
 import type { Runner } from '../../src/core/routing/types';
-import type { Knowledge } from '../../src/node/router/knowledge';
+import type { RoutingState } from '../../src/node/router/routingstate';
 import type { Permit } from '../../src/node/router/permits';
 import type { BalancerContext } from '../../src/node/router/plainbalancer';
 import { PlainBalancer } from '../../src/node/router/plainbalancer';
@@ -45,7 +45,7 @@
         return this.#permit;
       },
     };
-    const knowledge = { runnersOf: () => runners } as unknown as Knowledge;
+    const knowledge = { runnersOf: () => runners } as unknown as RoutingState;
     return { knowledge, health: () => health, permits, domain: 'near' };
   }
 }
--- a/test/router/knowledge.test.ts
+++ b/test/router/routingstate.test.ts
@@ -4,7 +4,7 @@
 import type { RoutingConfig, Runner } from '../../src/core/routing/types';
 import { StoreHistory } from '../../src/core/routing/position';
 import { instanceId } from '../../src/core/routing/types';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { at } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
 import { silentListener } from '../fakes/listener';
@@ -18,10 +18,10 @@
   limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 });
 
-const fresh = (): Knowledge =>
-  new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+const fresh = (): RoutingState =>
+  new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
 
-const ids = (knowledge: Knowledge, now: number): readonly string[] =>
+const ids = (knowledge: RoutingState, now: number): readonly string[] =>
   knowledge.runnersOf(now, 's').map(({ id }) => id);
 
 describe('what a VM knows', () => {
@@ -159,12 +159,12 @@
   test('reports an entry that names no runner once for each revision', () => {
     const lines: string[] = [];
     let counted = 0;
-    const knowledge = new Knowledge(
+    const knowledge = new RoutingState(
       new StoreHistory(),
       pino({ level: 'warn' }, { write: (line) => lines.push(line) }),
       {
-        onNews: () => {},
-        onUnfitEntry: () => {
+        onChange: () => {},
+        onInvalidEntry: () => {
           counted += 1;
         },
       },
@@ -189,9 +189,9 @@
 
   test('reports a runner of a service that it does not know once', () => {
     let counted = 0;
-    const knowledge = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), {
-      onNews: () => {},
-      onUnfitEntry: () => {
+    const knowledge = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), {
+      onChange: () => {},
+      onInvalidEntry: () => {
         counted += 1;
       },
     });
