--- a/scripts/chaos/callers.ts
+++ b/scripts/chaos/callers.ts
@@ -3,7 +3,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
 import type { Deployment } from '../../test/fakes/deployment';
-import { answerText } from '../../test/fakes/engine/text';
+import { outputText } from '../../test/fakes/engine/text';
 import type { Random } from '../../test/fakes/virtual/workload';
 import { call } from '../../test/fakes/http';
 import type { OpenStream } from '../../test/fakes/caller';
@@ -184,7 +184,7 @@
     if (error?.notRun && stream.requestId !== '') this.#notRun.add(stream.requestId);
     this.#increment(`${what} ${stream.whole ? 'whole' : (error?.code ?? 'cut')}`);
     if (!stream.whole) return false;
-    const expected = answerText(prompt, maxTokens);
+    const expected = outputText(prompt, maxTokens);
     this.#recorder.check(
       'once',
       stream.text === expected,
--- a/scripts/chaos/faults.ts
+++ b/scripts/chaos/faults.ts
@@ -165,7 +165,9 @@
   }
 
   async #platformFault(begin: object, end: object): Promise<void> {
-    await this.#runExclusive('platform', () => this.#inject(this.#deployment.platform, begin, end));
+    await this.#runExclusive('platform', () =>
+      this.#inject(this.#deployment.platformUrl, begin, end),
+    );
   }
 
   /** Starts a fault at a simulated server, waits for a random time and ends it. */
--- a/scripts/start.ts
+++ b/scripts/start.ts
@@ -4,7 +4,7 @@
  * stops. With `--stay` the processes run until SIGINT.
  */
 
-import { answerText } from '../test/fakes/engine/text';
+import { outputText } from '../test/fakes/engine/text';
 import type { DeploymentSpec } from '../test/fakes/deployment';
 import { Deployment, bagmati, dosel } from '../test/fakes/deployment';
 import { call } from '../test/fakes/http';
@@ -33,7 +33,7 @@
     headers,
   );
   const text = (answer.body as { choices?: { text: string }[] }).choices?.[0]?.text;
-  const ok = text === answerText(prompt, maxTokens);
+  const ok = text === outputText(prompt, maxTokens);
   const seen = ok
     ? `${text.split(' ').length - 1} tokens, whole, in ${Date.now() - startedAt} ms`
     : JSON.stringify(answer.body);
--- a/test/fakes/listener.ts
+++ b/test/fakes/listener.ts
@@ -2,7 +2,7 @@
 
 import type { RoutingStateListener } from '../../src/node/router/routingstate';
 
-export const silentListener: RoutingStateListener = {
+export const noopListener: RoutingStateListener = {
   onChange: () => {},
   onInvalidEntry: () => {},
 };
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -12,7 +12,7 @@
 import type { QuotaController } from '../../src/node/router/quotas';
 import { RateLimitController } from '../../src/node/router/ratelimits';
 import { Runs } from '../../src/node/router/runs';
-import { silentListener } from './listener';
+import { noopListener } from './listener';
 
 const log = pino({ level: 'silent' });
 
@@ -30,14 +30,14 @@
 }
 
 /** Quotas of customers who may use any amount. */
-export const noQuotas: Pick<QuotaController, 'cover'> = { cover: async () => undefined };
+export const unlimitedQuotas: Pick<QuotaController, 'cover'> = { cover: async () => undefined };
 
 function newKnowledge(): RoutingState {
-  return new RoutingState(new StoreHistory(), log, silentListener);
+  return new RoutingState(new StoreHistory(), log, noopListener);
 }
 
 /** Permits of a VM that knows no rate limit. */
-export const noPermits: BalancerContext['permits'] = {
+export const unlimitedPermits: BalancerContext['permits'] = {
   isLimited: () => false,
   mayTake: () => true,
   isTrialDue: () => false,
@@ -46,7 +46,7 @@
 };
 
 /** A gate of a VM that goes by what it knows, however old that is. */
-export function gateOf(knowledge = newKnowledge()): Authorizer {
+export function authorizerOf(knowledge = newKnowledge()): Authorizer {
   return new Authorizer(knowledge, () => ({ keyMs: Infinity, finalMs: Infinity }));
 }
 
@@ -65,7 +65,7 @@
   const rateLimits = rateLimitsOf();
   return new Runs({
     quarantine,
-    authorizer: gateOf(),
+    authorizer: authorizerOf(),
     rateLimits,
     metrics: new RouterMetrics(),
     log,
--- a/test/platform/lock.test.ts
+++ b/test/platform/lock.test.ts
@@ -55,7 +55,7 @@
     else if (one.kind === 'copy') this.#copies.push(store.copy());
     else if (one.kind === 'return') {
       const copy = this.#copies[one.copy % Math.max(1, this.#copies.length)];
-      if (copy) store.comeBack(copy);
+      if (copy) store.restore(copy);
     }
   }
 
--- a/test/router/customers.test.ts
+++ b/test/router/customers.test.ts
@@ -1,11 +1,11 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
-import { eventually } from '../fakes/cluster';
-import { Routers, WARM_KEY } from '../fakes/routers';
+import { waitUntil } from '../fakes/cluster';
+import { RouterCluster, WARMUP_KEY } from '../fakes/routers';
 
 const OWN_KEY = 'key-1';
 const customers = [
-  { name: 'warm', 'api-keys': [WARM_KEY] },
+  { name: 'warm', 'api-keys': [WARMUP_KEY] },
   { name: 'ada', 'api-keys': [OWN_KEY, 'key-2', OWN_KEY, ''] },
   { name: 'bob', 'api-keys': ['key-3', 'key-shared'] },
   { name: 'cyd', 'api-keys': ['key-4', 'key-shared'] },
@@ -16,7 +16,7 @@
 });
 
 describe('requests of customers', () => {
-  const routers = new Routers({ customers });
+  const routers = new RouterCluster({ customers });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -30,14 +30,14 @@
     'reach runners under the name of the customer and without the key: %s',
     async (path) => {
       const sent = { ...bearer(OWN_KEY), 'tenant-id': 'bob' };
-      const { status } = await routers.ask(0, path, 'whose', sent);
+      const { status } = await routers.sendRequest(0, path, 'whose', sent);
       const arrivals = routers.arrivals.filter((one) => one.path === path);
       expect({ status, arrivals }).toMatchSnapshot();
     },
   );
 
   test('reach runners without a name where none is needed', async () => {
-    await routers.ask(1, '/open/nobody', 'nobody', { 'tenant-id': 'bob' });
+    await routers.sendRequest(1, '/open/nobody', 'nobody', { 'tenant-id': 'bob' });
     const [arrival] = routers.arrivals.filter(({ path }) => path === '/open/nobody');
     expect(arrival).toEqual({ path: '/open/nobody' });
   });
@@ -56,29 +56,29 @@
     ['bytes that are no text', bearer('key-1\u00ff')],
     ['a key that two customers hold', bearer('key-shared')],
   ])('are refused for good with %s, and run nothing', async (_, sent) => {
-    const before = routers.reached;
+    const before = routers.arrivalCount;
     const statuses: number[] = [];
     for (const path of ['/model/wrong', '/plain/wrong']) {
-      statuses.push((await routers.ask(2, path, 'wrong', sent)).status);
+      statuses.push((await routers.sendRequest(2, path, 'wrong', sent)).status);
     }
     expect(statuses).toEqual([401, 401]);
-    expect(routers.reached).toBe(before);
+    expect(routers.arrivalCount).toBe(before);
   });
 
   test('run with the scheme in any case and spaces before the key', async () => {
     const sent = { authorization: `bEARER   ${OWN_KEY}` };
-    expect((await routers.ask(0, '/plain/case', 'case', sent)).status).toBe(200);
+    expect((await routers.sendRequest(0, '/plain/case', 'case', sent)).status).toBe(200);
     const found = routers.arrivals.find(({ path }) => path === '/plain/case');
     expect(found?.customer).toBe('ada');
   });
 
   test('are refused once their key is taken away, and run under one that is new', async () => {
     routers.configure([customers[0], { name: 'ada', 'api-keys': ['key-5'] }]);
-    await eventually('the old key is refused', async () => {
-      const { status } = await routers.ask(1, '/plain/old', 'old', bearer(OWN_KEY));
+    await waitUntil('the old key is refused', async () => {
+      const { status } = await routers.sendRequest(1, '/plain/old', 'old', bearer(OWN_KEY));
       return status === 401;
     });
-    expect((await routers.ask(1, '/plain/new', 'new', bearer('key-5'))).status).toBe(200);
+    expect((await routers.sendRequest(1, '/plain/new', 'new', bearer('key-5'))).status).toBe(200);
   });
 });
 
@@ -88,7 +88,7 @@
 const SERVED_MS = 4000;
 
 describe('a VM that hears neither the store nor any other VM', () => {
-  const routers = new Routers({ vms: 1, customers });
+  const routers = new RouterCluster({ vms: 1, customers });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -99,14 +99,14 @@
    * a key that somebody else may have by now.
    */
   test('serves keys for a while, then refuses them and says that nothing was run', async () => {
-    routers.store.mood = 'silent';
+    routers.store.fault = 'silent';
     routers.configure([customers[0]]);
     const since = performance.now();
     const ran: number[] = [];
     const refused = new Set<number>();
     while (performance.now() - since < REVOKED_MS + 2000) {
       const at = performance.now() - since;
-      const { status } = await routers.ask(0, '/plain/cut', 'cut', bearer(OWN_KEY));
+      const { status } = await routers.sendRequest(0, '/plain/cut', 'cut', bearer(OWN_KEY));
       if (status === 200) ran.push(at);
       else refused.add(status);
       await pause(50);
@@ -118,18 +118,18 @@
 
   /* Its configuration may lack a key or a route that is there by now: 401 and 404 would turn the caller away for good. */
   test('says of nothing that it is not there', async () => {
-    const unknown = await routers.ask(0, '/plain/cut', 'cut', bearer('key-9'));
-    const nowhere = await routers.ask(0, '/nowhere/', 'cut', bearer(OWN_KEY));
+    const unknown = await routers.sendRequest(0, '/plain/cut', 'cut', bearer('key-9'));
+    const nowhere = await routers.sendRequest(0, '/nowhere/', 'cut', bearer(OWN_KEY));
     expect([unknown.status, nowhere.status]).toEqual([503, 503]);
   });
 
   test('serves again once it hears the store', async () => {
-    routers.store.mood = 'well';
-    await eventually('the key that was taken away is refused', async () => {
-      const { status } = await routers.ask(0, '/plain/back', 'back', bearer(OWN_KEY));
+    routers.store.fault = 'well';
+    await waitUntil('the key that was taken away is refused', async () => {
+      const { status } = await routers.sendRequest(0, '/plain/back', 'back', bearer(OWN_KEY));
       return status === 401;
     });
-    const { status } = await routers.ask(0, '/plain/back', 'back', bearer(WARM_KEY));
+    const { status } = await routers.sendRequest(0, '/plain/back', 'back', bearer(WARMUP_KEY));
     expect(status).toBe(200);
   });
 });
--- a/test/router/plainbalancer.test.ts
+++ b/test/router/plainbalancer.test.ts
@@ -10,7 +10,7 @@
 import type { Dispatch } from '../../src/node/router/types';
 import { exchangeInto, promptRequest, replyOf, streamRoute } from '../fakes/exchange';
 import { runnerOf } from '../fakes/runner';
-import { noQuotas, runsOf } from '../fakes/runs';
+import { unlimitedQuotas, runsOf } from '../fakes/runs';
 
 const route = { ...streamRoute, kind: 'repeatable' as const, attempts: 2, aimMs: 200 };
 
@@ -126,7 +126,7 @@
       ...limited.context([near, far]),
       runners: { send: async ({ runner }: Dispatch) => replyOf(500, `of ${runner.id}`) },
       runs: runsOf(),
-      quotas: noQuotas,
+      quotas: unlimitedQuotas,
       takeRetry: () => true,
     } as unknown as PlainContext;
     await new PlainHandler(context).run(exchange);
--- a/test/router/stateexchange.test.ts
+++ b/test/router/stateexchange.test.ts
@@ -5,8 +5,8 @@
 import type { RouterFleet } from '../../src/node/router/fleet';
 import { RoutingState } from '../../src/node/router/routingstate';
 import { StateExchange, decodeRecord, encodeRecord } from '../../src/node/router/stateexchange';
-import { silentListener } from '../fakes/listener';
-import { at } from '../fakes/position';
+import { noopListener } from '../fakes/listener';
+import { positionAt } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
 import { quarantineOf, rateLimitsOf } from '../fakes/runs';
 
@@ -19,9 +19,9 @@
 
 /** Two VMs: what one asks, the other answers. */
 class Pair {
-  readonly asking = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly asking = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
-  readonly asked = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly asked = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
   readonly quarantines = { asking: quarantineOf(), asked: quarantineOf() };
 
@@ -53,9 +53,12 @@
   }
 }
 
-const fact = (id: string, revision: number): Parameters<RoutingState['learnRunners']>[1][number] => ({
+const fact = (
+  id: string,
+  revision: number,
+): Parameters<RoutingState['learnRunners']>[1][number] => ({
   id,
-  position: at(revision),
+  position: positionAt(revision),
   runner: runnerOf(id, 'plain'),
 });
 
@@ -71,7 +74,11 @@
     await pair.exchange();
     expect(pair.asking.configVersion).toBe(7);
     expect(pair.asking.digest).toBe(pair.asked.digest);
-    pair.asked.learnRunners(0, [{ id: 'r9', position: at(900), runner: undefined }], 'store');
+    pair.asked.learnRunners(
+      0,
+      [{ id: 'r9', position: positionAt(900), runner: undefined }],
+      'store',
+    );
     expect(pair.asking.digest).not.toBe(pair.asked.digest);
     await pair.exchange();
     expect(pair.asking.digest).toBe(pair.asked.digest);
@@ -101,7 +108,7 @@
     pair.asked.learnRunners(0, [fact('r1', 1)], 'store');
     pair.asking.learnRunners(0, [fact('r1', 1)], 'peer');
     pair.asked.storeFailed(1000);
-    pair.asked.learnList(1500, new Set(), at(8));
+    pair.asked.learnList(1500, new Set(), positionAt(8));
     const [gone] = pair.asked.recordsDiffering(2000, pair.asking.digestParts, 100);
     expect(gone?.graceMs).toBe(2000);
     pair.asking.learnRunners(2000, gone ? [decodeRecord(encodeRecord(gone))] : [], 'peer');
--- a/test/router/statesync.test.ts
+++ b/test/router/statesync.test.ts
@@ -6,8 +6,8 @@
 import type { StateSyncContext } from '../../src/node/router/statesync';
 import { StateSync } from '../../src/node/router/statesync';
 import { RouterMetrics } from '../../src/node/router/metrics';
-import { silentListener } from '../fakes/listener';
-import { gateOf, quarantineOf } from '../fakes/runs';
+import { noopListener } from '../fakes/listener';
+import { authorizerOf, quarantineOf } from '../fakes/runs';
 
 const memberOf = (vm: string): Member => ({
   vm,
@@ -36,10 +36,10 @@
     const log = pino({ base: null }, { write: (line) => this.lines.push(line) });
     const self = memberOf('new');
     const all = [self, ...others.map(memberOf)];
-    const knowledge = new RoutingState(new StoreHistory(), log, silentListener);
+    const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
     this.desk = new StateSync({
       knowledge,
-      gate: gateOf(knowledge),
+      gate: authorizerOf(knowledge),
       quarantine: quarantineOf(),
       fleet: { self, all, members: { heardAt: 0 }, contact: () => {} },
       feed: {
