--- a/test/fakes/virtual/bench.ts
+++ b/test/fakes/virtual/bench.ts
@@ -1,4 +1,4 @@
-/** Drives the real decision code of one cell against stand-in engines under virtual time. */
+/** Drives the decision code of one cell against simulated engines under virtual time. */
 
 import type { CellOptions } from '../../../src/core/cell/cell';
 import { Cell } from '../../../src/core/cell/cell';
@@ -14,69 +14,69 @@
 import { Schedule } from './schedule';
 import type { Job, Workload } from './workload';
 
-/** What is done to a run besides its requests. */
+/** Faults to inject into a run. */
 export interface BenchFaults {
-  /** When a decode runner dies and loses all it holds; it comes back empty after 5 s. */
+  /** When a decode runner crashes and loses all its requests; it restarts empty after 5 s. Default: never. */
   readonly runnerDiesAt?: number;
-  /** Load reports stop at this time. */
+  /** When load reports stop. Default: never. */
   readonly reportsStopAt?: number;
 }
 
-/** A run. */
+/** Input of one run. */
 export interface BenchOptions {
   readonly work: Workload;
   readonly jobs: readonly Job[];
   readonly cell: Omit<CellOptions, 'policy'>;
   readonly faults?: BenchFaults;
-  /** What comes before this time is served but not counted. */
+  /** Requests that arrive before this time, in milliseconds, are served but not counted. */
   readonly warmUpMs: number;
-  /** End of the time that counts; what is under way then is served to its end. */
+  /** End of the counted time, in milliseconds; requests in progress at that time are served to completion. */
   readonly untilMs: number;
-  /** Check the cell's invariants after every event; throws on the first that is broken. */
+  /** Checks the cell's invariants after every event and throws on the first violation. */
   readonly strict?: boolean;
-  /** Called for each event and the actions it gave. */
+  /** Called for each event with the actions that it caused. */
   readonly onEvent?: (event: CellEvent, actions: readonly CellAction[]) => void;
 }
 
-/** What came out for one team. */
+/** Results of one team. */
 export interface TeamResult {
   readonly sent: number;
   readonly good: number;
 }
 
-/** What came out. */
+/** Results of one run. */
 export interface BenchResult {
-  /** Requests that came in the time that counts. */
+  /** Requests that arrived in the counted time. */
   readonly sent: number;
-  /** Completed within both targets, of those that came in that time. */
+  /** Requests that arrived in the counted time and completed within both latency targets. */
   readonly good: number;
-  /** Completed within both targets in that time, whenever they came: the rate to hold against the bound. */
+  /** Requests that completed within both targets in the counted time, whenever they arrived; this rate is comparable to the capacity bound. */
   readonly goodInTime: number;
   readonly completed: number;
   readonly refused: number;
   readonly cancelled: number;
-  /** Part of all prefill work that was thrown away, by the engines' own count. */
+  /** Fraction of all prefill work that was wasted, as counted by the engines. */
   readonly wasted: number;
-  /** Longest time from when a request could be known lost to its refusal, in milliseconds. */
+  /** Longest time from when a request could be known to miss its deadline until its refusal, in milliseconds. */
   readonly refusalLagMs: number;
   readonly firstTokenMs: readonly number[];
   readonly teams: Readonly<Record<string, TeamResult>>;
   readonly events: number;
-  /** Refusals that said "not run" of a request that a runner had worked on. */
+  /** Refusals marked as not run although a runner had received the request. */
   readonly falseNotRun: number;
-  /** Requests without exactly one end. */
+  /** Requests without an outcome. */
   readonly endsMissing: number;
 }
 
-/** One way between gateway and owner, or gateway and runner, in milliseconds. */
+/** One-way latency between gateway and owner, or gateway and runner, in milliseconds. */
 const HOP_MS = 1.5;
 const REPORT_MS = 500;
 const REPORT_LAG_MS = 300;
 const CACHE_EVENTS_MS = 1000;
-/** Time that a dead runner stays away, in milliseconds. */
-const DEAD_MS = 5000;
+/** Time from a runner's crash to its restart, in milliseconds. */
+const DOWNTIME_MS = 5000;
 
-interface Live {
+interface RequestState {
   readonly job: Job;
   prefillAt: string | undefined;
   decodeAt: string | undefined;
@@ -87,17 +87,17 @@
   ended: 'completed' | 'refused' | 'cancelled' | undefined;
   good: boolean;
   endedAt: number;
-  /** Engine-level attempt, so that late events of earlier attempts are told apart. */
+  /** Number of prefills sent for this request. */
   attempt: number;
 }
 
-interface Node {
+interface RunnerNode {
   readonly runner: Runner;
   model: EngineModel;
   dead: boolean;
 }
 
-/** Policy of a workload, with the engines' own figures as first guesses. */
+/** Policy for a workload, with the engines' actual timings as initial estimates. */
 export function policyOf(work: Workload): CellPolicy {
   const { figures } = work;
   return {
@@ -116,7 +116,7 @@
   };
 }
 
-/** Runners of a workload, spread over three failure domains. */
+/** Runners for a workload, spread over three failure domains. */
 export function runnersOf(work: Workload): readonly Runner[] {
   const total = work.prefillRunners + work.decodeRunners;
   return Array.from({ length: total }, (_, i) => ({
@@ -129,7 +129,7 @@
   }));
 }
 
-/** One run of the bench. */
+/** Simulates one run. */
 export class Bench {
   readonly #options: BenchOptions;
 
@@ -137,9 +137,9 @@
 
   readonly #schedule = new Schedule();
 
-  readonly #nodes = new Map<string, Node>();
+  readonly #nodes = new Map<string, RunnerNode>();
 
-  readonly #live = new Map<string, Live>();
+  readonly #requests = new Map<string, RequestState>();
 
   readonly #firstTokens: number[] = [];
 
@@ -151,7 +151,7 @@
 
   #wastedWork = 0;
 
-  #lag = 0;
+  #refusalLagMs = 0;
 
   #falseNotRun = 0;
 
@@ -168,7 +168,7 @@
         dead: false,
       });
     }
-    this.#tell({ kind: 'runners', runners });
+    this.#dispatch({ kind: 'runners', runners });
   }
 
   get cell(): Cell {
@@ -180,10 +180,10 @@
     for (const job of jobs) this.#schedule.add(job.at, () => this.#arrive(job));
     const end = (jobs.at(-1)?.at ?? 0) + 1;
     for (let at = REPORT_MS; at < end; at += REPORT_MS) {
-      this.#schedule.add(at, () => this.#sample(at));
+      this.#schedule.add(at, () => this.#reportLoad(at));
     }
     for (let at = CACHE_EVENTS_MS; at < end; at += CACHE_EVENTS_MS) {
-      this.#schedule.add(at, () => this.#tellCaches());
+      this.#schedule.add(at, () => this.#reportCaches());
     }
     if (faults?.runnerDiesAt !== undefined) {
       this.#schedule.add(faults.runnerDiesAt, () => this.#killRunner());
@@ -192,10 +192,10 @@
     return this.#result();
   }
 
-  /** Goes to the next moment at which anything happens; false when nothing will. */
+  /** Processes the next event; returns false when there is none. */
   #step(): boolean {
     let at = Math.min(this.#schedule.next(), this.#wakeAt);
-    let first: Node | undefined;
+    let first: RunnerNode | undefined;
     for (const node of this.#nodes.values()) {
       const next = node.dead ? Infinity : node.model.next();
       if (next < at) {
@@ -205,13 +205,13 @@
     }
     if (at === Infinity) return false;
     this.#now = at;
-    if (first) this.#tellEngine(first);
-    else if (this.#wakeAt <= at) this.#tell({ kind: 'woke' });
+    if (first) this.#advanceEngine(first);
+    else if (this.#wakeAt <= at) this.#dispatch({ kind: 'woke' });
     else this.#schedule.run();
     return true;
   }
 
-  #tell(event: CellEvent): void {
+  #dispatch(event: CellEvent): void {
     this.#events += 1;
     const actions = this.#cell.handle(this.#now, event);
     this.#options.onEvent?.(event, actions);
@@ -223,12 +223,12 @@
     this.#wakeAt = Math.max(this.#now + 0.01, this.#cell.nextWake(this.#now));
   }
 
-  #tellLater(event: CellEvent): void {
-    this.#schedule.add(this.#now + HOP_MS, () => this.#tell(event));
+  #dispatchLater(event: CellEvent): void {
+    this.#schedule.add(this.#now + HOP_MS, () => this.#dispatch(event));
   }
 
   #arrive(job: Job): void {
-    this.#live.set(job.id, {
+    this.#requests.set(job.id, {
       job,
       prefillAt: undefined,
       decodeAt: undefined,
@@ -252,20 +252,20 @@
       deadline,
       blocks,
     };
-    this.#tellLater({ kind: 'arrived', arrival });
+    this.#dispatchLater({ kind: 'arrived', arrival });
     if (job.patienceMs < Infinity) {
-      this.#schedule.add(job.at + job.patienceMs, () => this.#hangUp(id));
+      this.#schedule.add(job.at + job.patienceMs, () => this.#disconnect(id));
     }
   }
 
-  #hangUp(id: string): void {
-    const live = this.#live.get(id);
+  #disconnect(id: string): void {
+    const live = this.#requests.get(id);
     if (!live || live.ended) return;
     live.ended = 'cancelled';
     if (live.tokens === 0) this.#wastedWork += live.work;
     this.#cancelAt(live.prefillAt, id);
     this.#cancelAt(live.decodeAt, id);
-    this.#tellLater({ kind: 'cancelled', id });
+    this.#dispatchLater({ kind: 'cancelled', id });
   }
 
   #cancelAt(runner: string | undefined, id: string): void {
@@ -274,9 +274,9 @@
   }
 
   #perform(action: CellAction): void {
-    const live = this.#live.get(action.id);
+    const live = this.#requests.get(action.id);
     if (!live || live.ended) return;
-    if (action.kind === 'refuse') this.#refused(live, action.notRun);
+    if (action.kind === 'refuse') this.#refuse(live, action.notRun);
     else if (action.kind === 'prefill') {
       this.#schedule.add(this.#now + 2 * HOP_MS, () => this.#prefill(live, action.runner));
     } else {
@@ -286,21 +286,21 @@
     }
   }
 
-  #refused(live: Live, notRun: boolean): void {
+  #refuse(live: RequestState, notRun: boolean): void {
     const { job } = live;
     const { work } = this.#options;
     const bestMs =
       job.promptTokens / work.figures.linkTokensPerMs +
       work.figures.decodeBaseMs +
       work.figures.decodeSlotMs;
-    const knowable = Math.max(job.at + HOP_MS, job.at + work.firstTokenMs - bestMs);
-    if (!live.sent) this.#lag = Math.max(this.#lag, this.#now - knowable);
+    const unservableAt = Math.max(job.at + HOP_MS, job.at + work.firstTokenMs - bestMs);
+    if (!live.sent) this.#refusalLagMs = Math.max(this.#refusalLagMs, this.#now - unservableAt);
     if (notRun && live.sent) this.#falseNotRun += 1;
     live.ended = 'refused';
     this.#cancelAt(live.prefillAt, job.id);
   }
 
-  #prefill(live: Live, runner: string): void {
+  #prefill(live: RequestState, runner: string): void {
     const node = this.#nodes.get(runner);
     if (live.ended || !node) return;
     live.sent = true;
@@ -318,7 +318,7 @@
     }
   }
 
-  #decode(live: Live, runner: string, source: string): void {
+  #decode(live: RequestState, runner: string, source: string): void {
     const node = this.#nodes.get(runner);
     const from = this.#nodes.get(source);
     if (live.ended || !node || !from) return;
@@ -337,16 +337,16 @@
     }
   }
 
-  #fail(live: Live, runner: string, reason: FailureReason): void {
-    this.#tellLater({ kind: 'failed', id: live.job.id, runner, reason, tokens: live.tokens });
+  #fail(live: RequestState, runner: string, reason: FailureReason): void {
+    this.#dispatchLater({ kind: 'failed', id: live.job.id, runner, reason, tokens: live.tokens });
   }
 
-  #tellEngine(node: Node): void {
+  #advanceEngine(node: RunnerNode): void {
     for (const event of node.model.advance(this.#now)) this.#receive(node, event);
   }
 
-  #receive(node: Node, event: EngineEvent): void {
-    const live = this.#live.get(event.id);
+  #receive(node: RunnerNode, event: EngineEvent): void {
+    const live = this.#requests.get(event.id);
     if (!live) return;
     if (event.kind === 'prefilled') this.#prefilled(live, event);
     else if (event.kind === 'evicted') this.#wastedWork += live.work;
@@ -356,21 +356,21 @@
   }
 
   #prefilled(
-    live: Live,
+    live: RequestState,
     { cachedTokens, keptUntil }: Extract<EngineEvent, { kind: 'prefilled' }>,
   ): void {
     const { id, promptTokens } = live.job;
     live.work = promptTokens + live.tokens - cachedTokens;
     this.#totalWork += live.work;
-    if (!live.ended) this.#tellLater({ kind: 'prefilled', id, cachedTokens, keptUntil });
+    if (!live.ended) this.#dispatchLater({ kind: 'prefilled', id, cachedTokens, keptUntil });
   }
 
-  #sent(live: Live): void {
+  #sent(live: RequestState): void {
     const node = live.decodeAt === undefined ? undefined : this.#nodes.get(live.decodeAt);
     if (!live.ended && node && !node.dead) node.model.decode(this.#now, live.job.id);
   }
 
-  #token(live: Live, at: number): void {
+  #token(live: RequestState, at: number): void {
     const { id } = live.job;
     live.tokens += 1;
     if (live.tokens === 1) {
@@ -378,11 +378,11 @@
       if (live.job.at >= this.#options.warmUpMs) this.#firstTokens.push(at - live.job.at);
     }
     if (this.#cell.requests.get(id)?.stage === 'transferring') {
-      this.#tellLater({ kind: 'started', id });
+      this.#dispatchLater({ kind: 'started', id });
     }
   }
 
-  #finished(live: Live, at: number): void {
+  #finished(live: RequestState, at: number): void {
     if (live.ended) return;
     live.ended = 'completed';
     live.endedAt = at;
@@ -391,10 +391,10 @@
     const firstTokenMs = live.firstTokenAt - live.job.at;
     const tokenMs = outputTokens > 1 ? (at - live.firstTokenAt) / (outputTokens - 1) : 0;
     live.good = firstTokenMs <= work.firstTokenMs && tokenMs <= work.tokenMs;
-    this.#tellLater({ kind: 'finished', id, tokens: outputTokens });
+    this.#dispatchLater({ kind: 'finished', id, tokens: outputTokens });
   }
 
-  #sample(at: number): void {
+  #reportLoad(at: number): void {
     const { reportsStopAt = Infinity } = this.#options.faults ?? {};
     if (at >= reportsStopAt) return;
     for (const { runner, model, dead } of this.#nodes.values()) {
@@ -402,17 +402,17 @@
       const report = { runner: runner.id, asOf: this.#now, running, leaving: false };
       if (!dead) {
         this.#schedule.add(this.#now + REPORT_LAG_MS, () =>
-          this.#tell({ kind: 'reported', report }),
+          this.#dispatch({ kind: 'reported', report }),
         );
       }
     }
   }
 
-  #tellCaches(): void {
+  #reportCaches(): void {
     for (const { runner, model } of this.#nodes.values()) {
       if (runner.role === 'prefill') {
         const { added, removed } = model.takeCacheChanges();
-        this.#tellLater({ kind: 'cached', runner: runner.id, added, removed });
+        this.#dispatchLater({ kind: 'cached', runner: runner.id, added, removed });
       }
     }
   }
@@ -422,17 +422,17 @@
     if (!node) return;
     node.dead = true;
     for (const id of node.model.held) {
-      const live = this.#live.get(id);
+      const live = this.#requests.get(id);
       if (live && !live.ended) this.#fail(live, node.runner.id, 'lost');
     }
-    this.#schedule.add(this.#now + DEAD_MS, () => {
+    this.#schedule.add(this.#now + DOWNTIME_MS, () => {
       node.model = new EngineModel(this.#options.work.figures);
       node.dead = false;
     });
   }
 
   #result(): BenchResult {
-    const all = [...this.#live.values()];
+    const all = [...this.#requests.values()];
     const { warmUpMs, untilMs } = this.#options;
     const counted = all.filter(({ job }) => job.at >= warmUpMs);
     const teams: Record<string, TeamResult> = {};
@@ -440,7 +440,7 @@
       const { sent, good: before } = teams[job.team] ?? { sent: 0, good: 0 };
       teams[job.team] = { sent: sent + 1, good: before + (good ? 1 : 0) };
     }
-    const count = (what: Live['ended']): number =>
+    const count = (what: RequestState['ended']): number =>
       counted.filter(({ ended }) => ended === what).length;
     return {
       sent: counted.length,
@@ -452,7 +452,7 @@
       refused: count('refused'),
       cancelled: count('cancelled'),
       wasted: this.#totalWork === 0 ? 0 : this.#wastedWork / this.#totalWork,
-      refusalLagMs: this.#lag,
+      refusalLagMs: this.#refusalLagMs,
       firstTokenMs: this.#firstTokens.sort((a, b) => a - b),
       teams,
       events: this.#events,
--- a/test/fakes/virtual/fleet.ts
+++ b/test/fakes/virtual/fleet.ts
@@ -1,4 +1,4 @@
-/** Many memberships in one process under virtual time, with a network that can be cut. */
+/** Simulates many memberships in one process under virtual time, with a network that can be partitioned. */
 
 import { Membership } from '../../../src/core/membership/membership';
 import type {
@@ -10,9 +10,11 @@
 import { Schedule } from './schedule';
 import { seeded } from './workload';
 
-/** How one member sees the fleet. */
+/** One member's view of the fleet. */
 export interface View {
+  /** Number of members that it considers alive. */
   readonly alive: number;
+  /** State of a member; undefined if unknown. */
   state(vm: string): MemberState | undefined;
 }
 
@@ -21,17 +23,17 @@
   readonly membership: Membership;
   dead: boolean;
   frozen: boolean;
-  /** Packets that came while it was frozen. */
+  /** Packets that arrived while it was frozen. */
   readonly unread: Packet[];
   wakeAt: number;
   readonly revisions: Map<string, number>;
 }
 
-/** Traffic and time of all members. */
+/** Network traffic and processor time of all members. */
 export interface FleetCost {
   readonly packets: number;
   readonly bytes: number;
-  /** Processor time in the core, in milliseconds. */
+  /** User processor time of this process, in milliseconds. */
   readonly cpuMs: number;
 }
 
@@ -39,7 +41,7 @@
 const PROBE_MS = 1000;
 const SUSPECT_MS = 2000;
 
-/** A fleet. */
+/** A simulated fleet of members. */
 export class Fleet {
   readonly #nodes: Node[];
 
@@ -49,7 +51,7 @@
 
   #side: ((vm: number) => boolean) | undefined;
 
-  #oneWay: readonly [number, number] | undefined;
+  #cutLink: readonly [number, number] | undefined;
 
   #now = 0;
 
@@ -59,8 +61,8 @@
 
   /**
    * @param size number of members
-   * @param seed of the random source
-   * @param sizeOf bytes of a packet on the wire, if they are to be counted
+   * @param seed seed of the random source
+   * @param sizeOf returns the size of a packet on the wire in bytes; if omitted, bytes are not counted
    */
   constructor(size: number, seed: number, sizeOf?: (packet: Packet) => number) {
     this.#sizeOf = sizeOf;
@@ -92,10 +94,10 @@
       const gateways = [`10.0.0.${node.number}:8080`];
       this.#schedule.add(node.wakeAt, () => {
         const description = { gateways, draining: false, storeLost: false };
-        this.#tell(node, { kind: 'described', description });
-        this.#tell(node, { kind: 'listed', vms });
+        this.#dispatch(node, { kind: 'described', description });
+        this.#dispatch(node, { kind: 'listed', vms });
       });
-      this.#wakeLater(node);
+      this.#scheduleWake(node);
     }
   }
 
@@ -103,7 +105,7 @@
     return { packets: this.#packets, bytes: this.#bytes, cpuMs: process.cpuUsage().user / 1000 };
   }
 
-  /** Views of the members that live. */
+  /** Views of the running members. */
   views(): readonly View[] {
     return this.#nodes
       .filter(({ dead, frozen }) => !dead && !frozen)
@@ -118,11 +120,11 @@
     return { alive, state: (vm) => membership.get(vm)?.state };
   }
 
-  /** Members that live and that another living one holds for dead. */
+  /** Number of live members that another live member considers dead. */
   wronglyDead(): number {
-    const living = this.#nodes.filter(({ dead }) => !dead);
-    return living.filter(({ number }) =>
-      living.some((other) => other.membership.get(`vm${number}`)?.state === 'dead'),
+    const live = this.#nodes.filter(({ dead }) => !dead);
+    return live.filter(({ number }) =>
+      live.some((other) => other.membership.get(`vm${number}`)?.state === 'dead'),
     ).length;
   }
 
@@ -134,23 +136,25 @@
     const node = this.#nodes[number] as Node;
     node.frozen = frozen;
     if (frozen) return;
-    this.#tell(node, { kind: 'woke' });
-    for (const packet of node.unread.splice(0)) this.#tell(node, { kind: 'packet', packet });
-    this.#wakeLater(node);
+    this.#dispatch(node, { kind: 'woke' });
+    for (const packet of node.unread.splice(0)) this.#dispatch(node, { kind: 'packet', packet });
+    this.#scheduleWake(node);
   }
 
-  /** Cuts the fleet into two sides, or heals it. */
+  /** Partitions the fleet into two sides; undefined ends the partition. */
   cut(side: ((vm: number) => boolean) | undefined): void {
     this.#side = side;
   }
 
+  /** Drops all packets from one member to another. */
   cutOneWay(from: number, to: number): void {
-    this.#oneWay = [from, to];
+    this.#cutLink = [from, to];
   }
 
+  /** Makes a member leave the fleet gracefully. */
   leave(number: number): void {
     const node = this.#nodes[number] as Node;
-    this.#tell(node, { kind: 'leaving' });
+    this.#dispatch(node, { kind: 'leaving' });
     node.dead = true;
   }
 
@@ -158,47 +162,47 @@
     this.runUntil(() => false, ms);
   }
 
-  /** Runs until a condition holds and gives the time that took, or the limit. */
-  runUntil(holds: () => boolean, limitMs: number): number {
-    const began = this.#now;
-    let looked = this.#now;
-    while (this.#schedule.next() <= began + limitMs) {
+  /** Runs until a condition holds; returns the time that took, or the limit. */
+  runUntil(condition: () => boolean, limitMs: number): number {
+    const startedAt = this.#now;
+    let checkedAt = this.#now;
+    while (this.#schedule.next() <= startedAt + limitMs) {
       this.#now = this.#schedule.next();
       this.#schedule.run();
-      if (this.#now - looked >= 50) {
-        looked = this.#now;
-        if (holds()) return this.#now - began;
+      if (this.#now - checkedAt >= 50) {
+        checkedAt = this.#now;
+        if (condition()) return this.#now - startedAt;
       }
     }
-    this.#now = began + limitMs;
+    this.#now = startedAt + limitMs;
     return limitMs;
   }
 
-  /** Puts a revision in force on one member and gives the time until all have it. */
+  /** Applies a revision of a document at one member; returns the time until all live members have it, in milliseconds. */
   spread(path: string, revision: number): number {
-    this.#hear(this.#nodes[0] as Node, path, revision);
+    this.#applyRevision(this.#nodes[0] as Node, path, revision);
     return this.runUntil(
       () => this.#nodes.every(({ dead, revisions }) => dead || revisions.get(path) === revision),
       60_000,
     );
   }
 
-  #hear(node: Node, path: string, revision: number): void {
+  #applyRevision(node: Node, path: string, revision: number): void {
     if ((node.revisions.get(path) ?? 0) >= revision) return;
     node.revisions.set(path, revision);
-    this.#tell(node, { kind: 'rumours', rumours: [{ path, revision }] });
+    this.#dispatch(node, { kind: 'rumours', rumours: [{ path, revision }] });
   }
 
-  #tell(node: Node, event: MembershipEvent): void {
+  #dispatch(node: Node, event: MembershipEvent): void {
     for (const action of node.membership.handle(this.#now, event)) this.#perform(node, action);
   }
 
   #perform(node: Node, action: MembershipAction): void {
     if (action.kind === 'send') this.#send(node, Number.parseInt(action.to, 10), action.packet);
-    // A member that hears a rumour fetches the document: one more hop there and back.
+    // A member that receives an update fetches the document, which takes one round trip.
     if (action.kind === 'heard') {
       const { path, revision } = action.rumour;
-      this.#schedule.add(this.#now + 2 * HOP_MS, () => this.#hear(node, path, revision));
+      this.#schedule.add(this.#now + 2 * HOP_MS, () => this.#applyRevision(node, path, revision));
     }
   }
 
@@ -207,21 +211,21 @@
     this.#bytes += this.#sizeOf?.(packet) ?? 0;
     const target = this.#nodes[to];
     const cut = this.#side !== undefined && this.#side(number) !== this.#side(to);
-    const oneWay = this.#oneWay?.[0] === number && this.#oneWay[1] === to;
+    const oneWay = this.#cutLink?.[0] === number && this.#cutLink[1] === to;
     if (!target || cut || oneWay) return;
     this.#schedule.add(this.#now + HOP_MS, () => {
       if (target.dead) return;
       if (target.frozen) target.unread.push(packet);
-      else this.#tell(target, { kind: 'packet', packet });
+      else this.#dispatch(target, { kind: 'packet', packet });
     });
   }
 
-  #wakeLater(node: Node): void {
+  #scheduleWake(node: Node): void {
     const at = Math.max(this.#now + 1, node.membership.nextWake());
     this.#schedule.add(at, () => {
       if (node.dead || node.frozen) return;
-      this.#tell(node, { kind: 'woke' });
-      this.#wakeLater(node);
+      this.#dispatch(node, { kind: 'woke' });
+      this.#scheduleWake(node);
     });
   }
 }
--- a/test/fakes/virtual/handover.ts
+++ b/test/fakes/virtual/handover.ts
@@ -1,6 +1,7 @@
 /**
- * Planners of one service under virtual time, VMs that go by one of them or by another, and
- * the truth of the runners: messages are lost, callers leave, VMs die, runners start anew.
+ * Simulates the planners of one service, the VMs that use them, and the runners' actual state
+ * under virtual time. VMs change owners, messages are lost, callers disconnect, VMs crash and
+ * runners restart.
  */
 
 import { Planner } from '../../../src/core/memory/planner';
@@ -9,20 +10,21 @@
 import type { Engine, Runner } from '../../../src/core/routing/types';
 import { runnerOf } from '../runner';
 
-/** What happens at one moment; numbers name VMs, owners, requests and runners in turn. */
+/** One step of a simulation. Numbers select VMs, owners, requests and runners, modulo their count. */
 export type HandoverStep =
   | { readonly kind: 'ask'; readonly vm: number; readonly prompt: number; readonly output: number }
-  /** A VM goes by an owner from now on. */
+  /** A VM uses this owner from now on. */
   | { readonly kind: 'move'; readonly vm: number; readonly owner: number }
-  /** The next messages to owners are lost. */
+  /** The next `count` messages from VMs to owners are lost. */
   | { readonly kind: 'lose'; readonly count: number }
+  /** The caller of an open request disconnects. */
   | { readonly kind: 'leave'; readonly request: number }
   | { readonly kind: 'crash'; readonly runner: number }
   | { readonly kind: 'die'; readonly vm: number }
   | { readonly kind: 'freeze'; readonly owner: number; readonly forMs: number }
   | { readonly kind: 'pass'; readonly ms: number };
 
-/** How far a request has come, as its VM knows. */
+/** State of a request at its VM. */
 type State = 'asked' | 'prefilling' | 'read' | 'running' | 'over';
 
 interface Request {
@@ -33,7 +35,7 @@
   grant: Grant | undefined;
   askedAt: number;
   startedAt: number | undefined;
-  /** When what it does now is over. */
+  /** When its current phase ends. */
   dueAt: number;
 }
 
@@ -45,18 +47,18 @@
   switchMs: undefined,
 };
 const TICK_MS = 25;
-const READ_TOKEN_MS = 0.02;
+const PREFILL_TOKEN_MS = 0.02;
 const TOKEN_MS = 7;
-/** A VM whose request waits asks again after this time, in milliseconds. */
-const ASK_AGAIN_MS = 250;
-const HOLD_MS = 2000;
+/** A VM repeats its query for a waiting request after this time, in milliseconds. */
+const RETRY_MS = 250;
+const HOLDINGS_MS = 2000;
 const REPORT_MS = 1000;
-const SILENT_MS = 7000;
+const VM_TIMEOUT_MS = 7000;
 const PATIENCE_MS = 3600;
 const OWNERS = 2;
 const VMS = 3;
 
-/** Everything of one run. */
+/** One simulation run. */
 export class Handover {
   now = 0;
 
@@ -64,8 +66,8 @@
 
   readonly #frozenUntil = Array.from({ length: OWNERS }, () => 0);
 
-  /** When each owner heard of each VM last. */
-  readonly #heard = Array.from({ length: OWNERS }, () => new Map<number, number>());
+  /** When each owner last received a message from each VM. */
+  readonly #lastSeen = Array.from({ length: OWNERS }, () => new Map<number, number>());
 
   readonly #ownerOf = Array.from({ length: VMS }, () => 0);
 
@@ -79,14 +81,14 @@
     runnerOf('d2', 'decode'),
   ];
 
-  #lost = 0;
+  #messagesToDrop = 0;
 
-  #starts = 0;
+  #restarts = 0;
 
-  /** When anything last happened that an owner may not know of. */
-  #troubleAt = 0;
+  /** Time of the last fault, after which an owner's state may be incomplete. */
+  #lastFaultAt = 0;
 
-  /** The most that prompts took of a runner's memory, as a part of it, while one owner knew all. */
+  /** Highest share of a runner's memory used by prompts while a single owner had complete state. */
   mostKnown = 0;
 
   constructor() {
@@ -95,6 +97,7 @@
     }
   }
 
+  /** Applies one step. */
   take(step: HandoverStep): void {
     if (step.kind === 'pass') {
       this.run(step.ms);
@@ -104,12 +107,12 @@
       this.#ask(step.vm % VMS, step.prompt, step.output);
       return;
     }
-    this.#troubleAt = this.now;
-    if (step.kind === 'lose') this.#lost += step.count;
-    else if (step.kind === 'move') this.#move(step.vm % VMS, step.owner % OWNERS);
-    else if (step.kind === 'leave') this.#leave(step.request);
-    else if (step.kind === 'crash') this.#crash(step.runner);
-    else if (step.kind === 'die') this.#die(step.vm % VMS);
+    this.#lastFaultAt = this.now;
+    if (step.kind === 'lose') this.#messagesToDrop += step.count;
+    else if (step.kind === 'move') this.#setOwner(step.vm % VMS, step.owner % OWNERS);
+    else if (step.kind === 'leave') this.#disconnect(step.request);
+    else if (step.kind === 'crash') this.#crashRunner(step.runner);
+    else if (step.kind === 'die') this.#killVm(step.vm % VMS);
     else this.#frozenUntil[step.owner % OWNERS] = this.now + step.forMs;
   }
 
@@ -118,24 +121,24 @@
     while (this.now < until) this.#tick();
   }
 
-  /** All VMs go by one owner, and nothing is lost any more. */
+  /** Ends all faults: every VM uses the first owner, and no more messages are lost. */
   settle(): void {
-    this.#lost = 0;
+    this.#messagesToDrop = 0;
     this.#frozenUntil.fill(0);
-    for (let vm = 0; vm < VMS; vm += 1) this.#move(vm, 0);
+    for (let vm = 0; vm < VMS; vm += 1) this.#setOwner(vm, 0);
   }
 
-  /** Requests whose VM still waits for something. */
+  /** Number of unfinished requests of running VMs. */
   get open(): number {
     return this.#requests.filter(({ state, vm }) => state !== 'over' && !this.#dead.has(vm)).length;
   }
 
-  /** What owners still count. */
+  /** Waiting requests and reservations that each owner still counts. */
   get counted(): readonly { readonly waiting: number; readonly placed: number }[] {
     return this.#planners.map(({ waiting, placed }) => ({ waiting, placed }));
   }
 
-  /** Part of the decode memory that each owner takes for given out. */
+  /** Share of the decode memory that each owner counts as reserved. */
   get memory(): readonly number[] {
     return this.#planners.map((planner) => planner.load(this.now).memory);
   }
@@ -143,23 +146,23 @@
   #tick(): void {
     this.now += TICK_MS;
     for (const request of this.#requests) this.#advance(request);
-    if (this.now % HOLD_MS === 0) {
-      for (let vm = 0; vm < VMS; vm += 1) this.#tell(vm);
+    if (this.now % HOLDINGS_MS === 0) {
+      for (let vm = 0; vm < VMS; vm += 1) this.#reportHoldings(vm);
     }
     for (let owner = 0; owner < OWNERS; owner += 1) this.#wake(owner);
-    this.#measure();
+    this.#recordUsage();
   }
 
   #wake(owner: number): void {
-    for (const [vm, at] of this.#heard[owner] ?? []) {
-      if (this.now - at > SILENT_MS) {
-        this.#heard[owner]?.delete(vm);
+    for (const [vm, at] of this.#lastSeen[owner] ?? []) {
+      if (this.now - at > VM_TIMEOUT_MS) {
+        this.#lastSeen[owner]?.delete(vm);
         this.#send(owner, undefined, { kind: 'vmLost', vm: `vm${vm}` });
       }
     }
     if (this.now % REPORT_MS === 0) {
       for (const { id, role } of this.#runners) {
-        const report = { runner: id, usedTokens: this.#usedOf(id) };
+        const report = { runner: id, usedTokens: this.#usedTokens(id) };
         if (role === 'decode') this.#send(owner, undefined, { kind: 'reported', report });
       }
     }
@@ -195,16 +198,16 @@
       dueAt: Infinity,
     };
     this.#requests.push(request);
-    this.#send(this.#owner(vm), vm, { kind: 'asked', demand });
+    this.#send(this.#ownerFor(vm), vm, { kind: 'asked', demand });
   }
 
-  /** What a request does next by the clock. */
+  /** Advances a request to its next state if its time has come. */
   #advance(request: Request): void {
     const state = request;
     if (state.state === 'over' || this.#dead.has(state.vm)) return;
     const { id } = state.demand;
-    const owner = this.#owner(state.vm);
-    if (state.state === 'asked' && this.now - state.askedAt >= ASK_AGAIN_MS) {
+    const owner = this.#ownerFor(state.vm);
+    if (state.state === 'asked' && this.now - state.askedAt >= RETRY_MS) {
       state.askedAt = this.now;
       if (this.now >= state.demand.lostAt) this.#release(state, undefined);
       else this.#send(owner, state.vm, { kind: 'asked', demand: state.demand });
@@ -213,9 +216,9 @@
       state.dueAt = this.now + engine.keepMs * 4;
       this.#prefilled(state);
     } else if (state.state === 'read') {
-      // What was read lapses, and its VM gives up.
+      // The prefilled KV cache has expired, and the VM abandons the request.
       if (this.now >= state.dueAt) this.#release(state, undefined);
-      else if (this.now % ASK_AGAIN_MS === 0) this.#prefilled(state);
+      else if (this.now % RETRY_MS === 0) this.#prefilled(state);
     } else if (state.state === 'running' && this.now >= state.dueAt) {
       state.state = 'over';
       const { outputTokens } = state;
@@ -225,29 +228,29 @@
   }
 
   #prefilled({ demand, vm }: Request): void {
-    const told = { ms: 100, unreachable: undefined, shedBy: undefined };
-    this.#send(this.#owner(vm), vm, { kind: 'prefilled', id: demand.id, ...told });
+    const outcome = { ms: 100, unreachable: undefined, shedBy: undefined };
+    this.#send(this.#ownerFor(vm), vm, { kind: 'prefilled', id: demand.id, ...outcome });
   }
 
   #release(request: Request, blame: string | undefined): void {
     const state = request;
     state.state = 'over';
     const { id } = state.demand;
-    this.#send(this.#owner(state.vm), state.vm, { kind: 'released', id, blame });
+    this.#send(this.#ownerFor(state.vm), state.vm, { kind: 'released', id, blame });
   }
 
-  /** A verdict of an owner reaches the VM that asked, unless that one goes by another by now. */
+  /** Delivers an owner's decision to the VM of the request, unless that VM now uses another owner. */
   #perform(owner: number, action: PlanAction): void {
     const state = this.#requests.find(({ demand }) => demand.id === action.id);
     if (!state || state.state === 'over' || this.#dead.has(state.vm)) return;
-    if (this.#owner(state.vm) !== owner) return;
+    if (this.#ownerFor(state.vm) !== owner) return;
     if (action.kind === 'refuse') this.#release(state, undefined);
     else if (action.kind === 'grant' && state.state === 'asked') {
       state.grant = action.grant;
       if (action.grant.prefill === undefined) this.#start(state, action.grant.decode);
       else {
         state.state = 'prefilling';
-        state.dueAt = this.now + state.demand.promptTokens * READ_TOKEN_MS;
+        state.dueAt = this.now + state.demand.promptTokens * PREFILL_TOKEN_MS;
       }
     } else if (action.kind === 'bind' && state.state === 'read') this.#start(state, action.decode);
   }
@@ -262,18 +265,18 @@
     state.grant = { prefill: state.grant?.prefill, decode };
     state.startedAt = this.now;
     state.dueAt = this.now + state.outputTokens * TOKEN_MS;
-    this.#send(this.#owner(state.vm), state.vm, { kind: 'started', id: state.demand.id });
+    this.#send(this.#ownerFor(state.vm), state.vm, { kind: 'started', id: state.demand.id });
   }
 
-  #move(vm: number, owner: number): void {
+  #setOwner(vm: number, owner: number): void {
     if (this.#dead.has(vm)) return;
     this.#ownerOf[vm] = owner;
     this.#planners[owner]?.startWarmUp(this.now);
-    this.#tell(vm);
+    this.#reportHoldings(vm);
   }
 
-  /** A VM tells its owner all that it holds, as it does from time to time. */
-  #tell(vm: number): void {
+  /** Reports all reservations that a VM holds to its owner, as VMs do periodically. */
+  #reportHoldings(vm: number): void {
     if (this.#dead.has(vm)) return;
     const held = this.#requests.filter(
       ({ vm: of, state }) => of === vm && state !== 'asked' && state !== 'over',
@@ -283,38 +286,38 @@
       grant: grant as Grant,
       startedAt,
     }));
-    this.#send(this.#owner(vm), vm, { kind: 'told', vm: `vm${vm}`, holdings });
+    this.#send(this.#ownerFor(vm), vm, { kind: 'told', vm: `vm${vm}`, holdings });
   }
 
-  #leave(number: number): void {
+  #disconnect(number: number): void {
     const open = this.#requests.filter(({ state, vm }) => state !== 'over' && !this.#dead.has(vm));
     const request = open[number % Math.max(1, open.length)];
     if (request) this.#release(request, undefined);
   }
 
-  /** A runner ends and is there again as another start; what it ran breaks off. */
-  #crash(number: number): void {
-    const gone = this.#runners[number % this.#runners.length];
-    if (!gone) return;
-    this.#starts += 1;
-    const { role, listing } = gone;
-    const id = `${listing}@${this.#starts}`;
+  /** Crashes a runner, which restarts as a new instance; its requests fail. */
+  #crashRunner(number: number): void {
+    const crashed = this.#runners[number % this.#runners.length];
+    if (!crashed) return;
+    this.#restarts += 1;
+    const { role, listing } = crashed;
+    const id = `${listing}@${this.#restarts}`;
     this.#runners = this.#runners.map((one) =>
-      one === gone ? runnerOf(id, role, { listing }) : one,
+      one === crashed ? runnerOf(id, role, { listing }) : one,
     );
     for (let owner = 0; owner < OWNERS; owner += 1) {
       this.#send(owner, undefined, { kind: 'runners', engine, runners: this.#runners });
     }
     for (const request of this.#requests) {
       const { state, grant } = request;
-      const ran = state === 'running' && grant?.decode === gone.id;
-      const read = state === 'prefilling' && grant?.prefill === gone.id;
-      if (ran || read) this.#release(request, gone.id);
+      const wasDecoding = state === 'running' && grant?.decode === crashed.id;
+      const wasPrefilling = state === 'prefilling' && grant?.prefill === crashed.id;
+      if (wasDecoding || wasPrefilling) this.#release(request, crashed.id);
     }
   }
 
-  /** A VM ends with all of its requests; owners hear of it from the membership. */
-  #die(vm: number): void {
+  /** Crashes a VM with all of its requests; the membership reports it to the owners. */
+  #killVm(vm: number): void {
     if (this.#dead.size + 1 >= VMS) return;
     this.#dead.add(vm);
     for (let owner = 0; owner < OWNERS; owner += 1) {
@@ -322,25 +325,25 @@
     }
   }
 
-  #owner(vm: number): number {
+  #ownerFor(vm: number): number {
     return this.#ownerOf[vm] ?? 0;
   }
 
-  /** A message of a VM may be lost; what an owner finds out itself is not. */
+  /** Sends an event to an owner. Messages from VMs may be lost; events that the owner observes itself are not. */
   #send(owner: number, vm: number | undefined, event: PlanEvent): void {
     const isFrozen = (this.#frozenUntil[owner] ?? 0) > this.now;
     if (vm !== undefined) {
-      if (this.#lost > 0 || isFrozen) {
-        this.#lost = Math.max(0, this.#lost - 1);
+      if (this.#messagesToDrop > 0 || isFrozen) {
+        this.#messagesToDrop = Math.max(0, this.#messagesToDrop - 1);
         return;
       }
-      this.#heard[owner]?.set(vm, this.now);
+      this.#lastSeen[owner]?.set(vm, this.now);
     } else if (isFrozen && event.kind !== 'runners' && event.kind !== 'vmLost') return;
     const actions = this.#planners[owner]?.handle(this.now, event) ?? [];
     for (const action of actions) this.#perform(owner, action);
   }
 
-  #usedOf(runner: string): number {
+  #usedTokens(runner: string): number {
     return this.#requests
       .filter(
         ({ state, grant, vm }) =>
@@ -349,13 +352,13 @@
       .reduce((sum, { demand }) => sum + demand.promptTokens, 0);
   }
 
-  /** Where one owner has known all for some time, what it gave out must fit. */
-  #measure(): void {
-    const isOne = new Set(this.#ownerOf).size === 1;
-    if (!isOne || this.now - this.#troubleAt < SILENT_MS * 2) return;
+  /** Records the memory in use while a single owner has had complete state for some time. */
+  #recordUsage(): void {
+    const hasSingleOwner = new Set(this.#ownerOf).size === 1;
+    if (!hasSingleOwner || this.now - this.#lastFaultAt < VM_TIMEOUT_MS * 2) return;
     for (const { id, role } of this.#runners) {
       if (role === 'decode') {
-        this.mostKnown = Math.max(this.mostKnown, this.#usedOf(id) / engine.memoryTokens);
+        this.mostKnown = Math.max(this.mostKnown, this.#usedTokens(id) / engine.memoryTokens);
       }
     }
   }
--- a/test/fakes/virtual/newsfleet.ts
+++ b/test/fakes/virtual/newsfleet.ts
@@ -1,7 +1,7 @@
 /**
- * A fleet under virtual time whose VMs hear of configuration and runners from a
- * store and from each other. Counts what grows with the fleet: calls to the
- * store, exchanges between VMs, packets.
+ * Simulates a fleet under virtual time whose VMs learn the configuration and the
+ * runners from a store and from each other. Counts the work that grows with the
+ * fleet: calls to the store, exchanges between VMs, and packets.
  */
 
 import { Membership } from '../../../src/core/membership/membership';
@@ -31,12 +31,12 @@
 import { Schedule } from './schedule';
 import { seeded } from './workload';
 
-/** What a fleet did. */
+/** Work done by the fleet since it started. */
 export interface NewsCost {
   readonly storeCalls: number;
-  /** Exchanges that VMs asked of each other. */
+  /** State exchanges that VMs started. */
   readonly exchanges: number;
-  /** Most exchanges that one VM answered. */
+  /** Maximum number of exchanges answered by one VM. */
   readonly mostAnswered: number;
   readonly packets: number;
 }
@@ -48,51 +48,52 @@
   readonly directory: RunnerDirectory;
   readonly history: StoreHistory;
   readonly freshness: Freshness;
-  readonly spread: UpdatePropagation;
+  readonly propagation: UpdatePropagation;
   readonly quarantine: Quarantine;
-  /** Requests of which others are still to be told. */
+  /** Suspect requests not yet announced to the other VMs, by fingerprint. */
   readonly suspects: Map<string, Suspect>;
   configVersion: number;
-  reading: boolean;
-  /** Whether a loop of calls to the store runs. */
-  busy: boolean;
-  failed: number;
-  /** Whether the members changed since the readers were worked out. */
-  changed: boolean;
-  answered: number;
-  /** Whether it is to read for others. */
-  chosen: boolean;
+  isReading: boolean;
+  /** Whether a loop of calls to the store is running. */
+  isPolling: boolean;
+  /** Consecutive failed calls to the store. */
+  failedCalls: number;
+  /** Whether the members changed since the readers were last selected. */
+  haveMembersChanged: boolean;
+  answeredExchanges: number;
+  /** Whether it is selected to read the store on behalf of others. */
+  isSelected: boolean;
   dead: boolean;
   frozen: boolean;
-  readonly proofPace: ProofBackoff;
-  /** Changes of the store that it has read. Default: none. */
-  seen: number | undefined;
-  /** By how much its clock is ahead of time. */
-  aheadMs: number;
+  readonly backoff: ProofBackoff;
+  /** Value of the store's change counter at its last read; undefined before the first read and after a failed one. */
+  seenChanges: number | undefined;
+  /** Offset of its clock from virtual time, in milliseconds. */
+  clockOffsetMs: number;
 }
 
 const HOP_MS = 1.5;
-const STORE_MS = 4;
+const STORE_LATENCY_MS = 4;
 const PROBE_MS = 300;
 const SUSPECT_MS = 800;
-const DUTY_MS = 250;
-const WATCH_PACE_MS = 700;
+const ROLE_CHECK_MS = 250;
+const WATCH_INTERVAL_MS = 700;
 const WATCH_MS = 2000;
-/** Period of looking whether a watch has something to tell. */
-const WATCH_LOOK_MS = 50;
-const CALL_LIMIT_MS = 1200;
-/** Limit of the call after one that failed. */
-const CHECK_LIMIT_MS = 600;
-const GATHER_MS = 20;
-/** Time in which runners write again what a copy of the store lacks. */
+/** Interval at which an open watch checks for changes. */
+const WATCH_POLL_MS = 50;
+const CALL_TIMEOUT_MS = 1200;
+/** Timeout of the call that follows a failed one. */
+const RETRY_TIMEOUT_MS = 600;
+const BATCH_MS = 20;
+/** Time within which runners rewrite the entries that a restored copy of the store lacks. */
 const REWRITE_MS = 1200;
-const JOIN_PACE_MS = 500;
+const JOIN_INTERVAL_MS = 500;
 const JOIN_ROUNDS = 8;
 const SEEDS = 3;
-/** Age to which keys count. */
-const KEY_MS = 4700;
+/** Maximum age of a configuration by which keys are accepted. */
+const KEY_MAX_AGE_MS = 4700;
 
-/** VMs and a store. */
+/** A simulated fleet of VMs and their store. */
 export class NewsFleet {
   readonly #vms: Vm[];
 
@@ -100,33 +101,33 @@
 
   readonly #random: () => number;
 
-  /** Facts of the store, by listing, and the version of the configuration. */
-  readonly #facts = new Map<string, RunnerRecord>();
+  /** Runner records in the store, by listing. */
+  readonly #records = new Map<string, RunnerRecord>();
 
   #storeConfig = 1;
 
-  /** Changes of what the store holds; watches wait for them. */
-  #changes = 0;
+  /** Counts changes of the store's content; watches wait for the next one. */
+  #storeChanges = 0;
 
-  /** 0 until it comes back for the first time, as of a store that tells no era. */
+  /** 0 until the first restore, like a store that reports no era. */
   #storeEra = 0;
 
   #revision = 1;
 
-  /** Whether requests need keys, so that VMs ask how old their configuration is; heartbeats end no watch then. */
-  #keyed = false;
+  /** Whether requests need keys, so that VMs check the age of their configuration. Watches then wait for a change. */
+  #keysRequired = false;
 
-  /** VMs whose calls the store leaves without answer. */
-  #refused: ((vm: number) => boolean) | undefined;
+  /** Selects the VMs whose calls the store does not answer. */
+  #isStoreBlocked: ((vm: number) => boolean) | undefined;
 
-  /** VMs that are cut off from all others, though not from the store. */
-  #cut: ReadonlySet<number> = new Set();
+  /** VMs that cannot reach any other VM but can reach the store. */
+  #isolated: ReadonlySet<number> = new Set();
 
-  /** VMs that reach each other and no others. */
-  #apart: ReadonlySet<number> = new Set();
+  /** VMs that can reach only each other and the store. */
+  #partitioned: ReadonlySet<number> = new Set();
 
-  /** VMs whose packets are lost, though others reach them. */
-  #mute: ReadonlySet<number> = new Set();
+  /** VMs whose outgoing packets are lost; they still receive packets. */
+  #muted: ReadonlySet<number> = new Set();
 
   #storeCalls = 0;
 
@@ -134,11 +135,11 @@
 
   #packets = 0;
 
-  /** @param readsAlways whether a VM reads the store whatever the others do */
+  /** @param readsAlways whether every VM reads the store, whether or not it is selected as a reader */
   constructor(size: number, runners: number, seed: number, readsAlways = false) {
     this.#random = seeded(seed);
     for (let i = 0; i < runners; i += 1) this.#write(`r${i}`, false);
-    this.#vms = Array.from({ length: size }, (_, number) => this.#vm(number));
+    this.#vms = Array.from({ length: size }, (_, number) => this.#createVm(number));
     for (const vm of this.#vms) {
       this.#schedule.add(vm.startedAt, () => this.#start(vm, readsAlways));
     }
@@ -152,42 +153,43 @@
     return {
       storeCalls: this.#storeCalls,
       exchanges: this.#exchanges,
-      mostAnswered: Math.max(...this.#vms.map(({ answered }) => answered)),
+      mostAnswered: Math.max(...this.#vms.map(({ answeredExchanges }) => answeredExchanges)),
       packets: this.#packets,
     };
   }
 
-  /** VMs that read the store now. */
+  /** Running VMs that currently read the store. */
   get readers(): readonly number[] {
-    return this.#vms.filter((vm) => vm.reading && !vm.dead).map(({ number }) => number);
+    return this.#vms.filter((vm) => vm.isReading && !vm.dead).map(({ number }) => number);
   }
 
-  /** A runner writes its entry; `changed` if more than its heartbeat is new. */
+  /** Writes a runner's entry; `changed` marks it as leaving, otherwise only its heartbeat is new. */
   beat(runner: string, changed: boolean): void {
     this.#write(runner, changed);
   }
 
-  /** The configuration names customers, and watches wait until something changes. */
+  /** Makes requests need keys; watches then wait until something changes. */
   requireKeys(): void {
-    this.#keyed = true;
+    this.#keysRequired = true;
   }
 
+  /** Writes a new configuration and returns its version. */
   configure(): number {
-    this.#changes += 1;
+    this.#storeChanges += 1;
     this.#storeConfig += 1;
     return this.#storeConfig;
   }
 
-  /** The store comes back from a copy that lacks some runners, which write again within a heartbeat. */
+  /** Restores the store from a copy that lacks some runners; these rewrite their entries within a heartbeat. */
   comeBack(lost: readonly string[]): void {
-    this.#changes += 1;
+    this.#storeChanges += 1;
     this.#storeEra += 1;
     this.#revision -= Math.floor(this.#revision / 2);
-    const facts = lost.map((id) => this.#facts.get(id));
-    for (const id of lost) this.#facts.delete(id);
-    facts.forEach((fact, i) => {
-      this.#schedule.add(this.now + (REWRITE_MS * (i + 1)) / facts.length, () => {
-        if (fact) this.#write(fact.id, false);
+    const records = lost.map((id) => this.#records.get(id));
+    for (const id of lost) this.#records.delete(id);
+    records.forEach((record, i) => {
+      this.#schedule.add(this.now + (REWRITE_MS * (i + 1)) / records.length, () => {
+        if (record) this.#write(record.id, false);
       });
     });
   }
@@ -204,46 +206,46 @@
     for (const number of vms) (this.#vms[number] as Vm).dead = true;
   }
 
-  /** Cuts VMs off from all others, not from the store. */
+  /** Isolates VMs from all other VMs, but not from the store. */
   cut(vms: readonly number[]): void {
-    this.#cut = new Set(vms);
+    this.#isolated = new Set(vms);
   }
 
-  /** Cuts some VMs off from the others; they still reach each other and the store. */
+  /** Partitions some VMs from the others; they can still reach each other and the store. */
   split(vms: readonly number[]): void {
-    this.#apart = new Set(vms);
+    this.#partitioned = new Set(vms);
   }
 
-  /** Loses what VMs send, not what is sent to them. */
+  /** Drops packets that these VMs send, but not packets sent to them. State exchanges fail in both directions. */
   mute(vms: readonly number[]): void {
-    this.#mute = new Set(vms);
+    this.#muted = new Set(vms);
   }
 
-  /** Starts a VM anew, that knows nothing. */
+  /** Restarts a VM with empty state. */
   restart(number: number): void {
     (this.#vms[number] as Vm).dead = true;
-    const vm = { ...this.#vm(number), startedAt: this.now };
+    const vm = { ...this.#createVm(number), startedAt: this.now };
     this.#vms[number] = vm;
     this.#start(vm, false);
   }
 
-  /** A VM's time of day is set forward, which it takes for a suspension. */
+  /** Moves a VM's clock forward, which the VM treats as a suspension. */
   step(number: number, ms: number): void {
-    (this.#vms[number] as Vm).aheadMs += ms;
+    (this.#vms[number] as Vm).clockOffsetMs += ms;
   }
 
-  /** The store comes back without its last configuration, which the operator writes again. */
+  /** Restores the store from a copy without its last configuration, which the operator writes again. */
   loseConfig(): void {
     const lost = this.#storeConfig;
     this.#storeConfig -= 1;
     this.comeBack([]);
     this.#schedule.add(this.now + REWRITE_MS, () => {
-      this.#changes += 1;
+      this.#storeChanges += 1;
       this.#storeConfig = Math.max(lost, this.#storeConfig);
     });
   }
 
-  /** Configurations by which VMs would let requests run now, where keys count up to an age. */
+  /** Versions of the configurations by which running VMs would accept keys now, given the maximum age. */
   servedBy(keyMs: number): readonly number[] {
     return this.#vms
       .filter(({ dead, frozen, configVersion }) => !dead && !frozen && configVersion > 0)
@@ -251,16 +253,16 @@
       .map(({ configVersion }) => configVersion);
   }
 
-  /** Has the store leave the calls of some VMs without answer. */
+  /** Makes the store leave the calls of the selected VMs unanswered. */
   refuse(refused: (vm: number) => boolean): void {
-    this.#refused = refused;
+    this.#isStoreBlocked = refused;
   }
 
   run(ms: number): void {
-    this.#until(() => false, ms);
+    this.#runUntil(() => false, ms);
   }
 
-  /** How old the configuration of each VM that runs can be by what it knows, the oldest last. */
+  /** Upper bound of the configuration's age at each running VM, in milliseconds, in ascending order. */
   get ages(): readonly number[] {
     return this.#vms
       .filter(({ dead, frozen }) => !dead && !frozen)
@@ -268,30 +270,30 @@
       .sort((a, b) => a - b);
   }
 
-  /** The oldest that any of them was in a time. */
+  /** Runs for a duration and returns the highest configuration age that any running VM had in it. */
   oldestIn(ms: number): number {
     let oldest = 0;
-    this.#until(() => {
+    this.#runUntil(() => {
       oldest = Math.max(oldest, this.ages.at(-1) ?? 0);
       return false;
     }, ms);
     return oldest;
   }
 
-  /** A runner ends under a request that a VM sent it. */
+  /** Records that a runner crashed while processing a request from a VM. */
   end(number: number, fingerprint: string, runner: string): void {
     const vm = this.#vms[number] as Vm;
-    this.#suspect(vm, vm.quarantine.recordCrash(this.now, fingerprint, runner));
+    this.#announceSuspect(vm, vm.quarantine.recordCrash(this.now, fingerprint, runner));
   }
 
-  /** Time until all VMs that run refuse a request, or the limit. */
+  /** Runs until all running VMs refuse a request; returns the time that took, or the limit. */
   refusedBy(fingerprint: string, limitMs: number): number {
     const isRefused = ({ quarantine, dead, frozen }: Vm): boolean =>
       dead || frozen || quarantine.refusedForMs(this.now, fingerprint) !== undefined;
-    return this.#until(() => this.#vms.every(isRefused), limitMs);
+    return this.#runUntil(() => this.#vms.every(isRefused), limitMs);
   }
 
-  /** Time until all VMs that run have the store's configuration and runners, or the limit. */
+  /** Runs until all running VMs have the store's configuration and runners; returns the time that took, or the limit. */
   settle(limitMs: number): number {
     const digests = (): ReadonlySet<string> =>
       new Set(
@@ -299,44 +301,44 @@
           .filter(({ dead, frozen }) => !dead && !frozen)
           .map(({ configVersion, directory }) => `${configVersion}/${directory.digest.text}`),
       );
-    const leaving = [...this.#facts.values()].filter(({ runner }) => runner?.leaving).length;
+    const leaving = [...this.#records.values()].filter(({ runner }) => runner?.leaving).length;
     const first = (): Vm => this.#vms.find(({ dead, frozen }) => !dead && !frozen) as Vm;
-    const isTrue = (): boolean => {
+    const isCurrent = (): boolean => {
       const { configVersion, directory } = first();
       const usable = directory.usable(this.now).length;
-      return configVersion === this.#storeConfig && usable === this.#facts.size - leaving;
+      return configVersion === this.#storeConfig && usable === this.#records.size - leaving;
     };
-    return this.#until(() => isTrue() && digests().size === 1, limitMs);
+    return this.#runUntil(() => isCurrent() && digests().size === 1, limitMs);
   }
 
-  #until(holds: () => boolean, limitMs: number): number {
-    const began = this.now;
-    let looked = began;
-    // Time goes on to the limit though nothing happens until then.
-    this.#schedule.add(began + limitMs, () => {});
-    while (this.#schedule.next() <= began + limitMs) {
+  #runUntil(condition: () => boolean, limitMs: number): number {
+    const startedAt = this.now;
+    let checkedAt = startedAt;
+    // An empty task at the limit moves the time forward if nothing else is scheduled.
+    this.#schedule.add(startedAt + limitMs, () => {});
+    while (this.#schedule.next() <= startedAt + limitMs) {
       this.#schedule.run();
-      if (this.now - looked >= 20) {
-        looked = this.now;
-        if (holds()) return this.now - began;
+      if (this.now - checkedAt >= 20) {
+        checkedAt = this.now;
+        if (condition()) return this.now - startedAt;
       }
     }
     return limitMs;
   }
 
   #write(id: string, changed: boolean): void {
-    this.#changes += 1;
+    this.#storeChanges += 1;
     this.#revision += 1;
-    const before = this.#facts.get(id)?.runner;
+    const before = this.#records.get(id)?.runner;
     const leaving = before?.leaving === true || changed;
-    this.#facts.set(id, {
+    this.#records.set(id, {
       id,
       position: { era: this.#storeEra, revision: this.#revision },
       runner: runnerOf(id, 'plain', { leaving }),
     });
   }
 
-  #vm(number: number): Vm {
+  #createVm(number: number): Vm {
     const random = this.#random;
     return {
       number,
@@ -354,21 +356,21 @@
       directory: new RunnerDirectory(),
       history: new StoreHistory(),
       freshness: new Freshness(),
-      spread: new UpdatePropagation(),
+      propagation: new UpdatePropagation(),
       quarantine: new Quarantine(),
       suspects: new Map(),
       configVersion: 0,
-      reading: false,
-      busy: false,
-      failed: 0,
-      changed: true,
-      chosen: false,
-      answered: 0,
+      isReading: false,
+      isPolling: false,
+      failedCalls: 0,
+      haveMembersChanged: true,
+      isSelected: false,
+      answeredExchanges: 0,
       dead: false,
       frozen: false,
-      proofPace: new ProofBackoff(),
-      seen: undefined,
-      aheadMs: 0,
+      backoff: new ProofBackoff(),
+      seenChanges: undefined,
+      clockOffsetMs: 0,
     };
   }
 
@@ -376,15 +378,15 @@
     const seeds = Array.from({ length: SEEDS }, (_, i) => `${i}:1`).filter(
       (address) => address !== vm.membership.self.address,
     );
-    this.#tell(vm, { kind: 'contact', addresses: seeds });
+    this.#dispatch(vm, { kind: 'contact', addresses: seeds });
     for (let round = 0; round < JOIN_ROUNDS; round += 1) {
-      this.#later(vm, round * JOIN_PACE_MS, () => this.#join(vm, seeds));
+      this.#runLater(vm, round * JOIN_INTERVAL_MS, () => this.#join(vm, seeds));
     }
-    const duty = (): void => {
-      this.#duty(vm, readsAlways);
-      this.#later(vm, DUTY_MS, duty);
+    const checkRole = (): void => {
+      this.#updateRole(vm, readsAlways);
+      this.#runLater(vm, ROLE_CHECK_MS, checkRole);
     };
-    duty();
+    checkRole();
     this.#tick(vm);
   }
 
@@ -394,15 +396,15 @@
     const near = joinTargets(self.domain, known);
     const choice = near.length > 0 ? near : seeds;
     const address = choice[Math.floor(this.#random() * choice.length)];
-    if (known.length === 0) this.#tell(vm, { kind: 'contact', addresses: seeds });
+    if (known.length === 0) this.#dispatch(vm, { kind: 'contact', addresses: seeds });
     if (address !== undefined) this.#exchange(vm, address, true);
   }
 
-  /** Runs something at a VM unless it is dead by then; a frozen one does it when it wakes. */
-  #later(vm: Vm, ms: number, run: () => void): void {
+  /** Runs a task at a VM after a delay, unless the VM is dead by then; at a frozen VM it runs after the VM resumes. */
+  #runLater(vm: Vm, ms: number, run: () => void): void {
     this.#schedule.add(this.now + ms, () => {
       if (vm.dead) return;
-      if (vm.frozen) this.#later(vm, 50, run);
+      if (vm.frozen) this.#runLater(vm, 50, run);
       else run();
     });
   }
@@ -411,64 +413,64 @@
     const due = Math.max(this.now + 1, vm.membership.nextWake());
     this.#schedule.add(due, () => {
       if (vm.dead || vm.frozen) return;
-      this.#tell(vm, { kind: 'woke' });
+      this.#dispatch(vm, { kind: 'woke' });
       this.#tick(vm);
     });
   }
 
-  #duty(vm: Vm, readsAlways: boolean): void {
+  #updateRole(vm: Vm, readsAlways: boolean): void {
     const state = vm;
     const { self, all } = vm.membership;
-    if (state.changed || all.length === 1) {
-      state.changed = false;
-      state.chosen = readsAlways || shouldRead(this.now, vm.startedAt, self, all);
+    if (state.haveMembersChanged || all.length === 1) {
+      state.haveMembersChanged = false;
+      state.isSelected = readsAlways || shouldRead(this.now, vm.startedAt, self, all);
     }
     this.#checkProof(vm);
-    state.reading = vm.chosen || isIsolated(this.now, vm.startedAt, vm.membership);
-    if (!state.reading || state.busy) return;
-    state.busy = true;
-    this.#read(vm);
+    state.isReading = vm.isSelected || isIsolated(this.now, vm.startedAt, vm.membership);
+    if (!state.isReading || state.isPolling) return;
+    state.isPolling = true;
+    this.#pollStore(vm);
   }
 
   #checkProof(vm: Vm): void {
     const ageMs = vm.freshness.ageMs(this.#clockOf(vm));
-    const source = this.#keyed ? proofSource(ageMs, KEY_MS, vm.reading) : 'nobody';
+    const source = this.#keysRequired ? proofSource(ageMs, KEY_MAX_AGE_MS, vm.isReading) : 'nobody';
     if (source === 'nobody') {
-      vm.proofPace.reset();
+      vm.backoff.reset();
       return;
     }
     const { self, all } = vm.membership;
-    const { primaries: chosen, standbys: deputies } = readersOf(self.domain, all);
-    const readers = [...chosen, ...deputies].filter(({ address }) => address !== self.address);
-    this.#tell(vm, { kind: 'contact', addresses: readers.map(({ address }) => address) });
-    if (source === 'store' && vm.proofPace.tryQuery(this.now, vm.reading)) this.#confirm(vm);
+    const { primaries, standbys } = readersOf(self.domain, all);
+    const readers = [...primaries, ...standbys].filter(({ address }) => address !== self.address);
+    this.#dispatch(vm, { kind: 'contact', addresses: readers.map(({ address }) => address) });
+    if (source === 'store' && vm.backoff.tryQuery(this.now, vm.isReading)) this.#queryConfig(vm);
   }
 
-  /** Asks the store for the configuration in force. */
-  #confirm(vm: Vm): void {
+  /** Reads only the current configuration from the store. */
+  #queryConfig(vm: Vm): void {
     this.#storeCalls += 1;
     const askedAt = this.#clockOf(vm);
-    if (this.#refused?.(vm.number)) return;
-    this.#later(vm, STORE_MS, () => {
-      this.#readEra(vm);
-      this.#learn(vm, this.#storeConfig, []);
+    if (this.#isStoreBlocked?.(vm.number)) return;
+    this.#runLater(vm, STORE_LATENCY_MS, () => {
+      this.#checkEra(vm);
+      this.#applyState(vm, this.#storeConfig, []);
       vm.freshness.recordStoreAnswer(askedAt);
     });
   }
 
-  /** One call to the store after the other: what is new there, at most one call in the pace of a watch. */
-  #read(vm: Vm): void {
+  /** Calls the store in a loop for changes, at most once per watch interval. */
+  #pollStore(vm: Vm): void {
     const state = vm;
-    if (!vm.reading) {
-      state.busy = false;
+    if (!vm.isReading) {
+      state.isPolling = false;
       return;
     }
     this.#storeCalls += 1;
-    if (this.#refused?.(vm.number)) {
-      this.#later(vm, vm.failed === 1 ? CHECK_LIMIT_MS : CALL_LIMIT_MS, () => {
-        this.#setFailed(vm, vm.failed + 1);
-        state.seen = undefined;
-        this.#read(vm);
+    if (this.#isStoreBlocked?.(vm.number)) {
+      this.#runLater(vm, vm.failedCalls === 1 ? RETRY_TIMEOUT_MS : CALL_TIMEOUT_MS, () => {
+        this.#setFailed(vm, vm.failedCalls + 1);
+        state.seenChanges = undefined;
+        this.#pollStore(vm);
       });
       return;
     }
@@ -476,158 +478,162 @@
     const proofFrom = this.#clockOf(vm);
     this.#watch(vm, askedAt + WATCH_MS, () => {
       this.#setFailed(vm, 0);
-      this.#readEra(vm);
-      this.#learn(vm, this.#storeConfig, [...this.#facts.values()]);
-      state.seen = this.#changes;
+      this.#checkEra(vm);
+      this.#applyState(vm, this.#storeConfig, [...this.#records.values()]);
+      state.seenChanges = this.#storeChanges;
       vm.freshness.recordStoreAnswer(proofFrom);
-      const waitMs = Math.max(1, askedAt + WATCH_PACE_MS - this.now);
-      this.#later(vm, waitMs, () => this.#read(vm));
+      const waitMs = Math.max(1, askedAt + WATCH_INTERVAL_MS - this.now);
+      this.#runLater(vm, waitMs, () => this.#pollStore(vm));
     });
   }
 
-  /** Answers once the store holds something new, or when the watch is over. */
+  /** Answers once the store has changed, or when the watch ends. */
   #watch(vm: Vm, until: number, answer: () => void): void {
-    const isDue = !this.#keyed || vm.seen !== this.#changes || this.now >= until;
-    if (isDue) this.#later(vm, STORE_MS, answer);
-    else this.#later(vm, WATCH_LOOK_MS, () => this.#watch(vm, until, answer));
+    const isDue = !this.#keysRequired || vm.seenChanges !== this.#storeChanges || this.now >= until;
+    if (isDue) this.#runLater(vm, STORE_LATENCY_MS, answer);
+    else this.#runLater(vm, WATCH_POLL_MS, () => this.#watch(vm, until, answer));
   }
 
-  /** Another era has the whole list read: runners that are missing are gone for now. */
-  #readEra(vm: Vm): void {
+  /** Reads the whole list after a change of era; runners missing from it are treated as removed. */
+  #checkEra(vm: Vm): void {
     const start = { era: this.#storeEra, revision: this.#revision };
     if (vm.history.era === start.era) return;
     this.#storeCalls += 1;
-    this.#learnEras(vm, [start]);
-    const missing = vm.directory.missing(new Set(this.#facts.keys()));
+    this.#applyEras(vm, [start]);
+    const missing = vm.directory.missing(new Set(this.#records.keys()));
     const gone = missing.map((id) => ({ id, position: start, runner: undefined }));
-    this.#learn(vm, 0, gone);
+    this.#applyState(vm, 0, gone);
   }
 
-  #learnEras(vm: Vm, starts: readonly Position[]): void {
+  #applyEras(vm: Vm, starts: readonly Position[]): void {
     const before = vm.history.era;
     vm.history.apply(starts);
     if (vm.history.era === before) return;
     setDigest(vm);
     if (vm.history.era === 0) return;
     vm.freshness.recordStoreRestore(this.#clockOf(vm));
-    this.#tell(vm, { kind: 'rumours', rumours: vm.spread.eraUpdates(vm.history.starts) });
+    this.#dispatch(vm, { kind: 'rumours', rumours: vm.propagation.eraUpdates(vm.history.starts) });
   }
 
   #setFailed(vm: Vm, calls: number): void {
     const state = vm;
-    const before = state.failed >= 2;
-    state.failed = calls;
+    const before = state.failedCalls >= 2;
+    state.failedCalls = calls;
     if (calls >= 2 === before) return;
     const description = { gateways: [], draining: false, storeLost: calls >= 2 };
-    this.#tell(vm, { kind: 'described', description });
+    this.#dispatch(vm, { kind: 'described', description });
   }
 
-  #learn(vm: Vm, configVersion: number, facts: readonly RunnerRecord[]): void {
+  #applyState(vm: Vm, configVersion: number, records: readonly RunnerRecord[]): void {
     const state = vm;
-    const changed = facts.filter((fact) => vm.directory.apply(this.now, fact, 0));
+    const changed = records.filter((record) => vm.directory.apply(this.now, record, 0));
     const isNewer = configVersion > vm.configVersion;
     if (isNewer) state.configVersion = configVersion;
     if (!isNewer && changed.length === 0) return;
     setDigest(vm);
     const rumours = [
-      ...(isNewer ? vm.spread.configUpdates(configVersion) : []),
+      ...(isNewer ? vm.propagation.configUpdates(configVersion) : []),
       ...(changed.length > 0
-        ? vm.spread.runnerUpdates(changed, (fact) => JSON.stringify(fact))
+        ? vm.propagation.runnerUpdates(changed, (record) => JSON.stringify(record))
         : []),
     ];
-    this.#tell(vm, { kind: 'rumours', rumours });
+    this.#dispatch(vm, { kind: 'rumours', rumours });
   }
 
-  #suspect(vm: Vm, news: Suspect | undefined): void {
-    if (!news) return;
+  #announceSuspect(vm: Vm, suspect: Suspect | undefined): void {
+    if (!suspect) return;
     if (vm.suspects.size === 0) {
-      this.#later(vm, GATHER_MS, () => {
+      this.#runLater(vm, BATCH_MS, () => {
         const rumours = [...vm.suspects.values()].map(suspectRumour);
         vm.suspects.clear();
-        this.#tell(vm, { kind: 'rumours', rumours });
+        this.#dispatch(vm, { kind: 'rumours', rumours });
       });
     }
-    vm.suspects.set(news.fingerprint, news);
+    vm.suspects.set(suspect.fingerprint, suspect);
   }
 
-  #hear(vm: Vm, rumour: GossipUpdate, address: string): void {
-    if (rumour.path.startsWith(SUSPECT_PATH)) {
-      this.#suspect(vm, vm.quarantine.apply(this.now, fromRumour(rumour, suspectSchema)));
+  #receiveUpdate(vm: Vm, update: GossipUpdate, address: string): void {
+    if (update.path.startsWith(SUSPECT_PATH)) {
+      this.#announceSuspect(vm, vm.quarantine.apply(this.now, fromRumour(update, suspectSchema)));
       return;
     }
-    if (rumour.path === ERA_PATH) {
-      this.#learnEras(vm, JSON.parse(rumour.text ?? '') as Position[]);
+    if (update.path === ERA_PATH) {
+      this.#applyEras(vm, JSON.parse(update.text ?? '') as Position[]);
       return;
     }
-    if (rumour.path.startsWith(RUNNER_PATH) && rumour.text !== undefined) {
-      this.#learn(vm, 0, [JSON.parse(rumour.text) as RunnerRecord]);
+    if (update.path.startsWith(RUNNER_PATH) && update.text !== undefined) {
+      this.#applyState(vm, 0, [JSON.parse(update.text) as RunnerRecord]);
       return;
     }
     const { configVersion, directory } = vm;
-    vm.spread.receive(rumour, address, { configVersion, runnersPosition: directory.position });
-    this.#exchangeDue(vm);
+    vm.propagation.receive(update, address, { configVersion, runnersPosition: directory.position });
+    this.#exchangeIfDue(vm);
   }
 
-  #exchangeDue(vm: Vm): void {
-    const address = vm.spread.takeFetchTarget(this.now);
+  #exchangeIfDue(vm: Vm): void {
+    const address = vm.propagation.takeFetchTarget(this.now);
     if (address !== undefined) this.#exchange(vm, address, false);
-    const { nextFetchAt: dueAt } = vm.spread;
+    const { nextFetchAt: dueAt } = vm.propagation;
     if (Number.isFinite(dueAt)) {
-      this.#later(vm, Math.max(1, dueAt - this.now), () => this.#exchangeDue(vm));
+      this.#runLater(vm, Math.max(1, dueAt - this.now), () => this.#exchangeIfDue(vm));
     }
   }
 
   #exchange(vm: Vm, address: string, members: boolean): void {
     this.#exchanges += 1;
     const { parts } = vm.directory.digest;
-    const bearer = this.#vms[Number.parseInt(address, 10)] as Vm;
-    if (this.#isCut(vm, bearer) || this.#mute.has(vm.number) || this.#mute.has(bearer.number)) {
+    const peer = this.#vms[Number.parseInt(address, 10)] as Vm;
+    if (
+      this.#isUnreachable(vm, peer) ||
+      this.#muted.has(vm.number) ||
+      this.#muted.has(peer.number)
+    ) {
       return;
     }
     const askedAt = this.#clockOf(vm);
-    this.#later(bearer, HOP_MS, () => {
-      if (bearer.startedAt > this.now) return;
-      bearer.answered += 1;
-      const { digest } = bearer.directory;
-      const facts = bearer.directory.factsIn(this.now, digest.differingParts(parts), 2000);
-      const { all } = bearer.membership;
-      const { configVersion } = bearer;
-      const { starts } = bearer.history;
-      const proof = bearer.freshness.proofAt(this.#clockOf(bearer), configVersion);
-      this.#later(vm, HOP_MS, () => {
-        this.#learnEras(vm, starts);
-        this.#learn(vm, configVersion, facts);
+    this.#runLater(peer, HOP_MS, () => {
+      if (peer.startedAt > this.now) return;
+      peer.answeredExchanges += 1;
+      const { digest } = peer.directory;
+      const records = peer.directory.factsIn(this.now, digest.differingParts(parts), 2000);
+      const { all } = peer.membership;
+      const { configVersion } = peer;
+      const { starts } = peer.history;
+      const proof = peer.freshness.proofAt(this.#clockOf(peer), configVersion);
+      this.#runLater(vm, HOP_MS, () => {
+        this.#applyEras(vm, starts);
+        this.#applyState(vm, configVersion, records);
         if (proof) vm.freshness.acceptProof(askedAt, proof, vm.configVersion);
-        if (members) this.#tell(vm, { kind: 'synced', members: all });
+        if (members) this.#dispatch(vm, { kind: 'synced', members: all });
       });
     });
   }
 
-  #isCut({ number: one }: Vm, { number: other }: Vm): boolean {
-    if (this.#cut.has(one) || this.#cut.has(other)) return true;
-    return this.#apart.has(one) !== this.#apart.has(other);
+  #isUnreachable({ number: one }: Vm, { number: other }: Vm): boolean {
+    if (this.#isolated.has(one) || this.#isolated.has(other)) return true;
+    return this.#partitioned.has(one) !== this.#partitioned.has(other);
   }
 
-  /** Time as the VM counts it while it may be suspended. */
-  #clockOf({ aheadMs }: Vm): number {
-    return this.now + aheadMs;
+  /** The VM's own clock, which also advances while it is suspended. */
+  #clockOf({ clockOffsetMs }: Vm): number {
+    return this.now + clockOffsetMs;
   }
 
-  #tell(vm: Vm, event: MembershipEvent): void {
+  #dispatch(vm: Vm, event: MembershipEvent): void {
     for (const action of vm.membership.handle(this.now, event)) this.#perform(vm, action);
   }
 
   #perform(vm: Vm, action: MembershipAction): void {
-    if (action.kind === 'changed') Object.assign(vm, { changed: true });
-    if (action.kind === 'heard') this.#hear(vm, action.rumour, action.address);
+    if (action.kind === 'changed') Object.assign(vm, { haveMembersChanged: true });
+    if (action.kind === 'heard') this.#receiveUpdate(vm, action.rumour, action.address);
     if (action.kind === 'differs') {
-      vm.spread.reportMismatch(this.now, action.address);
-      this.#exchangeDue(vm);
+      vm.propagation.reportMismatch(this.now, action.address);
+      this.#exchangeIfDue(vm);
     }
     if (action.kind !== 'send') return;
     this.#packets += 1;
     const target = this.#vms[Number.parseInt(action.to, 10)];
-    if (!target || this.#mute.has(vm.number) || this.#isCut(vm, target)) return;
+    if (!target || this.#muted.has(vm.number) || this.#isUnreachable(vm, target)) return;
     const { packet } = action;
     if (packet.kind === 'ping') vm.freshness.recordQuery(this.#clockOf(vm), packet.seq);
     const proof = vm.freshness.proofAt(this.#clockOf(vm), vm.configVersion);
@@ -636,7 +642,7 @@
       if (proof && packet.kind === 'ack') {
         target.freshness.recordReply(packet.seq, proof, target.configVersion);
       }
-      this.#tell(target, { kind: 'packet', packet });
+      this.#dispatch(target, { kind: 'packet', packet });
     });
   }
 }
--- a/test/fakes/virtual/quotafleet.ts
+++ b/test/fakes/virtual/quotafleet.ts
@@ -1,8 +1,8 @@
 /**
- * A fleet under virtual time whose VMs ask for customers' quotas: real memberships, cuts,
- * freezes and kills between them, and ways to keep a quota behind one interface. Counts
- * what ran in each window, what was refused although an ideal account had allowed it,
- * messages, and the time that a request waited.
+ * Simulates a fleet under virtual time whose VMs enforce customers' quotas. It uses real
+ * memberships, isolates, freezes and kills VMs, and puts strategies to enforce a quota behind
+ * one interface. Counts what was granted in each window, what was refused although an ideal
+ * account would have granted it, messages, and the time that requests waited.
  */
 
 import type { QuotaBounds } from '../../../src/core/quotas/account';
@@ -14,7 +14,7 @@
 import { Schedule } from './schedule';
 import { seeded } from './workload';
 
-/** A VM as the ways see it. */
+/** A VM as strategies see it. */
 export interface QuotaVm {
   readonly number: number;
   readonly name: string;
@@ -23,21 +23,22 @@
   frozen: boolean;
 }
 
-/** What a way may use of the fleet. */
+/** Functions of the fleet that strategies may use. */
 export interface QuotaNetwork {
   readonly now: number;
   readonly vms: readonly QuotaVm[];
   readonly random: () => number;
-  /** Delivers a message to a VM that can be reached; one to a frozen VM comes when it wakes. */
+  /** Sends a message, which is lost if the VM is unreachable or dead. A frozen VM receives it after it resumes. */
   send(from: QuotaVm, to: QuotaVm, deliver: () => void): void;
+  /** Runs a task at a VM after a delay, unless the VM is dead by then; at a frozen VM it runs after the VM resumes. */
   later(vm: QuotaVm, ms: number, run: () => void): void;
-  /** VMs by falling claim to a key, as one VM sees the members. */
+  /** VMs ranked as owners of a key, the preferred owner first, by one VM's view of the members. */
   ranked(vm: QuotaVm, key: string): readonly QuotaVm[];
 }
 
-/** A way to keep quotas. */
+/** A strategy to enforce quotas across VMs. */
 export interface QuotaWay {
-  /** A VM asks for one run; `done` is called once. */
+  /** Requests quota for one request at a VM; `done` is called once. */
   ask(
     vm: QuotaVm,
     customer: string,
@@ -45,24 +46,24 @@
     size: number,
     done: (granted: boolean) => void,
   ): void;
-  /** The members changed, as one VM sees them. */
+  /** Called when one VM's view of the members has changed. */
   membersChanged?(vm: QuotaVm): void;
-  /** A VM goes on after it stood still. */
+  /** Called when a frozen VM resumes. */
   resumed?(vm: QuotaVm): void;
 }
 
-/** How a way is made. */
+/** Creates a strategy. */
 export type QuotaWayOf = (network: QuotaNetwork, bounds: QuotaBounds) => QuotaWay;
 
-/** What was seen of one customer. */
+/** Measurements of one customer's requests. */
 export interface QuotaFigures {
-  /** The most that ran in one window, less what the quota allows in it, as a part of what may be over it. */
+  /** Maximum granted in one window minus what the quota allows in it, as a fraction of the permitted overage. */
   readonly over: number;
-  /** By how much less ran than an ideal account would have let through, as a part. */
+  /** Fraction of the requests granted by an ideal account that were refused; 0 if none. */
   readonly refusedBelow: number;
-  /** Mean time that a request waited for its answer, in milliseconds. */
+  /** Mean time that a request waited for the decision, in milliseconds. */
   readonly waitMs: number;
-  /** Messages between VMs for each request, without those of the membership. */
+  /** Messages between VMs per request, without those of the membership. */
   readonly messages: number;
 }
 
@@ -70,7 +71,7 @@
 const PROBE_MS = 300;
 const SUSPECT_MS = 800;
 const SEEDS = 3;
-const GATHER_MS = 50;
+const BATCH_MS = 50;
 
 interface Run {
   readonly at: number;
@@ -82,7 +83,7 @@
   waitMs: number;
 }
 
-/** VMs, callers and one customer. */
+/** A simulated fleet that serves the requests of one customer. */
 export class QuotaFleet implements QuotaNetwork {
   readonly vms: QuotaVm[];
 
@@ -92,18 +93,18 @@
 
   readonly #bounds: QuotaBounds;
 
-  readonly #way: QuotaWay;
+  readonly #strategy: QuotaWay;
 
   readonly #requests: Request[] = [];
 
   readonly #rankings = new Map<QuotaVm, Map<string, readonly QuotaVm[]>>();
 
-  readonly #gathering = new Set<QuotaVm>();
+  readonly #pendingChanges = new Set<QuotaVm>();
 
-  #cut: ReadonlySet<number> = new Set();
+  #isolated: ReadonlySet<number> = new Set();
 
-  /** VMs that do not reach those of the other set. */
-  #apart: readonly [ReadonlySet<number>, ReadonlySet<number>] = [new Set(), new Set()];
+  /** Two sets of VMs that cannot reach each other. */
+  #partition: readonly [ReadonlySet<number>, ReadonlySet<number>] = [new Set(), new Set()];
 
   #messages = 0;
 
@@ -113,8 +114,8 @@
     this.random = seeded(seed);
     this.#quota = quota;
     this.#bounds = bounds;
-    this.vms = Array.from({ length: size }, (_, number) => this.#vm(number));
-    this.#way = wayOf(this, bounds);
+    this.vms = Array.from({ length: size }, (_, number) => this.#createVm(number));
+    this.#strategy = wayOf(this, bounds);
     for (const vm of this.vms) this.#start(vm);
   }
 
@@ -126,12 +127,12 @@
     return this.#quota;
   }
 
-  /** The operator changes the quota; all VMs know of it at once. */
+  /** Changes the quota at all VMs at once. */
   configure(quota: Quota): void {
     this.#quota = quota;
   }
 
-  /** What ran in the next time. */
+  /** Runs for a duration and returns the total size of the requests granted in it. */
   ranIn(ms: number): number {
     const from = this.now;
     this.run(ms);
@@ -147,7 +148,7 @@
     this.#schedule.run();
   }
 
-  /** Requests of the customer come at a rate, at random times, to VMs drawn at random from some. */
+  /** Schedules Poisson arrivals of the customer's requests at a rate, each at a random VM of `among`. */
   load(perS: number, size: number, forMs: number, among: readonly number[]): void {
     const end = this.now + forMs;
     const next = (): void => {
@@ -161,13 +162,14 @@
     next();
   }
 
+  /** Isolates VMs from all others, also from each other. */
   cut(vms: readonly number[]): void {
-    this.#cut = new Set(vms);
+    this.#isolated = new Set(vms);
   }
 
-  /** Cuts the links between two sets; all other ones stay. */
+  /** Cuts the links between two sets of VMs and keeps all other links. */
   cutBetween(some: readonly number[], others: readonly number[]): void {
-    this.#apart = [new Set(some), new Set(others)];
+    this.#partition = [new Set(some), new Set(others)];
   }
 
   kill(vms: readonly number[]): void {
@@ -178,37 +180,39 @@
     const vm = this.vms[number] as QuotaVm;
     vm.frozen = frozen;
     if (frozen) return;
-    this.#way.resumed?.(vm);
+    this.#strategy.resumed?.(vm);
     this.#tick(vm);
   }
 
-  /** The VM that all others go by for a key. */
+  /** The owner of a key by the view of the first running VM; -1 if it sees none. */
   owner(key: string): number {
     const vm = this.vms.find(({ dead, frozen }) => !dead && !frozen) as QuotaVm;
     return this.ranked(vm, key)[0]?.number ?? -1;
   }
 
-  /** What was seen since a time. */
+  /** Measurements of the requests that arrived since a time. */
   figures(since: number): QuotaFigures {
-    const asked = this.#requests.filter(({ at, granted }) => at >= since && granted !== undefined);
-    const ran = asked.filter(({ granted }) => granted);
+    const decided = this.#requests.filter(
+      ({ at, granted }) => at >= since && granted !== undefined,
+    );
+    const grants = decided.filter(({ granted }) => granted);
     const { windowMs, overage, slack } = this.#bounds;
     const { ratePerS, burst } = this.#quota;
     const allowed = (ratePerS * windowMs) / 1000 + burst;
-    const most = mostInWindow(ran, windowMs);
-    const ideal = idealOf(asked, this.#quota);
-    const wait = asked.reduce((sum, { waitMs }) => sum + waitMs, 0);
+    const most = maxInWindow(grants, windowMs);
+    const ideal = idealGrants(decided, this.#quota);
+    const wait = decided.reduce((sum, { waitMs }) => sum + waitMs, 0);
     return {
       over: (most - allowed) / (overage * allowed + slack),
-      refusedBelow: Math.max(0, 1 - ran.length / Math.max(1, ideal)),
-      waitMs: wait / Math.max(1, asked.length),
+      refusedBelow: Math.max(0, 1 - grants.length / Math.max(1, ideal)),
+      waitMs: wait / Math.max(1, decided.length),
       messages: this.#messages / Math.max(1, this.#requests.length),
     };
   }
 
   send(from: QuotaVm, to: QuotaVm, deliver: () => void): void {
     this.#messages += 1;
-    if (this.#isCut(from, to)) return;
+    if (this.#isUnreachable(from, to)) return;
     this.later(to, HOP_MS, deliver);
   }
 
@@ -228,21 +232,23 @@
     }
     let found = known.get(key);
     if (!found) {
-      found = rankByCores(key, vm.membership.all.filter(canOwn)).map((member) => this.#of(member));
+      found = rankByCores(key, vm.membership.all.filter(canOwn)).map((member) =>
+        this.#vmOf(member),
+      );
       known.set(key, found);
     }
     return found;
   }
 
-  #of({ address }: Member): QuotaVm {
+  #vmOf({ address }: Member): QuotaVm {
     return this.vms[Number.parseInt(address, 10)] as QuotaVm;
   }
 
-  /** Those that are cut off reach nobody, not even each other. */
-  #isCut({ number: one }: QuotaVm, { number: other }: QuotaVm): boolean {
-    const [some, others] = this.#apart;
+  /** Isolated VMs cannot reach any VM, including each other. */
+  #isUnreachable({ number: one }: QuotaVm, { number: other }: QuotaVm): boolean {
+    const [some, others] = this.#partition;
     const isApart = (some.has(one) && others.has(other)) || (some.has(other) && others.has(one));
-    return one !== other && (isApart || this.#cut.has(one) || this.#cut.has(other));
+    return one !== other && (isApart || this.#isolated.has(one) || this.#isolated.has(other));
   }
 
   #request(number: number, size: number): void {
@@ -250,13 +256,13 @@
     if (vm.dead || vm.frozen) return;
     const request: Request = { at: this.now, size, granted: undefined, waitMs: 0 };
     this.#requests.push(request);
-    this.#way.ask(vm, 'ada', this.#quota, size, (granted) => {
+    this.#strategy.ask(vm, 'ada', this.#quota, size, (granted) => {
       request.granted = granted;
       request.waitMs = this.now - request.at;
     });
   }
 
-  #vm(number: number): QuotaVm {
+  #createVm(number: number): QuotaVm {
     const membership = new Membership({
       vm: `vm${number}`,
       domain: `domain-${number % 3}`,
@@ -274,52 +280,52 @@
     this.#schedule.add(this.random() * 300, () => {
       const addresses = Array.from({ length: SEEDS }, (_, i) => `${i}:1`);
       const others = addresses.filter((address) => address !== vm.membership.self.address);
-      this.#tell(vm, { kind: 'contact', addresses: others });
+      this.#dispatch(vm, { kind: 'contact', addresses: others });
       this.#tick(vm);
     });
     this.#schedule.add(500, () => {
       const members = this.vms.map(({ membership }) => membership.self);
-      this.#tell(vm, { kind: 'synced', members });
+      this.#dispatch(vm, { kind: 'synced', members });
     });
   }
 
   #tick(vm: QuotaVm): void {
     this.#schedule.add(Math.max(this.now + 1, vm.membership.nextWake()), () => {
       if (vm.dead || vm.frozen) return;
-      this.#tell(vm, { kind: 'woke' });
+      this.#dispatch(vm, { kind: 'woke' });
       this.#tick(vm);
     });
   }
 
-  #tell(vm: QuotaVm, event: MembershipEvent): void {
+  #dispatch(vm: QuotaVm, event: MembershipEvent): void {
     for (const action of vm.membership.handle(this.now, event)) this.#perform(vm, action);
   }
 
-  /** Changes of members come in swarms; what follows from them is worked out once for all. */
-  #gather(vm: QuotaVm): void {
+  /** Combines membership changes, which arrive in bursts, into one notification. */
+  #scheduleMembersChanged(vm: QuotaVm): void {
     this.#rankings.delete(vm);
-    if (this.#gathering.has(vm)) return;
-    this.#gathering.add(vm);
-    this.later(vm, GATHER_MS, () => {
-      this.#gathering.delete(vm);
-      this.#way.membersChanged?.(vm);
+    if (this.#pendingChanges.has(vm)) return;
+    this.#pendingChanges.add(vm);
+    this.later(vm, BATCH_MS, () => {
+      this.#pendingChanges.delete(vm);
+      this.#strategy.membersChanged?.(vm);
     });
   }
 
   #perform(vm: QuotaVm, action: MembershipAction): void {
-    if (action.kind === 'changed') this.#gather(vm);
+    if (action.kind === 'changed') this.#scheduleMembersChanged(vm);
     if (action.kind !== 'send') return;
     const target = this.vms[Number.parseInt(action.to, 10)];
-    if (!target || this.#isCut(vm, target)) return;
+    if (!target || this.#isUnreachable(vm, target)) return;
     const { packet } = action;
     this.#schedule.add(this.now + HOP_MS, () => {
-      if (!target.dead && !target.frozen) this.#tell(target, { kind: 'packet', packet });
+      if (!target.dead && !target.frozen) this.#dispatch(target, { kind: 'packet', packet });
     });
   }
 }
 
-/** The most that began within one window. */
-function mostInWindow(runs: readonly Run[], windowMs: number): number {
+/** Maximum total size of requests that arrived within one window. */
+function maxInWindow(runs: readonly Run[], windowMs: number): number {
   let most = 0;
   let sum = 0;
   let from = 0;
@@ -334,9 +340,9 @@
   return most;
 }
 
-/** How many requests one account that sees all at once would let through. */
-function idealOf(requests: readonly Request[], { ratePerS, burst }: Quota): number {
-  let through = 0;
+/** Number of requests that a single account with immediate knowledge of all requests would grant. */
+function idealGrants(requests: readonly Request[], { ratePerS, burst }: Quota): number {
+  let granted = 0;
   let level = burst;
   let at = requests[0]?.at ?? 0;
   for (const request of requests) {
@@ -344,8 +350,8 @@
     at = request.at;
     if (level >= request.size) {
       level -= request.size;
-      through += 1;
+      granted += 1;
     }
   }
-  return through;
+  return granted;
 }
--- a/test/fakes/virtual/quotaways.ts
+++ b/test/fakes/virtual/quotaways.ts
@@ -1,4 +1,4 @@
-/** Ways to keep a customer's quota over a fleet: the one that is used, and others that it was weighed against. */
+/** Strategies to enforce a customer's quota across a fleet: the one that the router uses, and alternatives to compare it with. */
 
 import { groupOf } from '../../../src/core/customers/groups';
 import type { Quota } from '../../../src/core/customers/types';
@@ -11,10 +11,10 @@
 import { LazyMap } from '../../../src/utils/lazymap';
 import type { QuotaNetwork, QuotaVm, QuotaWay } from './quotafleet';
 
-const ASK_LIMIT_MS = 150;
-const OWNERS_ASKED = 2;
-const SHUNNED_MS = 1500;
-const LOOK_MS = 250;
+const ASK_TIMEOUT_MS = 150;
+const MAX_OWNERS_ASKED = 2;
+const SKIP_OWNER_MS = 1500;
+const REVIEW_MS = 250;
 
 function membersOf({ membership }: QuotaVm): QuotaMembers {
   const { all } = membership;
@@ -24,7 +24,7 @@
   };
 }
 
-/** The owner of the account is asked for each run. */
+/** Asks the owner of the account for each request. The router uses this strategy. */
 export class OwnerAsked implements QuotaWay {
   readonly #network: QuotaNetwork;
 
@@ -32,14 +32,14 @@
 
   readonly #accounts = new Map<QuotaVm, QuotaAccounts>();
 
-  readonly #shunned = new Map<QuotaVm, Map<QuotaVm, number>>();
+  readonly #skippedOwners = new Map<QuotaVm, Map<QuotaVm, number>>();
 
   readonly #owners = new Map<QuotaVm, QuotaVm>();
 
-  readonly #looking = new Set<QuotaVm>();
+  readonly #reviewing = new Set<QuotaVm>();
 
-  /** When each VM told its owner last. */
-  readonly #toldAt = new Map<QuotaVm, number>();
+  /** When each VM last renewed its membership at its owner. */
+  readonly #lastRenewedAt = new Map<QuotaVm, number>();
 
   constructor(network: QuotaNetwork, bounds: QuotaBounds) {
     this.#network = network;
@@ -53,20 +53,20 @@
     size: number,
     done: (granted: boolean) => void,
   ): void {
-    this.#askOne(vm, customer, quota, size, OWNERS_ASKED, done);
+    this.#askOwner(vm, customer, quota, size, MAX_OWNERS_ASKED, done);
   }
 
   membersChanged(vm: QuotaVm): void {
-    if (!this.#looking.has(vm)) this.#look(vm);
+    if (!this.#reviewing.has(vm)) this.#scheduleReview(vm);
     this.#review(vm);
   }
 
-  /** Owners that did not answer are passed over for a while without any change of the members. */
-  #look(vm: QuotaVm): void {
-    this.#looking.add(vm);
-    this.#network.later(vm, LOOK_MS, () => {
+  /** Reviews a VM's owner periodically, as owners are skipped and retried without a change of the members. */
+  #scheduleReview(vm: QuotaVm): void {
+    this.#reviewing.add(vm);
+    this.#network.later(vm, REVIEW_MS, () => {
       this.#review(vm);
-      this.#look(vm);
+      this.#scheduleReview(vm);
     });
   }
 
@@ -78,10 +78,10 @@
     const before = this.#owners.get(vm);
     const isDue =
       before !== owner ||
-      network.now - (this.#toldAt.get(vm) ?? 0) > renewIntervalMs(membersOf(vm));
+      network.now - (this.#lastRenewedAt.get(vm) ?? 0) > renewIntervalMs(membersOf(vm));
     if (!owner || !isDue) return;
     this.#owners.set(vm, owner);
-    this.#toldAt.set(vm, network.now);
+    this.#lastRenewedAt.set(vm, network.now);
     this.#join(vm, owner, group);
     if (before === owner) return;
     if (before === vm) this.#accountsOf(vm).leave(group, vm.name);
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Says by whom it goes, until that is answered. */
+  /** Announces to an owner that a VM uses it. If the owner does not confirm, the VM skips it and reviews its owner. */
   #join(vm: QuotaVm, owner: QuotaVm, group: string): void {
     const network = this.#network;
     if (owner === vm) {
@@ -104,10 +104,10 @@
         open = false;
       });
     });
-    network.later(vm, ASK_LIMIT_MS, () => {
+    network.later(vm, ASK_TIMEOUT_MS, () => {
       if (!open || this.#owners.get(vm) !== owner) return;
-      // An owner that does not answer is passed over, and the next one is told.
-      this.#shunnedBy(vm).set(owner, network.now + SHUNNED_MS);
+      // Skips an owner that does not answer and joins the next one.
+      this.#skippedOwnersOf(vm).set(owner, network.now + SKIP_OWNER_MS);
       this.#review(vm);
     });
   }
@@ -118,17 +118,17 @@
     this.#review(vm);
   }
 
-  #askOne(
+  #askOwner(
     vm: QuotaVm,
     customer: string,
     quota: Quota,
     size: number,
-    tries: number,
+    attempts: number,
     done: (granted: boolean) => void,
   ): void {
     const network = this.#network;
     const [owner] = this.#ownersOf(vm, customer);
-    if (!owner || owner === vm || tries === 0) {
+    if (!owner || owner === vm || attempts === 0) {
       done(this.#take(vm, vm, customer, quota, size));
       return;
     }
@@ -137,15 +137,15 @@
       const granted = this.#take(owner, vm, customer, quota, size);
       network.send(owner, vm, () => {
         if (open) done(granted);
-        if (open && this.#owners.get(vm) === owner) this.#toldAt.set(vm, network.now);
+        if (open && this.#owners.get(vm) === owner) this.#lastRenewedAt.set(vm, network.now);
         open = false;
       });
     });
-    network.later(vm, ASK_LIMIT_MS, () => {
+    network.later(vm, ASK_TIMEOUT_MS, () => {
       if (!open) return;
       open = false;
-      this.#shunnedBy(vm).set(owner, network.now + SHUNNED_MS);
-      this.#askOne(vm, customer, quota, size, tries - 1, done);
+      this.#skippedOwnersOf(vm).set(owner, network.now + SKIP_OWNER_MS);
+      this.#askOwner(vm, customer, quota, size, attempts - 1, done);
     });
   }
 
@@ -159,13 +159,13 @@
   #ownersOf(vm: QuotaVm, customer: string): readonly QuotaVm[] {
     const { now } = this.#network;
     const ranked = this.#network.ranked(vm, groupOf(customer));
-    const isShunned = (one: QuotaVm): boolean => (this.#shunnedBy(vm).get(one) ?? 0) > now;
+    const isShunned = (one: QuotaVm): boolean => (this.#skippedOwnersOf(vm).get(one) ?? 0) > now;
     return [...ranked.filter((one) => !isShunned(one)), ...ranked.filter(isShunned)];
   }
 
-  #shunnedBy(vm: QuotaVm): Map<QuotaVm, number> {
-    const known = this.#shunned.get(vm) ?? new Map<QuotaVm, number>();
-    this.#shunned.set(vm, known);
+  #skippedOwnersOf(vm: QuotaVm): Map<QuotaVm, number> {
+    const known = this.#skippedOwners.get(vm) ?? new Map<QuotaVm, number>();
+    this.#skippedOwners.set(vm, known);
     return known;
   }
 
@@ -176,24 +176,25 @@
   }
 }
 
-/** Time of recent use for which a slice is drawn, and after which it lapses, in milliseconds. */
+/** Time of recent use that a slice covers, in milliseconds. */
 const SLICE_MS = 500;
-const LAPSE_MS = 1000;
+/** Time after which a slice expires, in milliseconds. */
+const SLICE_TTL_MS = 1000;
 
-/** VMs draw slices ahead from the owner by their recent use, and decide by themselves while one lasts. */
+/** VMs reserve slices of the quota from the owner by their recent use, and decide locally while a slice lasts. */
 export class Slices implements QuotaWay {
   readonly #network: QuotaNetwork;
 
-  readonly #asked: OwnerAsked;
+  readonly #owners: OwnerAsked;
 
-  readonly #purses = new Map<
+  readonly #slices = new Map<
     QuotaVm,
     { left: number; until: number; usedAt: number; perMs: number }
   >();
 
   constructor(network: QuotaNetwork, bounds: QuotaBounds) {
     this.#network = network;
-    this.#asked = new OwnerAsked(network, bounds);
+    this.#owners = new OwnerAsked(network, bounds);
   }
 
   ask(
@@ -204,50 +205,50 @@
     done: (granted: boolean) => void,
   ): void {
     const { now } = this.#network;
-    const purse = this.#purses.get(vm) ?? { left: 0, until: 0, usedAt: now, perMs: 0 };
-    this.#purses.set(vm, purse);
-    const part = 1 - Math.exp(-(now - purse.usedAt) / LAPSE_MS);
-    purse.perMs += part * (size / Math.max(1, now - purse.usedAt) - purse.perMs);
-    purse.usedAt = now;
-    if (now < purse.until && purse.left >= size) {
-      purse.left -= size;
+    const slice = this.#slices.get(vm) ?? { left: 0, until: 0, usedAt: now, perMs: 0 };
+    this.#slices.set(vm, slice);
+    const weight = 1 - Math.exp(-(now - slice.usedAt) / SLICE_TTL_MS);
+    slice.perMs += weight * (size / Math.max(1, now - slice.usedAt) - slice.perMs);
+    slice.usedAt = now;
+    if (now < slice.until && slice.left >= size) {
+      slice.left -= size;
       done(true);
       return;
     }
-    const slice = Math.max(size, purse.perMs * SLICE_MS);
-    this.#asked.ask(vm, customer, quota, slice, (granted) => {
+    const sliceSize = Math.max(size, slice.perMs * SLICE_MS);
+    this.#owners.ask(vm, customer, quota, sliceSize, (granted) => {
       if (granted) {
-        purse.left = slice - size;
-        purse.until = this.#network.now + LAPSE_MS;
+        slice.left = sliceSize - size;
+        slice.until = this.#network.now + SLICE_TTL_MS;
         done(true);
-      } else if (slice > size) this.#asked.ask(vm, customer, quota, size, done);
+      } else if (sliceSize > size) this.#owners.ask(vm, customer, quota, size, done);
       else done(false);
     });
   }
 
   membersChanged(vm: QuotaVm): void {
-    this.#asked.membersChanged(vm);
+    this.#owners.membersChanged(vm);
   }
 
   resumed(vm: QuotaVm): void {
-    this.#asked.resumed(vm);
+    this.#owners.resumed(vm);
   }
 }
 
-/** Period of telling three others what was used, in milliseconds. */
+/** Interval between gossip rounds, in milliseconds. */
 const GOSSIP_MS = 300;
 const GOSSIP_FANOUT = 3;
 
-/** Each VM counts the whole quota by what it used itself and what it heard of others' use. */
+/** Each VM applies the whole quota to its own use and the use reported by other VMs through gossip. */
 export class Gossiped implements QuotaWay {
   readonly #network: QuotaNetwork;
 
-  /** Sum of what each VM used, as each VM heard it last. */
-  readonly #known = new Map<QuotaVm, Map<string, number>>();
+  /** Total use of each VM as last seen by each VM. */
+  readonly #usage = new Map<QuotaVm, Map<string, number>>();
 
   readonly #levels = new Map<QuotaVm, { level: number; at: number; counted: number }>();
 
-  readonly #gossips = new Set<QuotaVm>();
+  readonly #gossiping = new Set<QuotaVm>();
 
   constructor(network: QuotaNetwork) {
     this.#network = network;
@@ -261,7 +262,7 @@
     done: (granted: boolean) => void,
   ): void {
     const { now } = this.#network;
-    const used = this.#usedBy(vm);
+    const used = this.#usageSeenBy(vm);
     const state = this.#levels.get(vm) ?? { level: quota.burst, at: now, counted: 0 };
     this.#levels.set(vm, state);
     const sum = [...used.values()].reduce((all, one) => all + one, 0);
@@ -272,32 +273,32 @@
     const granted = state.level >= size;
     if (granted) used.set(vm.name, (used.get(vm.name) ?? 0) + size);
     done(granted);
-    if (!this.#gossips.has(vm)) this.#gossip(vm);
+    if (!this.#gossiping.has(vm)) this.#gossip(vm);
   }
 
-  #usedBy(vm: QuotaVm): Map<string, number> {
-    const known = this.#known.get(vm) ?? new Map<string, number>();
-    this.#known.set(vm, known);
+  #usageSeenBy(vm: QuotaVm): Map<string, number> {
+    const known = this.#usage.get(vm) ?? new Map<string, number>();
+    this.#usage.set(vm, known);
     return known;
   }
 
   #gossip(vm: QuotaVm): void {
-    this.#gossips.add(vm);
+    this.#gossiping.add(vm);
     const { vms, random } = this.#network;
     for (let i = 0; i < GOSSIP_FANOUT; i += 1) {
       const other = vms[Math.floor(random() * vms.length)] as QuotaVm;
-      const told = [...this.#usedBy(vm)];
+      const reported = [...this.#usageSeenBy(vm)];
       this.#network.send(vm, other, () => {
-        const known = this.#usedBy(other);
-        for (const [name, sum] of told) known.set(name, Math.max(sum, known.get(name) ?? 0));
-        if (!this.#gossips.has(other)) this.#gossip(other);
+        const known = this.#usageSeenBy(other);
+        for (const [name, sum] of reported) known.set(name, Math.max(sum, known.get(name) ?? 0));
+        if (!this.#gossiping.has(other)) this.#gossip(other);
       });
     }
     this.#network.later(vm, GOSSIP_MS, () => this.#gossip(vm));
   }
 }
 
-/** Each VM gives out an equal part by itself. */
+/** Each VM grants an equal share of the quota locally. */
 export class EqualParts implements QuotaWay {
   readonly #network: QuotaNetwork;
 
@@ -323,10 +324,10 @@
   }
 }
 
-/** Rate of one VM that sends, for each of which one more may. */
-const SENDER_PER_S = 5;
+/** Requests per second for each VM that may send. */
+const RATE_PER_SENDER = 5;
 
-/** A few VMs, drawn by hash, give out an equal part each; the others nothing. */
+/** A few VMs, selected by hash, grant an equal share each; the others grant nothing. */
 export class FewSenders implements QuotaWay {
   readonly #network: QuotaNetwork;
 
@@ -348,7 +349,10 @@
     done: (granted: boolean) => void,
   ): void {
     const ranked = this.#network.ranked(vm, customer);
-    const count = Math.min(ranked.length, Math.max(1, Math.round(quota.ratePerS / SENDER_PER_S)));
+    const count = Math.min(
+      ranked.length,
+      Math.max(1, Math.round(quota.ratePerS / RATE_PER_SENDER)),
+    );
     const isSender = ranked.slice(0, count).includes(vm);
     const { now } = this.#network;
     done(isSender && this.#accounts(vm).take(now, quota, 1 / count, size).granted);
--- a/test/fakes/virtual/schedule.ts
+++ b/test/fakes/virtual/schedule.ts
@@ -1,39 +1,41 @@
-/** Things to do at virtual times: a binary heap, first in first out at equal times. */
+/** Runs tasks at virtual times, from a binary heap with FIFO order at equal times. */
 
-interface Item {
+interface Task {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
-function before(a: Item, b: Item): boolean {
+function isBefore(a: Task, b: Task): boolean {
   return a.at < b.at || (a.at === b.at && a.order < b.order);
 }
 
-/** A schedule. */
+/** Tasks ordered by virtual time. */
 export class Schedule {
-  readonly #heap: Item[] = [];
+  readonly #heap: Task[] = [];
 
   #order = 0;
 
   #now = 0;
 
-  /** The time of what is being run. */
+  /** Time of the last task that was started, in milliseconds. */
   get now(): number {
     return this.#now;
   }
 
+  /** Schedules a task at a time, in milliseconds. */
   add(at: number, run: () => void): void {
     this.#order += 1;
     this.#heap.push({ at, order: this.#order, run });
     this.#up(this.#heap.length - 1);
   }
 
+  /** Time of the next task; Infinity if there is none. */
   next(): number {
     return this.#heap[0]?.at ?? Infinity;
   }
 
-  /** Runs the first item. */
+  /** Runs the next task; does nothing if there is none. */
   run(): void {
     const [first] = this.#heap;
     const last = this.#heap.pop();
@@ -61,19 +63,19 @@
       const left = 2 * i + 1;
       if (left >= this.#heap.length) return;
       const right = left + 1;
-      const rightFirst = right < this.#heap.length && before(this.#at(right), this.#at(left));
+      const rightFirst = right < this.#heap.length && isBefore(this.#at(right), this.#at(left));
       const child = rightFirst ? right : left;
       if (!this.#swapIfBefore(child, i)) return;
       i = child;
     }
   }
 
-  #at(i: number): Item {
-    return this.#heap[i] as Item;
+  #at(i: number): Task {
+    return this.#heap[i] as Task;
   }
 
   #swapIfBefore(i: number, j: number): boolean {
-    if (!before(this.#at(i), this.#at(j))) return false;
+    if (!isBefore(this.#at(i), this.#at(j))) return false;
     [this.#heap[i], this.#heap[j]] = [this.#at(j), this.#at(i)];
     return true;
   }
--- a/test/fakes/virtual/storehistory.ts
+++ b/test/fakes/virtual/storehistory.ts
@@ -1,7 +1,7 @@
 /**
- * A store under virtual time that may come back from an older copy of itself, and the
- * runners that write to it. VMs read it as the feed does: a range, then changes, and
- * a range again where the history is missing or of another era.
+ * Simulates, under virtual time, a store that can be restored from an older copy, and the
+ * runners that write to it. VMs read it as the router does: a range, then changes, and
+ * the range again if the history is missing or belongs to another era.
  */
 
 import pino from 'pino';
@@ -14,32 +14,33 @@
 import { Knowledge } from '../../../src/node/router/knowledge';
 import { runnerOf } from '../runner';
 
-interface Item {
+interface StoreEntry {
   readonly revision: number;
-  /** Undefined if it was removed. */
+  /** Undefined if the entry was removed. */
   readonly runner: Runner | undefined;
 }
 
 interface Copy {
   readonly at: number;
   readonly revision: number;
-  readonly items: ReadonlyMap<string, Item>;
+  readonly items: ReadonlyMap<string, StoreEntry>;
 }
 
-/** Heartbeat of a runner, and the silence after which its entry is removed, in milliseconds. */
-const BEAT_MS = 1200;
-const LAPSE_MS = 3 * BEAT_MS;
-/** Time for which a leaving runner serves, in milliseconds. */
-const LEAVE_MS = 2000;
-const COPY_MS = 500;
+/** Interval of a runner's heartbeats, in milliseconds. */
+const HEARTBEAT_MS = 1200;
+/** Time since the last heartbeat after which an entry is removed, in milliseconds. */
+const ENTRY_TTL_MS = 3 * HEARTBEAT_MS;
+/** Time for which a leaving runner continues to serve, in milliseconds. */
+const DRAIN_MS = 2000;
+const COPY_INTERVAL_MS = 500;
 
-/** A store and its copies. */
+/** A simulated store and its copies. */
 export class HistoryStore {
   era = 1;
 
   revision = 0;
 
-  #items = new Map<string, Item>();
+  #items = new Map<string, StoreEntry>();
 
   readonly #copies: Copy[] = [];
 
@@ -47,21 +48,24 @@
     return { era: this.era, revision: this.revision };
   }
 
+  /** Writes an entry at a new revision; an undefined runner removes it. */
   write(id: string, runner: Runner | undefined): void {
     this.revision += 1;
     this.#items.set(id, { revision: this.revision, runner });
   }
 
+  /** Whether an entry exists that was not removed. */
   has(id: string): boolean {
     return this.#items.get(id)?.runner !== undefined;
   }
 
-  /** Keeps a copy from time to time. */
+  /** Makes a copy at each copy interval. */
   tick(now: number): void {
-    if (now % COPY_MS !== 0) return;
+    if (now % COPY_INTERVAL_MS !== 0) return;
     this.#copies.push({ at: now, revision: this.revision, items: new Map(this.#items) });
   }
 
+  /** Restores the newest copy of at least this age, with a new era; does nothing if there is none. */
   comeBack(now: number, ageMs: number): void {
     const copy = this.#copies.filter(({ at }) => at <= now - ageMs).at(-1);
     if (!copy) return;
@@ -71,59 +75,60 @@
     while ((this.#copies.at(-1)?.at ?? -1) > copy.at) this.#copies.pop();
   }
 
-  /** All entries that are there. */
-  get listed(): readonly [string, Item][] {
+  /** All entries that were not removed. */
+  get listed(): readonly [string, StoreEntry][] {
     return [...this.#items].filter(([, { runner }]) => runner !== undefined);
   }
 
-  /** Changes after a revision; undefined if there is no such history. */
-  changes(after: number): readonly [string, Item][] | undefined {
+  /** Changes after a revision; undefined if the revision is newer than the store's. */
+  changes(after: number): readonly [string, StoreEntry][] | undefined {
     if (after > this.revision) return undefined;
     return [...this.#items].filter(([, { revision }]) => revision > after);
   }
 }
 
-/** A runner as it is, whatever the store says. */
+/** Actual state of a runner, independent of the store's content. */
 export class TrueRunner {
   readonly runner: Runner;
 
-  #beatAt: number;
+  #heartbeatDueAt: number;
 
   #writtenAt: number;
 
-  #leftAt = Infinity;
+  #stopsAt = Infinity;
 
-  /** Where it wrote that it leaves, or removed its entry. Default: it stays. */
+  /** Store position at which it wrote that it leaves, or at which its entry was removed; undefined while it stays. */
   leftWith: Position | undefined;
 
   #crashed = false;
 
   constructor(now: number, id: string) {
     this.runner = runnerOf(id, 'plain');
-    this.#beatAt = now;
+    this.#heartbeatDueAt = now;
     this.#writtenAt = now;
   }
 
   get isLiving(): boolean {
-    return !this.#crashed && this.#leftAt === Infinity;
+    return !this.#crashed && this.#stopsAt === Infinity;
   }
 
   get isLeaving(): boolean {
-    return this.#leftAt !== Infinity;
+    return this.#stopsAt !== Infinity;
   }
 
+  /** Writes that it leaves, and stops after the drain time. */
   leave(now: number, store: HistoryStore): void {
     if (!this.isLiving) return;
-    this.#leftAt = now + LEAVE_MS;
+    this.#stopsAt = now + DRAIN_MS;
     store.write(this.runner.id, { ...this.runner, leaving: true });
     this.leftWith = store.position;
   }
 
-  /** Leaves without a word: its entry is removed, and it serves for as long. */
+  /** Leaves without announcing it: its entry is removed at once, and it stops after the drain time. */
   vanish(now: number, store: HistoryStore): void {
     if (!this.isLiving) return;
-    this.#leftAt = now + LEAVE_MS;
-    this.#beatAt = Infinity;
+    this.#stopsAt = now + DRAIN_MS;
+    this.#heartbeatDueAt = Infinity;
     store.write(this.runner.id, undefined);
     this.leftWith = store.position;
   }
@@ -132,69 +137,70 @@
     this.#crashed = true;
   }
 
-  /** Writes its heartbeat if it is there, and is removed once it is not. */
+  /** Writes a heartbeat that is due while the runner is up; removes its entry after it left or the entry expired. */
   tick(now: number, store: HistoryStore): void {
     const { id } = this.runner;
-    const isThere = !this.#crashed && now < this.#leftAt;
-    if (isThere && now >= this.#beatAt) {
+    const isUp = !this.#crashed && now < this.#stopsAt;
+    if (isUp && now >= this.#heartbeatDueAt) {
       store.write(id, { ...this.runner, leaving: this.isLeaving });
-      this.#beatAt = now + BEAT_MS;
+      this.#heartbeatDueAt = now + HEARTBEAT_MS;
       this.#writtenAt = now;
     }
-    const lapsed = now - this.#writtenAt >= LAPSE_MS;
-    if (!isThere && store.has(id) && (this.isLeaving || lapsed)) store.write(id, undefined);
+    const isExpired = now - this.#writtenAt >= ENTRY_TTL_MS;
+    if (!isUp && store.has(id) && (this.isLeaving || isExpired)) store.write(id, undefined);
   }
 }
 
-/** A VM: what it knows, and where it stands in the store. */
+/** A simulated VM: its state and its read position in the store. */
 export class HistoryVm {
   readonly history = new StoreHistory();
 
   readonly knowledge: Knowledge;
 
-  /** Until when it cannot reach the store. */
+  /** Time until which it cannot reach the store. */
   cutUntil = 0;
 
-  #followed: { era: number; revision: number } | undefined;
+  #cursor: { era: number; revision: number } | undefined;
 
   constructor(onNews: (news: News) => void) {
     const log = pino({ level: 'silent' });
     this.knowledge = new Knowledge(this.history, log, { onNews, onUnfitEntry: () => {} });
   }
 
+  /** Reads what is new in the store. */
   read(now: number, store: HistoryStore): void {
     if (now < this.cutUntil) {
       this.knowledge.storeFailed(now);
-      this.#followed = undefined;
+      this.#cursor = undefined;
       return;
     }
     const { era, revision } = store;
-    const changes =
-      this.#followed?.era === era ? store.changes(this.#followed.revision) : undefined;
-    this.#followed = { era, revision };
+    const changes = this.#cursor?.era === era ? store.changes(this.#cursor.revision) : undefined;
+    this.#cursor = { era, revision };
     this.knowledge.heardStore(now);
     if (changes) {
-      this.knowledge.learnRunners(now, this.#facts(changes), 'store');
+      this.knowledge.learnRunners(now, this.#records(changes), 'store');
       return;
     }
     if (era !== this.history.era) this.knowledge.learnEras(now, [{ era, revision }], 'store');
-    this.knowledge.learnRunners(now, this.#facts(store.listed), 'store');
+    this.knowledge.learnRunners(now, this.#records(store.listed), 'store');
     const ids = new Set(store.listed.map(([id]) => id));
     this.knowledge.learnList(now, ids, { era, revision });
   }
 
-  /** Takes over what another VM knows. */
+  /** Fetches the state of another VM that differs from its own. */
   ask(now: number, other: HistoryVm): void {
     this.knowledge.learnEras(now, other.knowledge.eras, 'peer');
-    const facts = other.knowledge.factsBeside(now, this.knowledge.digestParts, 1000);
-    this.knowledge.learnRunners(now, facts, 'peer');
+    const records = other.knowledge.factsBeside(now, this.knowledge.digestParts, 1000);
+    this.knowledge.learnRunners(now, records, 'peer');
   }
 
+  /** Runners that it would send requests to. */
   usable(now: number): readonly Runner[] {
     return this.knowledge.runnersOf(now, 's');
   }
 
-  #facts(items: readonly [string, Item][]): readonly RunnerRecord[] {
+  #records(items: readonly [string, StoreEntry][]): readonly RunnerRecord[] {
     return items.map(([id, { revision, runner }]) => ({
       id,
       position: this.history.positionOf(revision),
--- a/test/fakes/virtual/storm.ts
+++ b/test/fakes/virtual/storm.ts
@@ -1,7 +1,7 @@
 /**
- * A storm of events at one cell: answers come crossed, late, twice or never,
- * runners fail in every way, gateways ask again, owners hand over. After each
- * event the cell's invariants are checked.
+ * Sends random events to one cell: answers arrive out of order, late, twice or
+ * never, runners fail for every reason, and requests are taken over from another
+ * owner. Checks the cell's invariants after each event.
  */
 
 import { Cell } from '../../../src/core/cell/cell';
@@ -10,47 +10,48 @@
 import type { Random } from './workload';
 import { bagmatiWork } from './workload';
 
-/** What a storm came to. */
+/** Results of a run. */
 export interface StormResult {
   readonly events: number;
+  /** Invariant violations, each with the event that caused it. */
   readonly broken: readonly string[];
-  /** Requests by how they ended. */
+  /** Number of requests by outcome. */
   readonly ends: Readonly<Record<string, number>>;
-  /** Requests that the cell still knows after everything was answered. */
+  /** Requests that the cell still holds after everything was answered. */
   readonly left: number;
-  /** All actions as text, to compare two runs. */
+  /** Hash of all actions, to compare two runs. */
   readonly digest: number;
 }
 
 const reasons: readonly FailureReason[] = ['full', 'evicted', 'leaving', 'lost'];
 const TEAMS = 5;
-/** Share of answers that are kept back and come much later, or twice. */
-const ODD = 0.05;
+/** Share of answers that are dropped, and share of events that are repeated later. */
+const ODD_SHARE = 0.05;
 
-/** The request that an event brings in. */
+/** The id of the request that an event adds; undefined if it adds none. */
 function idOf(event: CellEvent): string | undefined {
   if (event.kind === 'arrived') return event.arrival.id;
   return event.kind === 'adopted' ? event.adoption.arrival.id : undefined;
 }
 
-/** Drives one cell through a storm. */
+/** Drives one cell with random events. */
 export class Storm {
   readonly #random: Random;
 
   readonly #cell: Cell;
 
-  /** Actions that were not answered yet. */
-  readonly #open: CellAction[] = [];
+  /** Actions that are not answered yet. */
+  readonly #unanswered: CellAction[] = [];
 
-  /** Requests that stream. */
+  /** Requests that are streaming. */
   readonly #streaming = new Set<string>();
 
-  /** Events to be told again later. */
-  readonly #again: CellEvent[] = [];
+  /** Events to repeat later. */
+  readonly #duplicates: CellEvent[] = [];
 
   readonly #ended = new Map<string, string>();
 
-  readonly #broken: string[] = [];
+  readonly #violations: string[] = [];
 
   #now = 1000;
 
@@ -64,17 +65,17 @@
     this.#random = random;
     const policy = policyOf(bagmatiWork);
     this.#cell = new Cell({ policy: { ...policy, queueLimit: 64 } });
-    this.#tell({ kind: 'runners', runners: runnersOf(bagmatiWork) });
+    this.#dispatch({ kind: 'runners', runners: runnersOf(bagmatiWork) });
   }
 
   run(events: number): StormResult {
     while (this.#events < events) this.#step();
-    this.#calm();
+    this.#drain();
     const ends: Record<string, number> = {};
     for (const how of this.#ended.values()) ends[how] = (ends[how] ?? 0) + 1;
     return {
       events: this.#events,
-      broken: this.#broken,
+      broken: this.#violations,
       ends,
       left: this.#cell.requests.size,
       digest: this.#digest,
@@ -89,66 +90,67 @@
     else if (choice < 0.85) this.#finish();
     else if (choice < 0.9) this.#report();
     else if (choice < 0.93) this.#cancel();
-    else if (choice < 0.96) this.#repeat();
+    else if (choice < 0.96) this.#resend();
     else if (choice < 0.97) this.#adopt();
-    else this.#tell({ kind: 'woke' });
+    else this.#dispatch({ kind: 'woke' });
   }
 
-  /** Lets all that is open end well, then lets time pass: nothing may be left. */
-  #calm(): void {
+  /** Completes all open requests and advances the time, after which the cell must hold no requests. */
+  #drain(): void {
     for (let round = 0; round < 10_000 && this.#cell.requests.size > 0; round += 1) {
       this.#now += 10;
-      for (const action of this.#open.splice(0)) this.#answerWell(action);
-      for (const id of [...this.#streaming]) this.#tellFinished(id);
+      for (const action of this.#unanswered.splice(0)) this.#succeed(action);
+      for (const id of [...this.#streaming]) this.#reportFinished(id);
       for (const [id, { stage }] of this.#cell.requests) {
-        // What waits for an answer that was never sent is asked about by its gateway or given up by it.
-        if (stage !== 'queued' && round > 100) this.#tell({ kind: 'cancelled', id });
+        // A request whose answer was dropped would wait forever; its gateway cancels it.
+        if (stage !== 'queued' && round > 100) this.#dispatch({ kind: 'cancelled', id });
       }
-      this.#tell({ kind: 'woke' });
+      this.#dispatch({ kind: 'woke' });
     }
   }
 
-  #tell(event: CellEvent): void {
+  #dispatch(event: CellEvent): void {
     this.#events += 1;
     const before = new Set(this.#cell.requests.keys());
     const actions = this.#cell.handle(this.#now, event);
-    for (const violation of this.#cell.violations()) this.#note(event, violation);
-    for (const action of actions) this.#take(event, action, before);
+    for (const violation of this.#cell.violations()) this.#addViolation(event, violation);
+    for (const action of actions) this.#recordAction(event, action, before);
   }
 
-  #take(event: CellEvent, action: CellAction, before: ReadonlySet<string>): void {
+  #recordAction(event: CellEvent, action: CellAction, before: ReadonlySet<string>): void {
     for (const char of JSON.stringify(action)) {
       this.#digest = (this.#digest * 31 + char.charCodeAt(0)) % 1_000_000_007;
     }
-    const fresh = event.kind === 'arrived' || event.kind === 'adopted';
-    const known = before.has(action.id) || (fresh && idOf(event) === action.id);
-    if (!known) this.#note(event, `${action.kind} for ${action.id}, which the cell does not have`);
+    const isNew = event.kind === 'arrived' || event.kind === 'adopted';
+    const known = before.has(action.id) || (isNew && idOf(event) === action.id);
+    if (!known)
+      this.#addViolation(event, `${action.kind} for ${action.id}, which is not in the cell`);
     this.#checkSlot(event, action);
     if (action.kind === 'refuse') this.#end(event, action.id, action.code);
-    else this.#open.push(action);
+    else this.#unanswered.push(action);
   }
 
-  /** A slot is never given on a runner that has none left, whatever others hold there. */
+  /** Checks that a decode runner never holds more requests than it has slots. */
   #checkSlot(event: CellEvent, action: CellAction): void {
     if (action.kind !== 'decode') return;
-    const place = this.#cell.view.capacity.decodeRunners.find(
+    const capacity = this.#cell.view.capacity.decodeRunners.find(
       ({ runner }) => runner.id === action.runner,
     );
-    if (!place || place.held > place.runner.slots) {
-      this.#note(event, `${action.runner} holds ${place?.held}`);
+    if (!capacity || capacity.held > capacity.runner.slots) {
+      this.#addViolation(event, `${action.runner} holds ${capacity?.held}`);
     }
   }
 
   #end(event: CellEvent, id: string, how: string): void {
     if (this.#ended.has(id)) {
-      this.#note(event, `${id} ended as ${this.#ended.get(id)} and again as ${how}`);
+      this.#addViolation(event, `${id} ended as ${this.#ended.get(id)} and again as ${how}`);
     }
     this.#ended.set(id, how);
     this.#streaming.delete(id);
   }
 
-  #note(event: CellEvent, what: string): void {
-    this.#broken.push(`after ${JSON.stringify(event)}: ${what}`);
+  #addViolation(event: CellEvent, what: string): void {
+    this.#violations.push(`after ${JSON.stringify(event)}: ${what}`);
   }
 
   #arrive(): void {
@@ -163,19 +165,19 @@
       deadline: this.#now + this.#random() * 4000,
       blocks: [Math.floor(this.#random() * 10)],
     };
-    this.#tell({ kind: 'arrived', arrival });
+    this.#dispatch({ kind: 'arrived', arrival });
   }
 
   #answer(): void {
-    const index = Math.floor(this.#random() * this.#open.length);
-    const [action] = this.#open.splice(index, 1);
+    const index = Math.floor(this.#random() * this.#unanswered.length);
+    const [action] = this.#unanswered.splice(index, 1);
     if (!action || this.#ended.has(action.id)) return;
-    if (this.#random() < ODD) return;
+    if (this.#random() < ODD_SHARE) return;
     if (this.#random() < 0.2) this.#fail(action);
-    else this.#answerWell(action);
+    else this.#succeed(action);
   }
 
-  #answerWell(action: CellAction): void {
+  #succeed(action: CellAction): void {
     if (this.#ended.has(action.id)) return;
     const { id } = action;
     if (action.kind === 'prefill') {
@@ -185,9 +187,9 @@
         cachedTokens: 0,
         keptUntil: this.#now + 800,
       };
-      this.#tellMaybeTwice(event);
+      this.#dispatchMaybeTwice(event);
     } else if (action.kind === 'decode') {
-      this.#tellMaybeTwice({ kind: 'started', id });
+      this.#dispatchMaybeTwice({ kind: 'started', id });
       this.#streaming.add(id);
     }
   }
@@ -195,7 +197,7 @@
   #fail(action: CellAction): void {
     if (action.kind === 'refuse') return;
     const reason = reasons[Math.floor(this.#random() * reasons.length)] ?? 'lost';
-    this.#tellMaybeTwice({
+    this.#dispatchMaybeTwice({
       kind: 'failed',
       id: action.id,
       runner: action.runner,
@@ -204,25 +206,32 @@
     });
   }
 
-  #tellMaybeTwice(event: CellEvent): void {
-    this.#tell(event);
-    if (this.#random() < ODD) this.#again.push(event);
+  #dispatchMaybeTwice(event: CellEvent): void {
+    this.#dispatch(event);
+    if (this.#random() < ODD_SHARE) this.#duplicates.push(event);
   }
 
-  #repeat(): void {
-    const [event] = this.#again.splice(Math.floor(this.#random() * this.#again.length), 1);
-    if (event) this.#tell(event);
+  #resend(): void {
+    const [event] = this.#duplicates.splice(
+      Math.floor(this.#random() * this.#duplicates.length),
+      1,
+    );
+    if (event) this.#dispatch(event);
   }
 
   #finish(): void {
     const [id] = this.#streaming;
-    if (id !== undefined) this.#tellFinished(id);
+    if (id !== undefined) this.#reportFinished(id);
   }
 
-  #tellFinished(id: string): void {
+  #reportFinished(id: string): void {
     const known = this.#cell.requests.has(id);
     this.#streaming.delete(id);
-    this.#tellMaybeTwice({ kind: 'finished', id, tokens: 1 + Math.floor(this.#random() * 1000) });
+    this.#dispatchMaybeTwice({
+      kind: 'finished',
+      id,
+      tokens: 1 + Math.floor(this.#random() * 1000),
+    });
     if (known) this.#end({ kind: 'woke' }, id, 'finished');
   }
 
@@ -230,7 +239,7 @@
     const ids = [...this.#cell.requests.keys()];
     const id = ids[Math.floor(this.#random() * ids.length)];
     if (id === undefined) return;
-    this.#tellMaybeTwice({ kind: 'cancelled', id });
+    this.#dispatchMaybeTwice({ kind: 'cancelled', id });
     this.#end({ kind: 'woke' }, id, 'cancelled');
   }
 
@@ -249,11 +258,11 @@
       deadline: this.#now + 4000,
       blocks: [],
     };
-    this.#tell({
+    this.#dispatch({
       kind: 'adopted',
       adoption: { arrival, stage, prefillRunner: 'r0', decodeRunner: 'r5' },
     });
-    if (stage === 'prefilling') this.#open.push({ kind: 'prefill', id, runner: 'r0' });
+    if (stage === 'prefilling') this.#unanswered.push({ kind: 'prefill', id, runner: 'r0' });
     if (stage === 'decoding') this.#streaming.add(id);
   }
 
@@ -261,6 +270,9 @@
     const runner = `r${Math.floor(this.#random() * 13)}`;
     const leaving = this.#random() < 0.05;
     const running = Math.floor(this.#random() * 25);
-    this.#tell({ kind: 'reported', report: { runner, asOf: this.#now - 300, running, leaving } });
+    this.#dispatch({
+      kind: 'reported',
+      report: { runner, asOf: this.#now - 300, running, leaving },
+    });
   }
 }
--- a/test/fakes/virtual/workload.ts
+++ b/test/fakes/virtual/workload.ts
@@ -1,4 +1,4 @@
-/** Requests of the two deployments, drawn from a seed. */
+/** Generates the requests of two example deployments from a seed. */
 
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -11,25 +11,27 @@
 
 const RANGE = 2 ** 32;
 
-/** Seeded numbers; equal seeds give equal runs. */
+/** Creates a seeded source; equal seeds give equal sequences. */
 export function seeded(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return () => uniformInt(generator, 0, RANGE - 1) / RANGE;
 }
 
-/** A request to come. */
+/** A request of a run. */
 export interface Job {
   readonly id: string;
+  /** Arrival time, in milliseconds. */
   readonly at: number;
   readonly team: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
+  /** Hashes of the prompt's cache blocks. */
   readonly blocks: readonly number[];
-  /** Milliseconds after which the caller hangs up; Infinity for most. */
+  /** Time after which the caller disconnects, in milliseconds; Infinity if it does not. */
   readonly patienceMs: number;
 }
 
-/** What tells workloads apart. */
+/** Parameters of a workload. */
 export interface Workload {
   readonly name: 'Dosel' | 'Bagmati';
   readonly prefillRunners: number;
@@ -39,8 +41,9 @@
   readonly tokenMs: number;
   readonly goodputWeight: number;
   readonly wasteWeight: number;
-  /** Tokens that all prompts begin with. */
+  /** Length of the prefix shared by all prompts, in tokens. */
   readonly sharedTokens: number;
+  /** Range of the rest of a prompt, in tokens. */
   readonly ownTokens: readonly [number, number];
   readonly meanOutput: number;
   readonly maxOutput: number;
@@ -49,7 +52,7 @@
 
 const figures: EngineFigures = { ...defaultFigures, prefillTokenMs: 0.05 };
 
-/** Summaries: patient, a long preamble shared by all. */
+/** Summaries: high latency targets and a long prefix shared by all prompts. */
 export const doselWork: Workload = {
   name: 'Dosel',
   prefillRunners: 2,
@@ -66,7 +69,7 @@
   teams: ['crew-norte', 'crew-centro', 'crew-sur'],
 };
 
-/** Deed readings: people wait, histories are long and unique. */
+/** Document reading with waiting users: low latency targets and long, unique prompts. */
 export const bagmatiWork: Workload = {
   name: 'Bagmati',
   prefillRunners: 4,
@@ -84,8 +87,8 @@
 };
 
 /**
- * Most requests a second that the decode runners can complete: each slot is held
- * for the transfer and the whole answer, at the time between tokens of a full batch.
+ * Maximum requests per second that the decode runners can complete. Each slot is held
+ * for the transfer and the whole answer, at the time per token of a full batch.
  */
 export function decodeCapacity(work: Workload): number {
   const { slots, decodeBaseMs, decodeSlotMs, linkTokensPerMs } = work.figures;
@@ -95,14 +98,14 @@
   return (work.decodeRunners * slots * 1000) / residenceMs;
 }
 
-/** How requests come. */
+/** Arrival process of the requests. */
 export interface Arrivals {
-  /** Requests a second of each team, by the team's place in the workload. */
+  /** Requests per second of each team, by the team's index in the workload. */
   readonly rates: readonly number[];
   readonly durationMs: number;
-  /** Rates go up and down by half with this period; 0 keeps them steady. */
+  /** Period with which rates alternate between 1.5 and 0.5 times their mean, in milliseconds; 0 keeps them constant. */
   readonly burstMs: number;
-  /** Part of callers that hang up early. */
+  /** Fraction of callers that disconnect early. */
   readonly cancelled: number;
 }
 
@@ -111,7 +114,7 @@
 }
 
 function drawOutput(random: Random, { meanOutput, maxOutput }: Workload): number {
-  // Truncation lowers the mean; the factor brings it back for a limit of four means.
+  // The cut at maxOutput lowers the mean; the factor corrects this for a maximum of four means.
   return Math.max(1, Math.min(maxOutput, Math.round(exponential(random, meanOutput * 1.019))));
 }
 
@@ -124,7 +127,7 @@
   );
 }
 
-/** All requests of a run in the order they come. */
+/** All requests of a run in order of arrival. */
 export function drawJobs(work: Workload, arrivals: Arrivals, seed: number): readonly Job[] {
   const random = seeded(seed);
   const jobs: Job[] = [];
@@ -138,8 +141,8 @@
           : 1;
       const [least, most] = work.ownTokens;
       const promptTokens = work.sharedTokens + Math.round(least + random() * (most - least));
-      const hangsUp = random() < arrivals.cancelled;
-      const patienceMs = hangsUp ? exponential(random, 3000) : Infinity;
+      const disconnects = random() < arrivals.cancelled;
+      const patienceMs = disconnects ? exponential(random, 3000) : Infinity;
       const blocks = drawBlocks(random, work, promptTokens);
       const outputTokens = drawOutput(random, work);
       jobs.push({
--- a/test/router/customers.test.ts
+++ b/test/router/customers.test.ts
@@ -22,12 +22,12 @@
   afterAll(() => routers.stop(), 30_000);
 
   /*
-   * A caller sends its key and, under the header that runners trust, the name of another
-   * customer. A runner that got either would act for somebody else, or hold a key that
-   * is not its own.
+   * A caller sends its key and, in the header that runners trust, the name of another
+   * customer. If the header reached a runner, the runner would act for the wrong customer;
+   * if the key reached it, the runner would hold a customer's credential.
    */
   test.each(['/model/whose', '/plain/whose', '/open/whose'])(
-    'reach runners under the name of the customer and without the key: %s',
+    'reach runners with the name of the customer and without the key: %s',
     async (path) => {
       const sent = { ...bearer(OWN_KEY), 'tenant-id': 'bob' };
       const { status } = await routers.ask(0, path, 'whose', sent);
@@ -36,26 +36,26 @@
     },
   );
 
-  test('reach runners without a name where none is needed', async () => {
+  test('reach runners without a customer name on routes that need no key', async () => {
     await routers.ask(1, '/open/nobody', 'nobody', { 'tenant-id': 'bob' });
     const [arrival] = routers.arrivals.filter(({ path }) => path === '/open/nobody');
     expect(arrival).toEqual({ path: '/open/nobody' });
   });
 
-  /* A key that no configuration ever held, or something that is none, must not run anything. */
+  /* An unknown or malformed key must not cause any work at a runner. */
   test.each([
     ['no key', {}],
     ['an unknown key', bearer('key-9')],
-    ['a part of a key', bearer('key-')],
+    ['a prefix of a key', bearer('key-')],
     ['an empty key', bearer('')],
     ['the digest of a key', bearer('kTUWJ-6eaiJr8Y7YO7pK3ol2HyEDAHH8cT0u8G5A0ME')],
     ['another scheme', { authorization: `Basic ${OWN_KEY}` }],
     ['a key without a scheme', { authorization: OWN_KEY }],
     ['two words', bearer(`${OWN_KEY} key-2`)],
     ['two keys', { authorization: ['Bearer key-1', 'Bearer key-3'] }],
-    ['bytes that are no text', bearer('key-1\u00ff')],
+    ['a byte outside ASCII', bearer('key-1\u00ff')],
     ['a key that two customers hold', bearer('key-shared')],
-  ])('are refused for good with %s, and run nothing', async (_, sent) => {
+  ])('are refused with 401 and reach no runner: %s', async (_, sent) => {
     const before = routers.reached;
     const statuses: number[] = [];
     for (const path of ['/model/wrong', '/plain/wrong']) {
@@ -65,14 +65,14 @@
     expect(routers.reached).toBe(before);
   });
 
-  test('run with the scheme in any case and spaces before the key', async () => {
+  test('are accepted with the scheme in any case and several spaces before the key', async () => {
     const sent = { authorization: `bEARER   ${OWN_KEY}` };
     expect((await routers.ask(0, '/plain/case', 'case', sent)).status).toBe(200);
     const found = routers.arrivals.find(({ path }) => path === '/plain/case');
     expect(found?.customer).toBe('ada');
   });
 
-  test('are refused once their key is taken away, and run under one that is new', async () => {
+  test('are refused after their key is revoked, and accepted with a new one', async () => {
     routers.configure([customers[0], { name: 'ada', 'api-keys': ['key-5'] }]);
     await eventually('the old key is refused', async () => {
       const { status } = await routers.ask(1, '/plain/old', 'old', bearer(OWN_KEY));
@@ -82,48 +82,48 @@
   });
 });
 
-/** Time after which a key that was taken away must run nothing, in milliseconds. */
-const REVOKED_MS = 5000;
-/** Time for which a VM that hears nothing must go on, in milliseconds: most of that. */
-const SERVED_MS = 4000;
+/** Time after which a revoked key must be refused, in milliseconds. */
+const REVOKE_MS = 5000;
+/** Time for which an isolated VM must still accept keys, in milliseconds; most of the time to revoke. */
+const MIN_SERVED_MS = 4000;
 
-describe('a VM that hears neither the store nor any other VM', () => {
+describe('a VM that can reach neither the store nor another VM', () => {
   const routers = new Routers({ vms: 1, customers });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
 
   /*
-   * The VM is cut off, and in that moment the operator takes a key away. The VM hears
-   * nothing of it, and its caller's requests ran for as long as it was cut off, under
-   * a key that somebody else may have by now.
+   * The operator revokes a key at the moment when the VM loses the store. Without a limit on
+   * the age of its configuration, the VM would accept the revoked key, which may be
+   * compromised, for as long as it is isolated.
    */
-  test('serves keys for a while, then refuses them and says that nothing was run', async () => {
+  test('accepts keys for a limited time, then refuses them with 503', async () => {
     routers.store.mood = 'silent';
     routers.configure([customers[0]]);
     const since = performance.now();
-    const ran: number[] = [];
+    const acceptedAt: number[] = [];
     const refused = new Set<number>();
-    while (performance.now() - since < REVOKED_MS + 2000) {
+    while (performance.now() - since < REVOKE_MS + 2000) {
       const at = performance.now() - since;
       const { status } = await routers.ask(0, '/plain/cut', 'cut', bearer(OWN_KEY));
-      if (status === 200) ran.push(at);
+      if (status === 200) acceptedAt.push(at);
       else refused.add(status);
       await pause(50);
     }
-    expect(Math.max(...ran)).toBeLessThan(REVOKED_MS);
-    expect(Math.max(...ran)).toBeGreaterThan(SERVED_MS);
+    expect(Math.max(...acceptedAt)).toBeLessThan(REVOKE_MS);
+    expect(Math.max(...acceptedAt)).toBeGreaterThan(MIN_SERVED_MS);
     expect([...refused]).toEqual([503]);
   }, 20_000);
 
-  /* Its configuration may lack a key or a route that is there by now: 401 and 404 would turn the caller away for good. */
-  test('says of nothing that it is not there', async () => {
+  /* Its configuration may lack a new key or route, and callers treat 401 and 404 as permanent. */
+  test('refuses unknown keys and routes with 503 instead of 401 and 404', async () => {
     const unknown = await routers.ask(0, '/plain/cut', 'cut', bearer('key-9'));
     const nowhere = await routers.ask(0, '/nowhere/', 'cut', bearer(OWN_KEY));
     expect([unknown.status, nowhere.status]).toEqual([503, 503]);
   });
 
-  test('serves again once it hears the store', async () => {
+  test('accepts keys again once the store answers', async () => {
     routers.store.mood = 'well';
     await eventually('the key that was taken away is refused', async () => {
       const { status } = await routers.ask(0, '/plain/back', 'back', bearer(OWN_KEY));
--- a/test/router/handover.test.ts
+++ b/test/router/handover.test.ts
@@ -41,14 +41,14 @@
     }),
   },
 );
-/** Time in which everything that was lost is mended and every run is over, in milliseconds. */
+/** Time in which the state recovers from lost messages and every request ends, in milliseconds. */
 const QUIET_MS = 24_000;
 
-/** Requests of a burst for each of the steps that asked. */
-const BURST = 6;
+/** Requests in the burst made for each step of kind `ask`. */
+const BURST_SIZE = 6;
 
-/** What is left when nothing happens any more. */
-function leftAfter(steps: readonly HandoverStep[]): unknown {
+/** State that remains after the steps once all activity has ended. */
+function stateAfter(steps: readonly HandoverStep[]): unknown {
   const world = new Handover();
   for (const one of steps) world.take(one);
   world.settle();
@@ -57,32 +57,33 @@
   return { open, counted, memory };
 }
 
-const nothing = {
+const emptyState = {
   open: 0,
   counted: [
     { waiting: 0, placed: 0 },
     { waiting: 0, placed: 0 },
   ],
-  // The part that is never given out.
+  // This share of the memory is never given out.
   memory: [0.01, 0.01],
 };
 
-describe('planners that take a service over from each other', () => {
+describe('planners that take over a service from each other', () => {
   /*
-   * Messages are lost, owners freeze, VMs go by one owner and then by the other, callers leave,
-   * VMs and runners end. Whatever the order: no request waits for ever, and no memory counts for ever.
+   * Messages are lost, owners freeze, VMs switch between owners, callers disconnect, VMs and
+   * runners crash. In any order of these events, no request may wait forever, and no memory may
+   * stay reserved forever.
    */
-  test('leave nothing behind, whatever happens', () => {
+  test('leave no requests or reservations behind after any sequence of faults', () => {
     fc.assert(
       fc.property(fc.array(step, { minLength: 1, maxLength: 60 }), (steps) => {
-        expect(leftAfter(steps)).toEqual(nothing);
+        expect(stateAfter(steps)).toEqual(emptyState);
       }),
       { numRuns: 200, seed: 1 },
     );
   }, 120_000);
 
-  /* One owner that has known all for a while gives out no more than there is. */
-  test('give out no more than there is once all is known', () => {
+  /* A single owner with complete state reserves no more memory than the runners have. */
+  test('reserve no more memory than there is once their state is complete', () => {
     fc.assert(
       fc.property(fc.array(step, { minLength: 1, maxLength: 60 }), (steps) => {
         const world = new Handover();
@@ -90,7 +91,7 @@
         world.settle();
         world.run(QUIET_MS);
         for (const one of steps.filter(({ kind }) => kind === 'ask')) {
-          for (let i = 0; i < BURST; i += 1) world.take(one);
+          for (let i = 0; i < BURST_SIZE; i += 1) world.take(one);
           world.take({ kind: 'pass', ms: 100 });
         }
         expect(world.mostKnown).toBeLessThanOrEqual(1);
--- a/test/router/newsfleet.test.ts
+++ b/test/router/newsfleet.test.ts
@@ -3,8 +3,8 @@
 const RUNNERS = 60;
 const HEARTBEAT_MS = 1200;
 
-/** Runs for so many seconds while all runners write their heartbeats. */
-function beatFor(fleet: NewsFleet, seconds: number): void {
+/** Runs for some seconds while all runners write heartbeats. */
+function runWithHeartbeats(fleet: NewsFleet, seconds: number): void {
   const gapMs = HEARTBEAT_MS / RUNNERS;
   for (let i = 0; i * gapMs < seconds * 1000; i += 1) {
     fleet.beat(`r${i % RUNNERS}`, false);
@@ -12,16 +12,17 @@
   }
 }
 
-describe('what grows with the fleet', () => {
+describe('state replication in a fleet', () => {
   /*
    * All VMs start within a second and know only three seeds; runners write
-   * heartbeats all the time, and a configuration and runners change. Where each VM
-   * watches the store, every one makes a call in each 0.7 s, and the store's rate
-   * runs out as the fleet grows. A few readers make them for all, as many whatever
-   * the size; everybody knows of a change soon, and no VM is asked by all.
+   * heartbeats continuously, and the configuration and runners change. If each VM
+   * watched the store, each would make a call every 0.7 s, and a large fleet would
+   * exceed the store's call rate. Instead a few readers, whose number does not depend
+   * on the fleet's size, call the store for all. Changes must reach every VM quickly,
+   * and no single VM may receive exchanges from all others.
    */
   test.each([30, 200, 800])(
-    'is not the work for each VM or the store: %d VMs',
+    'keeps the load on the store and on each VM independent of the fleet size: %d VMs',
     (size) => {
       const fleet = new NewsFleet(size, RUNNERS, 1);
       expect(fleet.settle(10_000)).toBeLessThan(4000);
@@ -31,7 +32,7 @@
       expect(start.exchanges / size).toBeLessThan(20);
       expect(start.mostAnswered).toBeLessThan(size * 1.5);
 
-      beatFor(fleet, 2);
+      runWithHeartbeats(fleet, 2);
       const steady = fleet.cost;
       expect(fleet.readers.length).toBe(10);
       expect((steady.storeCalls - start.storeCalls) / 2).toBeLessThan(17);
@@ -50,11 +51,12 @@
   );
 
   /*
-   * Three runners end under one request that three VMs had sent, of which no other VM
-   * has heard. Its caller is back within a second, at any VM.
+   * Three runners crash while processing one request that three VMs had sent; no other
+   * VM has seen it. The caller may retry at any VM within a second, so by then all VMs
+   * must refuse the request.
    */
   test.each([30, 200, 800])(
-    'is not the time until all refuse a request: %d VMs',
+    'quarantines a request on all VMs within a second: %d VMs',
     (size) => {
       const fleet = new NewsFleet(size, RUNNERS, 2);
       fleet.run(9000);
@@ -65,27 +67,27 @@
   );
 
   /*
-   * A failure domain of 1,460 runners is lost at once, and each leaves two requests that
-   * it had just begun. What VMs tell each other of these stays within what they may spend.
+   * A failure domain of 1,460 runners is lost at once, each with two requests that it had
+   * just started. The announcements of these requests stay within the bandwidth limit.
    */
-  test('is bounded when thousands of requests lose their runners at once', () => {
+  test('limits packets when thousands of requests lose their runners at once', () => {
     const size = 200;
     const fleet = new NewsFleet(size, RUNNERS, 3);
     fleet.run(9000);
     const { packets } = fleet.cost;
     for (let i = 0; i < 2920; i += 1) fleet.end(i % size, `f${i}`, `r${Math.floor(i / 2)}`);
     fleet.run(10_000);
-    // Of some 1.2 KB each, within the 24 KB that a VM may spend in a second.
+    // At about 1.2 KB each, this is within the limit of 24 KB per second and VM.
     expect((fleet.cost.packets - packets) / size / 10).toBeLessThan(20);
   }, 120_000);
 
   /*
-   * The store comes back from a copy without a third of the runners, which write again
-   * within a heartbeat. All VMs read nothing for that but what their readers tell: the
-   * calls to the store, and the packets, are little more than on a calm day.
+   * The store is restored from a copy without a third of the runners, which rewrite their
+   * entries within a heartbeat. VMs get these changes from the readers only, so that calls
+   * to the store and packets rise little above those of normal operation.
    */
   test.each([30, 200, 800])(
-    'is not what a store costs that comes back from an older copy: %d VMs',
+    'adds little load when the store is restored from an older copy: %d VMs',
     (size) => {
       const fleet = new NewsFleet(size, RUNNERS, 8);
       fleet.run(10_000);
@@ -99,37 +101,37 @@
       const after = fleet.cost;
       const calmCalls = calm.storeCalls - before.storeCalls;
       expect(after.storeCalls - calm.storeCalls - calmCalls).toBeLessThan(2 * fleet.readers.length);
-      // Of some 1.2 KB each, within the 24 KB that a VM may spend in a second.
+      // At about 1.2 KB each, this is within the limit of 24 KB per second and VM.
       expect((after.packets - calm.packets) / size / 5).toBeLessThan(20);
       expect((after.exchanges - calm.exchanges) / size).toBeLessThan(4);
     },
     120_000,
   );
 
-  /* Once all know the same, heartbeats are no news: nothing is exchanged for them. */
-  test('is nothing where nothing changes', () => {
+  /* Heartbeats are not state updates: VMs with equal state exchange nothing for them. */
+  test('exchanges nothing while only heartbeats change', () => {
     const fleet = new NewsFleet(60, RUNNERS, 1);
     fleet.run(9000);
     const before = fleet.cost;
-    beatFor(fleet, 3);
+    runWithHeartbeats(fleet, 3);
     expect(fleet.cost.exchanges).toBe(before.exchanges);
   });
 
-  /* For comparison, each VM by itself: the calls are as many as the VMs. */
-  test('would be the calls to the store if each VM read for itself', () => {
+  /* Comparison without readers: the calls to the store grow with the number of VMs. */
+  test('needs more calls to the store if each VM reads for itself', () => {
     const fleet = new NewsFleet(200, RUNNERS, 1, true);
     fleet.run(5000);
     const before = fleet.cost.storeCalls;
-    beatFor(fleet, 2);
+    runWithHeartbeats(fleet, 2);
     expect((fleet.cost.storeCalls - before) / 2).toBeGreaterThan(250);
   });
 
   /*
-   * All readers freeze, or the store leaves them without answer. Others take over
-   * when they are found dead or say so; a change is known within the four seconds
-   * in which a configuration has to be in force.
+   * All readers freeze, or the store does not answer them. Other VMs take over once the
+   * readers are found dead or announce that they lost the store. A change must reach all
+   * VMs within four seconds, the time limit for a configuration to take effect.
    */
-  test('is borne by others while readers are frozen', () => {
+  test('continues through other readers while the readers are frozen', () => {
     const fleet = new NewsFleet(200, RUNNERS, 4);
     fleet.run(10_000);
     const { readers } = fleet;
@@ -142,7 +144,7 @@
     expect(fleet.settle(8000)).toBeLessThan(8000);
   });
 
-  test('is borne by others while the store refuses the readers', () => {
+  test('continues through other readers while the store does not answer the readers', () => {
     const fleet = new NewsFleet(200, RUNNERS, 5);
     fleet.run(10_000);
     const { readers } = fleet;
@@ -152,17 +154,17 @@
     expect(fleet.settle(8000)).toBeLessThan(4000);
     const before = fleet.cost.storeCalls;
     fleet.run(5000);
-    // The chosen go on trying, the deputies read.
+    // The selected readers keep retrying while the standby readers read.
     expect((fleet.cost.storeCalls - before) / 5).toBeLessThan(32);
   });
 
   /*
-   * The same, on three runs in which members are heard of late. A configuration has to be in
-   * force four seconds after it was acknowledged; it took up to 4.3 s, since readers found
-   * out only after two calls of 1.2 s that the store does not answer them.
+   * The same with seeds where membership changes propagate late. A configuration must take
+   * effect within four seconds after it is acknowledged. If readers detect the loss of the
+   * store only after two calls of 1.2 s each, it takes up to 4.3 s.
    */
   test.each([2, 3, 6])(
-    'is borne in time by others while the store refuses the readers: run %d',
+    'continues in time while the store does not answer the readers: seed %d',
     (seed) => {
       const fleet = new NewsFleet(200, RUNNERS, seed);
       fleet.run(10_000);
@@ -175,12 +177,11 @@
   );
 
   /*
-   * Two VMs, no readers, are cut off from all others but not from the store. Callers
-   * that reach them must not be served by an old configuration: they notice that
-   * nobody is to be heard and read the store themselves, long before their probes
-   * have found the readers dead.
+   * Two VMs that are not readers are isolated from all other VMs but not from the store.
+   * They must not serve callers by an old configuration: they detect that no member
+   * answers and read the store themselves, long before their probes find the readers dead.
    */
-  test('is no hindrance for VMs that are cut off from all others', () => {
+  test('continues on VMs that are isolated from all others', () => {
     const fleet = new NewsFleet(200, RUNNERS, 7);
     fleet.run(10_000);
     const others = Array.from({ length: 200 }, (_, i) => i).filter(
@@ -191,7 +192,7 @@
     expect(fleet.settle(8000)).toBeLessThan(3000);
   });
 
-  test('is borne by those that are left when most VMs are killed', () => {
+  test('continues on the remaining VMs when most VMs are killed', () => {
     const fleet = new NewsFleet(200, RUNNERS, 6);
     fleet.run(10_000);
     fleet.kill(Array.from({ length: 133 }, (_, i) => i));
--- a/test/router/ratefleet.test.ts
+++ b/test/router/ratefleet.test.ts
@@ -3,31 +3,31 @@
 import { QuotaFleet } from '../fakes/virtual/quotafleet';
 import { OwnerAsked } from '../fakes/virtual/quotaways';
 
-/** One and a half times the limit over four seconds, and five requests; 1 of the burst of one is in the slack. */
+/** Permits 1.5 times the limit over four seconds plus five requests; the slack contains 1 for the burst of one. */
 const bounds = { windowMs: 4000, overage: 0.5, slack: 3.5, wholeRuns: true };
-/** Requests that callers have for the runner, as a multiple of its limit. */
-const PRESS = 4;
-/** Time in which the members find each other. */
-const START_MS = 8000;
+/** Callers' request rate as a multiple of the runner's limit. */
+const DEMAND_FACTOR = 4;
+/** Time in which the members discover each other. */
+const CONVERGE_MS = 8000;
 const KEY = groupOf('ada');
 
-/** Plays a trouble beside callers who want more than the runner takes. */
-function play(
+/** Runs a fault while callers send more requests than the runner's limit permits. */
+function runScenario(
   size: number,
   ratePerS: number,
-  trouble: (fleet: QuotaFleet, all: readonly number[]) => void,
+  inject: (fleet: QuotaFleet, all: readonly number[]) => void,
 ): QuotaFigures {
   const wayOf: QuotaWayOf = (network) => new OwnerAsked(network, bounds);
   const limit = { unit: 'requests', ratePerS, burst: 1, plainTokens: 1 } as const;
   const fleet = new QuotaFleet(size, limit, bounds, wayOf, 3);
-  fleet.run(START_MS);
+  fleet.run(CONVERGE_MS);
   const all = fleet.vms.map(({ number }) => number);
-  fleet.load(ratePerS * PRESS, 1, 30_000, all);
-  trouble(fleet, all);
-  return fleet.figures(START_MS);
+  fleet.load(ratePerS * DEMAND_FACTOR, 1, 30_000, all);
+  inject(fleet, all);
+  return fleet.figures(CONVERGE_MS);
 }
 
-const troubles: Readonly<Record<string, (fleet: QuotaFleet, all: readonly number[]) => void>> = {
+const faults: Readonly<Record<string, (fleet: QuotaFleet, all: readonly number[]) => void>> = {
   none: (fleet) => fleet.run(10_000),
   'owner killed': (fleet) => {
     fleet.run(5000);
@@ -42,21 +42,21 @@
     fleet.freeze(owner, false);
     fleet.run(6000);
   },
-  'owner cut off': (fleet) => {
+  'owner isolated': (fleet) => {
     fleet.run(5000);
     fleet.cut([fleet.owner(KEY)]);
     fleet.run(8000);
     fleet.cut([]);
     fleet.run(4000);
   },
-  'a third cut off': (fleet, all) => {
+  'a third isolated': (fleet, all) => {
     fleet.run(5000);
     fleet.cut(all.filter((number) => number % 3 === 1));
     fleet.run(10_000);
     fleet.cut([]);
     fleet.run(4000);
   },
-  'half do not reach the owner': (fleet, all) => {
+  'half cannot reach the owner': (fleet, all) => {
     fleet.run(5000);
     const owner = fleet.owner(KEY);
     const half = all.filter((number) => number !== owner && number % 2 === 0);
@@ -71,34 +71,38 @@
 };
 
 const cases = [7, 18, 195].flatMap((size) =>
-  Object.keys(troubles).map((name): [number, string] => [size, name]),
+  Object.keys(faults).map((name): [number, string] => [size, name]),
 );
 
 describe("a runner's rate limit over all VMs", () => {
   /*
-   * Whatever happens to the VMs, those that are cut off included, the runner gets no more
-   * than its limit bears: by an equal part for each VM, 195 of them send it 2.8 times what may be over.
+   * In each fault, also where isolated VMs decide alone, the runner must get no more than its
+   * limit and the permitted overage. With an equal share of the limit for each VM, 195 VMs
+   * would exceed the limit by 2.8 times the permitted overage.
    */
   test.each(cases)(
     'holds: %d VMs, %s',
     (size, name) => {
-      const trouble = troubles[name] as (typeof troubles)[string];
-      expect(play(size, 1.4, trouble).over).toBeLessThanOrEqual(1);
-      if (size <= 18) expect(play(size, 30, trouble).over).toBeLessThanOrEqual(1);
+      const inject = faults[name] as (typeof faults)[string];
+      expect(runScenario(size, 1.4, inject).over).toBeLessThanOrEqual(1);
+      if (size <= 18) expect(runScenario(size, 30, inject).over).toBeLessThanOrEqual(1);
     },
     60_000,
   );
 
-  /* A third of many VMs is cut off. VMs that passed owners over and came back counted at all of them, which gave out 1.6 times what may be over. */
-  test('holds where many VMs change owners: 195 VMs, a third cut off', () => {
-    const trouble = troubles['a third cut off'] as (typeof troubles)[string];
-    expect(play(195, 30, trouble).over).toBeLessThanOrEqual(1);
+  /*
+   * A third of many VMs is isolated. If VMs that skip owners and return to them are counted at
+   * all of these owners, the grants exceed the limit by 1.6 times the permitted overage.
+   */
+  test('holds while many VMs change owners: 195 VMs, a third isolated', () => {
+    const inject = faults['a third isolated'] as (typeof faults)[string];
+    expect(runScenario(195, 30, inject).over).toBeLessThanOrEqual(1);
   }, 120_000);
 
   test.each([7, 18, 195])(
-    'is used up by callers who want more: %d VMs',
+    'is fully used by callers who send more: %d VMs',
     (size) => {
-      expect(play(size, 1.4, (fleet) => fleet.run(10_000)).refusedBelow).toBeLessThan(0.1);
+      expect(runScenario(size, 1.4, (fleet) => fleet.run(10_000)).refusedBelow).toBeLessThan(0.1);
     },
     60_000,
   );
--- a/test/router/revocation.test.ts
+++ b/test/router/revocation.test.ts
@@ -3,25 +3,29 @@
 import { NewsFleet } from '../fakes/virtual/newsfleet';
 
 const VMS = 7;
-/** Time after which a key that was taken away must run nothing, and age to which keys count by that. */
+/** Time after which a revoked key must be refused on every VM. */
 const REVOKE_MS = 5000;
-const KEY_MS = 4700;
-/** Calm after which every VM must know again how old its configuration can be: dead VMs are found in some two seconds, and a store that came back proves nothing for 2.5. */
-const CALM_MS = 6000;
+/** Maximum age of a configuration by which keys are accepted. */
+const KEY_MAX_AGE_MS = 4700;
+/**
+ * Time without faults after which every VM must have confirmed its configuration. Dead VMs are
+ * detected in about two seconds, and a restored store confirms nothing for 2.5 seconds.
+ */
+const RECOVERY_MS = 6000;
 const TICK_MS = 100;
 
 const vm = fc.nat({ max: VMS - 1 });
-const some = fc.uniqueArray(vm, { maxLength: VMS });
+const someVms = fc.uniqueArray(vm, { maxLength: VMS });
 const event = fc.oneof(
   fc.record({ kind: fc.constant('revoke' as const) }),
   fc.record({ kind: fc.constant('loseConfig' as const) }),
-  fc.record({ kind: fc.constant('cut' as const), vms: some }),
-  fc.record({ kind: fc.constant('mute' as const), vms: some }),
-  fc.record({ kind: fc.constant('freeze' as const), vms: some }),
+  fc.record({ kind: fc.constant('cut' as const), vms: someVms }),
+  fc.record({ kind: fc.constant('mute' as const), vms: someVms }),
+  fc.record({ kind: fc.constant('freeze' as const), vms: someVms }),
   fc.record({ kind: fc.constant('thaw' as const) }),
-  fc.record({ kind: fc.constant('restart' as const), vms: some }),
+  fc.record({ kind: fc.constant('restart' as const), vms: someVms }),
   fc.record({ kind: fc.constant('step' as const), vm, ms: fc.integer({ min: 100, max: 6000 }) }),
-  fc.record({ kind: fc.constant('refuse' as const), vms: some }),
+  fc.record({ kind: fc.constant('refuse' as const), vms: someVms }),
 );
 const steps = fc.array(fc.record({ event, forMs: fc.integer({ min: 50, max: 4000 }) }), {
   maxLength: 12,
@@ -29,8 +33,8 @@
 
 type Event = typeof event extends fc.Arbitrary<infer T> ? T : never;
 
-/** A fleet, and when each configuration was confirmed. */
-class Play {
+/** A fleet and the time at which each configuration was confirmed to the operator. */
+class Scenario {
   readonly #fleet: NewsFleet;
 
   readonly #confirmedAt = new Map<number, number>();
@@ -45,7 +49,8 @@
     this.run(5000);
   }
 
-  do(step: Event): void {
+  /** Applies one fault or change. */
+  apply(step: Event): void {
     const fleet = this.#fleet;
     if (step.kind === 'revoke') {
       this.#version = fleet.configure();
@@ -67,29 +72,29 @@
     }
   }
 
-  /** Runs and checks that nobody serves by a configuration that took a key away too long ago. */
+  /** Runs and checks that no VM uses a configuration older than one confirmed more than `REVOKE_MS` ago. */
   run(ms: number): void {
     for (let at = 0; at < ms; at += TICK_MS) {
       this.#fleet.run(TICK_MS);
-      const least = Math.min(Infinity, ...this.#fleet.servedBy(KEY_MS));
+      const oldest = Math.min(Infinity, ...this.#fleet.servedBy(KEY_MAX_AGE_MS));
       for (const [version, confirmedAt] of this.#confirmedAt) {
         const isOver = this.#fleet.now > confirmedAt + REVOKE_MS;
-        if (isOver && least < version) {
+        if (isOver && oldest < version) {
           throw new Error(
-            `served by ${least} ${this.#fleet.now - confirmedAt} ms after ${version}`,
+            `found version ${oldest} in use ${this.#fleet.now - confirmedAt} ms after version ${version} was confirmed, expected a newer version`,
           );
         }
       }
     }
   }
 
-  /** Ends all trouble. Gives the greatest age that is known after a while. */
-  calm(): number {
+  /** Ends all faults and returns the highest age of a configuration after the recovery time. */
+  recover(): number {
     this.#freeze([]);
     this.#fleet.cut([]);
     this.#fleet.mute([]);
     this.#fleet.refuse(() => false);
-    this.run(CALM_MS);
+    this.run(RECOVERY_MS);
     return this.#fleet.ages.at(-1) ?? Infinity;
   }
 
@@ -101,47 +106,50 @@
   }
 }
 
-describe('a key that was taken away', () => {
+describe('a revoked key', () => {
   /*
-   * Whatever happens to VMs, the ways between them and the store, in any order: keys are
-   * taken away, VMs freeze, start anew, lose each other both ways or one, have their time
-   * of day set, are turned away by the store, and the store comes back from a copy that
-   * lacks the last configuration. No VM may serve a key too long after it was taken away,
-   * and once all is well, none may refuse keys for want of a proof.
+   * Faults and changes occur in any order: keys are revoked, VMs freeze or restart, lose
+   * each other in one or both directions, have their clock set forward, get no answer from
+   * the store, and the store is restored from a copy that lacks the last configuration. No VM
+   * may accept a key too long after its revocation, and after recovery no VM may refuse keys
+   * for lack of a freshness proof.
    */
-  test('ends in time on every VM, and no VM doubts its keys for long once all is well', () => {
+  test('is refused in time on every VM, and all VMs accept valid keys again after recovery', () => {
     fc.assert(
-      fc.property(steps, fc.integer(), (played, seed) => {
-        const play = new Play(seed);
-        for (const { event: step, forMs } of played) {
-          play.do(step);
-          play.run(forMs);
+      fc.property(steps, fc.integer(), (applied, seed) => {
+        const scenario = new Scenario(seed);
+        for (const { event: step, forMs } of applied) {
+          scenario.apply(step);
+          scenario.run(forMs);
         }
-        expect(play.calm()).toBeLessThan(KEY_MS);
+        expect(scenario.recover()).toBeLessThan(KEY_MAX_AGE_MS);
       }),
       { numRuns: Number(process.env.RUNS ?? 60), seed: 20261203 },
     );
   }, 600_000);
 
   /*
-   * The store comes back from a copy that lacks the configuration that took a key away,
-   * and all VMs start anew in that moment: nobody knows of it until the operator has
-   * written it again. By the copy alone they would have served the key long after its end.
+   * The store is restored from a copy that lacks the configuration that revoked a key, and
+   * all VMs restart at that moment, so no process has this configuration until the operator
+   * writes it again. VMs that relied on the copy alone would accept the key long after its
+   * revocation.
    */
-  test('stays away where a store without it is all that new VMs know', () => {
-    const play = new Play(7);
-    play.do({ kind: 'revoke' });
-    play.run(4500);
-    play.do({ kind: 'loseConfig' });
-    play.do({ kind: 'restart', vms: Array.from({ length: VMS }, (_, number) => number) });
-    expect(play.calm()).toBeLessThan(KEY_MS);
+  test('stays revoked when all VMs restart and read a store without the revocation', () => {
+    const scenario = new Scenario(7);
+    scenario.apply({ kind: 'revoke' });
+    scenario.run(4500);
+    scenario.apply({ kind: 'loseConfig' });
+    scenario.apply({ kind: 'restart', vms: Array.from({ length: VMS }, (_, number) => number) });
+    expect(scenario.recover()).toBeLessThan(KEY_MAX_AGE_MS);
   });
 
   /*
-   * Eight VMs of 66 lose all others, not each other and not the store. They hear somebody,
-   * so none takes itself for alone, and it takes them many seconds to find the readers dead. Without a question of their own they would have refused all keys meanwhile.
+   * Eight of 66 VMs lose all others, but neither each other nor the store. As they still
+   * receive messages from each other, none treats itself as isolated, and it takes them many
+   * seconds to detect the loss of the readers. Without a query of their own to the store they
+   * would refuse all keys in that time.
    */
-  test('does not make VMs that lost the others refuse keys while the store answers them', () => {
+  test('does not make partitioned VMs refuse valid keys while the store answers them', () => {
     const fleet = new NewsFleet(66, 6, 5);
     fleet.requireKeys();
     fleet.run(9000);
@@ -150,6 +158,6 @@
       (number) => !readers.has(number),
     );
     fleet.split(others.slice(0, 8));
-    expect(fleet.oldestIn(9000)).toBeLessThan(KEY_MS);
+    expect(fleet.oldestIn(9000)).toBeLessThan(KEY_MAX_AGE_MS);
   });
 });
