--- a/test/fakes/virtual/storm.ts
+++ b/test/fakes/virtual/storm.ts
@@ -123,8 +123,7 @@
     }
     const isNew = event.kind === 'arrived' || event.kind === 'adopted';
     const known = before.has(action.id) || (isNew && idOf(event) === action.id);
-    if (!known)
-      this.#addViolation(event, `${action.kind} for ${action.id}, which is not in the cell`);
+    if (!known) this.#addViolation(event, `${action.kind} for ${action.id}, not in the cell`);
     this.#checkSlot(event, action);
     if (action.kind === 'refuse') this.#end(event, action.id, action.code);
     else this.#unanswered.push(action);
