--- a/scripts/policies.ts
+++ b/scripts/policies.ts
@@ -12,7 +12,12 @@
 import type { BenchFaults, BenchResult } from '../test/fakes/virtual/bench';
 import { Bench } from '../test/fakes/virtual/bench';
 import type { Workload } from '../test/fakes/virtual/workload';
-import { bagmatiWork, decodeCapacity, doselWork, drawJobs } from '../test/fakes/virtual/workload';
+import {
+  bagmatiWork,
+  decodeCapacity,
+  doselWork,
+  generateJobs,
+} from '../test/fakes/virtual/workload';
 
 type Policy = Omit<CellOptions, 'policy'>;
 
@@ -74,7 +79,7 @@
     burstMs: load.burstMs,
     cancelled: load.cancelled,
   };
-  const jobs = drawJobs(work, arrivals, seed);
+  const jobs = generateJobs(work, arrivals, seed);
   return new Bench({
     work,
     jobs,
@@ -114,7 +119,7 @@
     ({ firstTokenMs }) => firstTokenMs[Math.floor(firstTokenMs.length * 0.95)] ?? 0,
   );
   const untrue = results.reduce(
-    (sum, { falseNotRun, endsMissing }) => sum + falseNotRun + endsMissing,
+    (sum, { falseNotRun, unfinished: endsMissing }) => sum + falseNotRun + endsMissing,
     0,
   );
   console.log(
@@ -127,7 +132,7 @@
   const share = (decodeCapacity(work) * 0.9) / work.teams.length;
   const rows = Array.from({ length: seeds }, (_, i) => {
     const goodOf = (rates: readonly number[]): number => {
-      const jobs = drawJobs(work, { rates, durationMs, burstMs: 0, cancelled: 0 }, i + 1);
+      const jobs = generateJobs(work, { rates, durationMs, burstMs: 0, cancelled: 0 }, i + 1);
       const { teams } = new Bench({
         work,
         jobs,
--- a/scripts/slopes.ts
+++ b/scripts/slopes.ts
@@ -156,7 +156,7 @@
 function spreadMs(size: number): number {
   const fleet = new Fleet(size, 3);
   fleet.run(20_000);
-  return fleet.spread('teams/a', 1);
+  return fleet.timeToSpread('teams/a', 1);
 }
 
 function heapOf(make: () => unknown): number {
--- a/scripts/storm.ts
+++ b/scripts/storm.ts
@@ -10,7 +10,12 @@
 const events = Number(process.argv[2] ?? 1_000_000);
 const seed = Number(process.argv[3] ?? 1);
 const began = Date.now();
-const { broken, ends, left, events: told } = new Storm(seeded(seed)).run(events);
+const {
+  violations: broken,
+  outcomes: ends,
+  remaining: left,
+  events: told,
+} = new Storm(seeded(seed)).run(events);
 console.log(
   `seed ${seed}: ${told} events in ${Date.now() - began} ms; ends ${JSON.stringify(ends)}`,
 );
--- a/test/core/cell.test.ts
+++ b/test/core/cell.test.ts
@@ -9,7 +9,7 @@
   bagmatiWork,
   decodeCapacity,
   doselWork,
-  drawJobs,
+  generateJobs,
   seeded,
 } from '../fakes/virtual/workload';
 
@@ -248,7 +248,7 @@
   test('neither loses slots nor counts them twice for random events in random order', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 1e6 }), (seed) => {
-        const { broken, left } = new Storm(seeded(seed)).run(2000);
+        const { violations: broken, remaining: left } = new Storm(seeded(seed)).run(2000);
         expect({ broken, left }).toEqual({ broken: [], left: 0 });
       }),
       { numRuns: 30, seed: 20261202 },
@@ -272,20 +272,20 @@
 ])('under load, %s', (_name, work, wasteLimit) => {
   const run = (factor: number): ReturnType<Bench['run']> => {
     const rates = work.teams.map(() => (decodeCapacity(work) * factor) / work.teams.length);
-    const jobs = drawJobs(work, { rates, durationMs: 40_000, burstMs: 0, cancelled: 0.05 }, 7);
+    const jobs = generateJobs(work, { rates, durationMs: 40_000, burstMs: 0, cancelled: 0.05 }, 7);
     return new Bench({
       work,
       jobs,
       cell: {},
       warmUpMs: 15_000,
       untilMs: 40_000,
-      strict: true,
+      checkInvariants: true,
     }).run();
   };
 
   test('ends each request once, wastes little prefill and reports "not run" only if nothing ran', () => {
     const result = run(1.5);
-    expect(result.endsMissing).toBe(0);
+    expect(result.unfinished).toBe(0);
     expect(result.falseNotRun).toBe(0);
     expect(result.wasted).toBeLessThan(wasteLimit);
     expect(result.refusalLagMs).toBeLessThan(10);
--- a/test/core/membership.test.ts
+++ b/test/core/membership.test.ts
@@ -18,7 +18,7 @@
     fleet.kill(3);
     const found = fleet.runUntil(() => fleet.views().every(({ alive }) => alive === 15), 30_000);
     expect(found).toBeLessThan(15_000);
-    expect(fleet.wronglyDead()).toBe(0);
+    expect(fleet.falselyDead()).toBe(0);
   });
 
   /*
@@ -53,7 +53,7 @@
   test('tolerates a one-way cut between two VMs', () => {
     const fleet = new Fleet(8, 5);
     fleet.run(10_000);
-    fleet.cutOneWay(0, 1);
+    fleet.cutLink(0, 1);
     fleet.run(60_000);
     expect(fleet.views().every(({ alive }) => alive === 8)).toBe(true);
   });
@@ -61,7 +61,7 @@
   test('spreads a gossip update to all members in a few hops', () => {
     const fleet = new Fleet(64, 6);
     fleet.run(10_000);
-    const took = fleet.spread('teams/a', 7);
+    const took = fleet.timeToSpread('teams/a', 7);
     expect(took).toBeLessThan(5000);
   });
 
--- a/test/fakes/virtual/bench.ts
+++ b/test/fakes/virtual/bench.ts
@@ -33,7 +33,7 @@
   /** End of the counted time, in milliseconds; requests in progress at that time are served to completion. */
   readonly untilMs: number;
   /** Checks the cell's invariants after every event and throws on the first violation. */
-  readonly strict?: boolean;
+  readonly checkInvariants?: boolean;
   /** Called for each event with the actions that it caused. */
   readonly onEvent?: (event: CellEvent, actions: readonly CellAction[]) => void;
 }
@@ -65,7 +65,7 @@
   /** Refusals marked as not run although a runner had received the request. */
   readonly falseNotRun: number;
   /** Requests without an outcome. */
-  readonly endsMissing: number;
+  readonly unfinished: number;
 }
 
 /** One-way latency between gateway and owner, or gateway and runner, in milliseconds. */
@@ -215,7 +215,7 @@
     this.#events += 1;
     const actions = this.#cell.handle(this.#now, event);
     this.#options.onEvent?.(event, actions);
-    if (this.#options.strict) {
+    if (this.#options.checkInvariants) {
       const [violation] = this.#cell.violations();
       if (violation !== undefined) throw new Error(`after ${JSON.stringify(event)}: ${violation}`);
     }
@@ -457,7 +457,7 @@
       teams,
       events: this.#events,
       falseNotRun: this.#falseNotRun,
-      endsMissing: all.filter(({ ended }) => ended === undefined).length,
+      unfinished: all.filter(({ ended }) => ended === undefined).length,
     };
   }
 }
--- a/test/fakes/virtual/fleet.ts
+++ b/test/fakes/virtual/fleet.ts
@@ -11,7 +11,7 @@
 import { seeded } from './workload';
 
 /** One member's view of the fleet. */
-export interface View {
+export interface MemberView {
   /** Number of members that it considers alive. */
   readonly alive: number;
   /** State of a member; undefined if unknown. */
@@ -106,13 +106,13 @@
   }
 
   /** Views of the running members. */
-  views(): readonly View[] {
+  views(): readonly MemberView[] {
     return this.#nodes
       .filter(({ dead, frozen }) => !dead && !frozen)
       .map(({ number }) => this.viewOf(number));
   }
 
-  viewOf(number: number): View {
+  viewOf(number: number): MemberView {
     const { membership } = this.#nodes[number] as Node;
     const alive = membership.all.filter(
       ({ state, incarnation }) => state === 'alive' && incarnation >= 0,
@@ -121,7 +121,7 @@
   }
 
   /** Number of live members that another live member considers dead. */
-  wronglyDead(): number {
+  falselyDead(): number {
     const live = this.#nodes.filter(({ dead }) => !dead);
     return live.filter(({ number }) =>
       live.some((other) => other.membership.get(`vm${number}`)?.state === 'dead'),
@@ -147,7 +147,7 @@
   }
 
   /** Drops all packets from one member to another. */
-  cutOneWay(from: number, to: number): void {
+  cutLink(from: number, to: number): void {
     this.#cutLink = [from, to];
   }
 
@@ -179,7 +179,7 @@
   }
 
   /** Applies a revision of a document at one member; returns the time until all live members have it, in milliseconds. */
-  spread(path: string, revision: number): number {
+  timeToSpread(path: string, revision: number): number {
     this.#applyRevision(this.#nodes[0] as Node, path, revision);
     return this.runUntil(
       () => this.#nodes.every(({ dead, revisions }) => dead || revisions.get(path) === revision),
--- a/test/fakes/virtual/handover.ts
+++ b/test/fakes/virtual/handover.ts
@@ -89,7 +89,7 @@
   #lastFaultAt = 0;
 
   /** Highest share of a runner's memory used by prompts while a single owner had complete state. */
-  mostKnown = 0;
+  maxUsage = 0;
 
   constructor() {
     for (let owner = 0; owner < OWNERS; owner += 1) {
@@ -98,7 +98,7 @@
   }
 
   /** Applies one step. */
-  take(step: HandoverStep): void {
+  apply(step: HandoverStep): void {
     if (step.kind === 'pass') {
       this.run(step.ms);
       return;
@@ -122,7 +122,7 @@
   }
 
   /** Ends all faults: every VM uses the first owner, and no more messages are lost. */
-  settle(): void {
+  endFaults(): void {
     this.#messagesToDrop = 0;
     this.#frozenUntil.fill(0);
     for (let vm = 0; vm < VMS; vm += 1) this.#setOwner(vm, 0);
@@ -134,12 +134,12 @@
   }
 
   /** Waiting requests and reservations that each owner still counts. */
-  get counted(): readonly { readonly waiting: number; readonly placed: number }[] {
+  get counts(): readonly { readonly waiting: number; readonly placed: number }[] {
     return this.#planners.map(({ waiting, placed }) => ({ waiting, placed }));
   }
 
   /** Share of the decode memory that each owner counts as reserved. */
-  get memory(): readonly number[] {
+  get reservedMemory(): readonly number[] {
     return this.#planners.map((planner) => planner.load(this.now).memory);
   }
 
@@ -358,7 +358,7 @@
     if (!hasSingleOwner || this.now - this.#lastFaultAt < VM_TIMEOUT_MS * 2) return;
     for (const { id, role } of this.#runners) {
       if (role === 'decode') {
-        this.mostKnown = Math.max(this.mostKnown, this.#usedTokens(id) / engine.memoryTokens);
+        this.maxUsage = Math.max(this.maxUsage, this.#usedTokens(id) / engine.memoryTokens);
       }
     }
   }
--- a/test/fakes/virtual/quotafleet.ts
+++ b/test/fakes/virtual/quotafleet.ts
@@ -37,7 +37,7 @@
 }
 
 /** A strategy to enforce quotas across VMs. */
-export interface QuotaWay {
+export interface QuotaStrategy {
   /** Requests quota for one request at a VM; `done` is called once. */
   ask(
     vm: QuotaVm,
@@ -53,14 +53,14 @@
 }
 
 /** Creates a strategy. */
-export type QuotaWayOf = (network: QuotaNetwork, bounds: QuotaBounds) => QuotaWay;
+export type QuotaStrategyFactory = (network: QuotaNetwork, bounds: QuotaBounds) => QuotaStrategy;
 
 /** Measurements of one customer's requests. */
-export interface QuotaFigures {
+export interface QuotaMeasurements {
   /** Maximum granted in one window minus what the quota allows in it, as a fraction of the permitted overage. */
-  readonly over: number;
+  readonly overshoot: number;
   /** Fraction of the requests granted by an ideal account that were refused; 0 if none. */
-  readonly refusedBelow: number;
+  readonly wronglyRefused: number;
   /** Mean time that a request waited for the decision, in milliseconds. */
   readonly waitMs: number;
   /** Messages between VMs per request, without those of the membership. */
@@ -93,7 +93,7 @@
 
   readonly #bounds: QuotaBounds;
 
-  readonly #strategy: QuotaWay;
+  readonly #strategy: QuotaStrategy;
 
   readonly #requests: Request[] = [];
 
@@ -110,7 +110,13 @@
 
   #quota: Quota;
 
-  constructor(size: number, quota: Quota, bounds: QuotaBounds, wayOf: QuotaWayOf, seed: number) {
+  constructor(
+    size: number,
+    quota: Quota,
+    bounds: QuotaBounds,
+    wayOf: QuotaStrategyFactory,
+    seed: number,
+  ) {
     this.random = seeded(seed);
     this.#quota = quota;
     this.#bounds = bounds;
@@ -133,7 +139,7 @@
   }
 
   /** Runs for a duration and returns the total size of the requests granted in it. */
-  ranIn(ms: number): number {
+  grantedDuring(ms: number): number {
     const from = this.now;
     this.run(ms);
     return this.#requests
@@ -163,12 +169,12 @@
   }
 
   /** Isolates VMs from all others, also from each other. */
-  cut(vms: readonly number[]): void {
+  isolate(vms: readonly number[]): void {
     this.#isolated = new Set(vms);
   }
 
   /** Cuts the links between two sets of VMs and keeps all other links. */
-  cutBetween(some: readonly number[], others: readonly number[]): void {
+  partition(some: readonly number[], others: readonly number[]): void {
     this.#partition = [new Set(some), new Set(others)];
   }
 
@@ -191,7 +197,7 @@
   }
 
   /** Measurements of the requests that arrived since a time. */
-  figures(since: number): QuotaFigures {
+  measurements(since: number): QuotaMeasurements {
     const decided = this.#requests.filter(
       ({ at, granted }) => at >= since && granted !== undefined,
     );
@@ -203,8 +209,8 @@
     const ideal = idealGrants(decided, this.#quota);
     const wait = decided.reduce((sum, { waitMs }) => sum + waitMs, 0);
     return {
-      over: (most - allowed) / (overage * allowed + slack),
-      refusedBelow: Math.max(0, 1 - grants.length / Math.max(1, ideal)),
+      overshoot: (most - allowed) / (overage * allowed + slack),
+      wronglyRefused: Math.max(0, 1 - grants.length / Math.max(1, ideal)),
       waitMs: wait / Math.max(1, decided.length),
       messages: this.#messages / Math.max(1, this.#requests.length),
     };
--- a/test/fakes/virtual/quotaways.ts
+++ b/test/fakes/virtual/quotastrategies.ts
@@ -9,7 +9,7 @@
 import type { QuotaMembers } from '../../../src/core/quotas/share';
 import { renewIntervalMs } from '../../../src/core/quotas/share';
 import { LazyMap } from '../../../src/utils/lazymap';
-import type { QuotaNetwork, QuotaVm, QuotaWay } from './quotafleet';
+import type { QuotaNetwork, QuotaVm, QuotaStrategy } from './quotafleet';
 
 const ASK_TIMEOUT_MS = 150;
 const MAX_OWNERS_ASKED = 2;
@@ -25,7 +25,7 @@
 }
 
 /** Asks the owner of the account for each request. The router uses this strategy. */
-export class OwnerAsked implements QuotaWay {
+export class OwnerStrategy implements QuotaStrategy {
   readonly #network: QuotaNetwork;
 
   readonly #bounds: QuotaBounds;
@@ -182,10 +182,10 @@
 const SLICE_TTL_MS = 1000;
 
 /** VMs reserve slices of the quota from the owner by their recent use, and decide locally while a slice lasts. */
-export class Slices implements QuotaWay {
+export class SliceStrategy implements QuotaStrategy {
   readonly #network: QuotaNetwork;
 
-  readonly #owners: OwnerAsked;
+  readonly #owners: OwnerStrategy;
 
   readonly #slices = new Map<
     QuotaVm,
@@ -194,7 +194,7 @@
 
   constructor(network: QuotaNetwork, bounds: QuotaBounds) {
     this.#network = network;
-    this.#owners = new OwnerAsked(network, bounds);
+    this.#owners = new OwnerStrategy(network, bounds);
   }
 
   ask(
@@ -240,7 +240,7 @@
 const GOSSIP_FANOUT = 3;
 
 /** Each VM applies the whole quota to its own use and the use reported by other VMs through gossip. */
-export class Gossiped implements QuotaWay {
+export class GossipStrategy implements QuotaStrategy {
   readonly #network: QuotaNetwork;
 
   /** Total use of each VM as last seen by each VM. */
@@ -299,7 +299,7 @@
 }
 
 /** Each VM grants an equal share of the quota locally. */
-export class EqualParts implements QuotaWay {
+export class EqualShareStrategy implements QuotaStrategy {
   readonly #network: QuotaNetwork;
 
   readonly #accounts: (vm: QuotaVm) => QuotaAccount;
@@ -328,7 +328,7 @@
 const RATE_PER_SENDER = 5;
 
 /** A few VMs, selected by hash, grant an equal share each; the others grant nothing. */
-export class FewSenders implements QuotaWay {
+export class SenderStrategy implements QuotaStrategy {
   readonly #network: QuotaNetwork;
 
   readonly #accounts: (vm: QuotaVm) => QuotaAccount;
--- a/test/fakes/virtual/storehistory.ts
+++ b/test/fakes/virtual/storehistory.ts
@@ -66,7 +66,7 @@
   }
 
   /** Restores the newest copy of at least this age, with a new era; does nothing if there is none. */
-  comeBack(now: number, ageMs: number): void {
+  restore(now: number, ageMs: number): void {
     const copy = this.#copies.filter(({ at }) => at <= now - ageMs).at(-1);
     if (!copy) return;
     this.era += 1;
@@ -88,7 +88,7 @@
 }
 
 /** Actual state of a runner, independent of the store's content. */
-export class TrueRunner {
+export class SimulatedRunner {
   readonly runner: Runner;
 
   #heartbeatDueAt: number;
@@ -98,7 +98,7 @@
   #stopsAt = Infinity;
 
   /** Store position at which it wrote that it leaves, or at which its entry was removed; undefined while it stays. */
-  leftWith: Position | undefined;
+  leavePosition: Position | undefined;
 
   #crashed = false;
 
@@ -108,7 +108,7 @@
     this.#writtenAt = now;
   }
 
-  get isLiving(): boolean {
+  get isActive(): boolean {
     return !this.#crashed && this.#stopsAt === Infinity;
   }
 
@@ -118,19 +118,19 @@
 
   /** Writes that it leaves, and stops after the drain time. */
   leave(now: number, store: HistoryStore): void {
-    if (!this.isLiving) return;
+    if (!this.isActive) return;
     this.#stopsAt = now + DRAIN_MS;
     store.write(this.runner.id, { ...this.runner, leaving: true });
-    this.leftWith = store.position;
+    this.leavePosition = store.position;
   }
 
   /** Leaves without announcing it: its entry is removed at once, and it stops after the drain time. */
-  vanish(now: number, store: HistoryStore): void {
-    if (!this.isLiving) return;
+  remove(now: number, store: HistoryStore): void {
+    if (!this.isActive) return;
     this.#stopsAt = now + DRAIN_MS;
     this.#heartbeatDueAt = Infinity;
     store.write(this.runner.id, undefined);
-    this.leftWith = store.position;
+    this.leavePosition = store.position;
   }
 
   crash(): void {
@@ -158,7 +158,7 @@
   readonly knowledge: Knowledge;
 
   /** Time until which it cannot reach the store. */
-  cutUntil = 0;
+  storeLostUntil = 0;
 
   #cursor: { era: number; revision: number } | undefined;
 
@@ -168,8 +168,8 @@
   }
 
   /** Reads what is new in the store. */
-  read(now: number, store: HistoryStore): void {
-    if (now < this.cutUntil) {
+  readStore(now: number, store: HistoryStore): void {
+    if (now < this.storeLostUntil) {
       this.knowledge.storeFailed(now);
       this.#cursor = undefined;
       return;
@@ -189,7 +189,7 @@
   }
 
   /** Fetches the state of another VM that differs from its own. */
-  ask(now: number, other: HistoryVm): void {
+  fetchFrom(now: number, other: HistoryVm): void {
     this.knowledge.learnEras(now, other.knowledge.eras, 'peer');
     const records = other.knowledge.factsBeside(now, this.knowledge.digestParts, 1000);
     this.knowledge.learnRunners(now, records, 'peer');
--- a/test/fakes/virtual/storm.ts
+++ b/test/fakes/virtual/storm.ts
@@ -14,11 +14,11 @@
 export interface StormResult {
   readonly events: number;
   /** Invariant violations, each with the event that caused it. */
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   /** Number of requests by outcome. */
-  readonly ends: Readonly<Record<string, number>>;
+  readonly outcomes: Readonly<Record<string, number>>;
   /** Requests that the cell still holds after everything was answered. */
-  readonly left: number;
+  readonly remaining: number;
   /** Hash of all actions, to compare two runs. */
   readonly digest: number;
 }
@@ -75,9 +75,9 @@
     for (const how of this.#ended.values()) ends[how] = (ends[how] ?? 0) + 1;
     return {
       events: this.#events,
-      broken: this.#violations,
-      ends,
-      left: this.#cell.requests.size,
+      violations: this.#violations,
+      outcomes: ends,
+      remaining: this.#cell.requests.size,
       digest: this.#digest,
     };
   }
--- a/test/fakes/virtual/newsfleet.ts
+++ b/test/fakes/virtual/syncfleet.ts
@@ -32,12 +32,12 @@
 import { seeded } from './workload';
 
 /** Work done by the fleet since it started. */
-export interface NewsCost {
+export interface SyncCost {
   readonly storeCalls: number;
   /** State exchanges that VMs started. */
   readonly exchanges: number;
   /** Maximum number of exchanges answered by one VM. */
-  readonly mostAnswered: number;
+  readonly maxAnswered: number;
   readonly packets: number;
 }
 
@@ -94,7 +94,7 @@
 const KEY_MAX_AGE_MS = 4700;
 
 /** A simulated fleet of VMs and their store. */
-export class NewsFleet {
+export class SyncFleet {
   readonly #vms: Vm[];
 
   readonly #schedule = new Schedule();
@@ -149,11 +149,11 @@
     return this.#schedule.now;
   }
 
-  get cost(): NewsCost {
+  get cost(): SyncCost {
     return {
       storeCalls: this.#storeCalls,
       exchanges: this.#exchanges,
-      mostAnswered: Math.max(...this.#vms.map(({ answeredExchanges }) => answeredExchanges)),
+      maxAnswered: Math.max(...this.#vms.map(({ answeredExchanges }) => answeredExchanges)),
       packets: this.#packets,
     };
   }
@@ -164,7 +164,7 @@
   }
 
   /** Writes a runner's entry; `changed` marks it as leaving, otherwise only its heartbeat is new. */
-  beat(runner: string, changed: boolean): void {
+  writeRunner(runner: string, changed: boolean): void {
     this.#write(runner, changed);
   }
 
@@ -181,7 +181,7 @@
   }
 
   /** Restores the store from a copy that lacks some runners; these rewrite their entries within a heartbeat. */
-  comeBack(lost: readonly string[]): void {
+  restoreStore(lost: readonly string[]): void {
     this.#storeChanges += 1;
     this.#storeEra += 1;
     this.#revision -= Math.floor(this.#revision / 2);
@@ -207,17 +207,17 @@
   }
 
   /** Isolates VMs from all other VMs, but not from the store. */
-  cut(vms: readonly number[]): void {
+  isolate(vms: readonly number[]): void {
     this.#isolated = new Set(vms);
   }
 
   /** Partitions some VMs from the others; they can still reach each other and the store. */
-  split(vms: readonly number[]): void {
+  partition(vms: readonly number[]): void {
     this.#partitioned = new Set(vms);
   }
 
   /** Drops packets that these VMs send, but not packets sent to them. State exchanges fail in both directions. */
-  mute(vms: readonly number[]): void {
+  dropOutgoing(vms: readonly number[]): void {
     this.#muted = new Set(vms);
   }
 
@@ -230,15 +230,15 @@
   }
 
   /** Moves a VM's clock forward, which the VM treats as a suspension. */
-  step(number: number, ms: number): void {
+  advanceClock(number: number, ms: number): void {
     (this.#vms[number] as Vm).clockOffsetMs += ms;
   }
 
   /** Restores the store from a copy without its last configuration, which the operator writes again. */
-  loseConfig(): void {
+  restoreWithoutConfig(): void {
     const lost = this.#storeConfig;
     this.#storeConfig -= 1;
-    this.comeBack([]);
+    this.restoreStore([]);
     this.#schedule.add(this.now + REWRITE_MS, () => {
       this.#storeChanges += 1;
       this.#storeConfig = Math.max(lost, this.#storeConfig);
@@ -246,7 +246,7 @@
   }
 
   /** Versions of the configurations by which running VMs would accept keys now, given the maximum age. */
-  servedBy(keyMs: number): readonly number[] {
+  usableConfigs(keyMs: number): readonly number[] {
     return this.#vms
       .filter(({ dead, frozen, configVersion }) => !dead && !frozen && configVersion > 0)
       .filter((vm) => vm.freshness.ageMs(this.#clockOf(vm)) <= keyMs)
@@ -254,7 +254,7 @@
   }
 
   /** Makes the store leave the calls of the selected VMs unanswered. */
-  refuse(refused: (vm: number) => boolean): void {
+  blockStore(refused: (vm: number) => boolean): void {
     this.#isStoreBlocked = refused;
   }
 
@@ -263,7 +263,7 @@
   }
 
   /** Upper bound of the configuration's age at each running VM, in milliseconds, in ascending order. */
-  get ages(): readonly number[] {
+  get configAges(): readonly number[] {
     return this.#vms
       .filter(({ dead, frozen }) => !dead && !frozen)
       .map((vm) => vm.freshness.ageMs(this.#clockOf(vm)))
@@ -271,30 +271,30 @@
   }
 
   /** Runs for a duration and returns the highest configuration age that any running VM had in it. */
-  oldestIn(ms: number): number {
+  maxConfigAge(ms: number): number {
     let oldest = 0;
     this.#runUntil(() => {
-      oldest = Math.max(oldest, this.ages.at(-1) ?? 0);
+      oldest = Math.max(oldest, this.configAges.at(-1) ?? 0);
       return false;
     }, ms);
     return oldest;
   }
 
   /** Records that a runner crashed while processing a request from a VM. */
-  end(number: number, fingerprint: string, runner: string): void {
+  crashRunner(number: number, fingerprint: string, runner: string): void {
     const vm = this.#vms[number] as Vm;
     this.#announceSuspect(vm, vm.quarantine.recordCrash(this.now, fingerprint, runner));
   }
 
   /** Runs until all running VMs refuse a request; returns the time that took, or the limit. */
-  refusedBy(fingerprint: string, limitMs: number): number {
+  timeToRefuse(fingerprint: string, limitMs: number): number {
     const isRefused = ({ quarantine, dead, frozen }: Vm): boolean =>
       dead || frozen || quarantine.refusedForMs(this.now, fingerprint) !== undefined;
     return this.#runUntil(() => this.#vms.every(isRefused), limitMs);
   }
 
   /** Runs until all running VMs have the store's configuration and runners; returns the time that took, or the limit. */
-  settle(limitMs: number): number {
+  timeToConverge(limitMs: number): number {
     const digests = (): ReadonlySet<string> =>
       new Set(
         this.#vms
--- a/test/fakes/virtual/workload.ts
+++ b/test/fakes/virtual/workload.ts
@@ -128,7 +128,7 @@
 }
 
 /** All requests of a run in order of arrival. */
-export function drawJobs(work: Workload, arrivals: Arrivals, seed: number): readonly Job[] {
+export function generateJobs(work: Workload, arrivals: Arrivals, seed: number): readonly Job[] {
   const random = seeded(seed);
   const jobs: Job[] = [];
   arrivals.rates.forEach((rate, index) => {
--- a/test/router/handover.test.ts
+++ b/test/router/handover.test.ts
@@ -50,10 +50,10 @@
 /** State that remains after the steps once all activity has ended. */
 function stateAfter(steps: readonly HandoverStep[]): unknown {
   const world = new Handover();
-  for (const one of steps) world.take(one);
-  world.settle();
+  for (const one of steps) world.apply(one);
+  world.endFaults();
   world.run(QUIET_MS);
-  const { open, counted, memory } = world;
+  const { open, counts: counted, reservedMemory: memory } = world;
   return { open, counted, memory };
 }
 
@@ -87,14 +87,14 @@
     fc.assert(
       fc.property(fc.array(step, { minLength: 1, maxLength: 60 }), (steps) => {
         const world = new Handover();
-        for (const one of steps) world.take(one);
-        world.settle();
+        for (const one of steps) world.apply(one);
+        world.endFaults();
         world.run(QUIET_MS);
         for (const one of steps.filter(({ kind }) => kind === 'ask')) {
-          for (let i = 0; i < BURST_SIZE; i += 1) world.take(one);
-          world.take({ kind: 'pass', ms: 100 });
+          for (let i = 0; i < BURST_SIZE; i += 1) world.apply(one);
+          world.apply({ kind: 'pass', ms: 100 });
         }
-        expect(world.mostKnown).toBeLessThanOrEqual(1);
+        expect(world.maxUsage).toBeLessThanOrEqual(1);
       }),
       { numRuns: 100, seed: 2 },
     );
--- a/test/router/proofs.test.ts
+++ b/test/router/proofs.test.ts
@@ -1,4 +1,4 @@
-import { NewsFleet } from '../fakes/virtual/newsfleet';
+import { SyncFleet } from '../fakes/virtual/syncfleet';
 
 const RUNNERS = 60;
 /** Maximum age of a configuration by which keys are accepted, as a revocation must take effect within five seconds. */
@@ -14,16 +14,16 @@
   test.each([30, 200, 800])(
     'stays bounded, at a cost that does not grow with the fleet size: %d VMs',
     (size) => {
-      const fleet = new NewsFleet(size, RUNNERS, 4);
+      const fleet = new SyncFleet(size, RUNNERS, 4);
       fleet.requireKeys();
       fleet.run(6000);
       const start = fleet.cost.storeCalls;
-      expect(fleet.oldestIn(5000)).toBeLessThan(KEY_MAX_AGE_MS);
+      expect(fleet.maxConfigAge(5000)).toBeLessThan(KEY_MAX_AGE_MS);
       const calm = fleet.cost.storeCalls;
       expect((calm - start) / 5).toBeLessThan(30);
 
-      fleet.refuse((vm) => vm % 3 === 0);
-      expect(fleet.oldestIn(9000)).toBeLessThan(KEY_MAX_AGE_MS);
+      fleet.blockStore((vm) => vm % 3 === 0);
+      expect(fleet.maxConfigAge(9000)).toBeLessThan(KEY_MAX_AGE_MS);
       expect((fleet.cost.storeCalls - calm) / 9 / size).toBeLessThan(0.6);
     },
     120_000,
@@ -37,15 +37,15 @@
   test.each([30, 200, 800])(
     'is confirmed within a second after an outage of the store: %d VMs',
     (size) => {
-      const fleet = new NewsFleet(size, RUNNERS, 5);
+      const fleet = new SyncFleet(size, RUNNERS, 5);
       fleet.requireKeys();
       fleet.run(6000);
-      fleet.refuse(() => true);
+      fleet.blockStore(() => true);
       fleet.run(6000);
-      expect(fleet.servedBy(KEY_MAX_AGE_MS)).toHaveLength(0);
-      fleet.refuse(() => false);
+      expect(fleet.usableConfigs(KEY_MAX_AGE_MS)).toHaveLength(0);
+      fleet.blockStore(() => false);
       fleet.run(1000);
-      expect(fleet.servedBy(KEY_MAX_AGE_MS)).toHaveLength(size);
+      expect(fleet.usableConfigs(KEY_MAX_AGE_MS)).toHaveLength(size);
     },
     120_000,
   );
--- a/test/router/quotafleet.test.ts
+++ b/test/router/quotafleet.test.ts
@@ -1,8 +1,8 @@
 import { groupOf } from '../../src/core/customers/groups';
 import type { Quota } from '../../src/core/customers/types';
-import type { QuotaFigures, QuotaWayOf } from '../fakes/virtual/quotafleet';
+import type { QuotaMeasurements, QuotaStrategyFactory } from '../fakes/virtual/quotafleet';
 import { QuotaFleet } from '../fakes/virtual/quotafleet';
-import { OwnerAsked } from '../fakes/virtual/quotaways';
+import { OwnerStrategy } from '../fakes/virtual/quotastrategies';
 
 const quota: Quota = { unit: 'tokens', ratePerS: 80_000, burst: 80_000, plainTokens: 200 };
 const bounds = { windowMs: 8000, overage: 0.1, slack: 190_000, wholeRuns: false };
@@ -21,14 +21,14 @@
   perS: number,
   inject: (fleet: QuotaFleet, all: readonly number[]) => void,
   among?: readonly number[],
-): QuotaFigures {
-  const wayOf: QuotaWayOf = (network) => new OwnerAsked(network, bounds);
+): QuotaMeasurements {
+  const wayOf: QuotaStrategyFactory = (network) => new OwnerStrategy(network, bounds);
   const fleet = new QuotaFleet(size, quota, bounds, wayOf, 3);
   fleet.run(CONVERGE_MS);
   const all = fleet.vms.map(({ number }) => number);
   fleet.load(perS, REQUEST_TOKENS, 30_000, among ?? all);
   inject(fleet, all);
-  return fleet.figures(CONVERGE_MS);
+  return fleet.measurements(CONVERGE_MS);
 }
 
 const runWithoutFaults = (fleet: QuotaFleet): void => fleet.run(12_000);
@@ -38,12 +38,14 @@
     'refuses nothing below the quota and grants no more than the quota above it: %d VMs',
     (size) => {
       const usual = runScenario(size, USUAL_PER_S, runWithoutFaults);
-      expect(usual.refusedBelow).toBe(0);
+      expect(usual.wronglyRefused).toBe(0);
       expect(usual.waitMs).toBeLessThan(5);
       const flood = runScenario(size, FLOOD_PER_S, runWithoutFaults);
-      expect(flood.over).toBeLessThanOrEqual(0);
-      expect(flood.refusedBelow).toBeLessThan(0.01);
-      expect(runScenario(size, FLOOD_PER_S, runWithoutFaults, [5]).over).toBeLessThanOrEqual(0);
+      expect(flood.overshoot).toBeLessThanOrEqual(0);
+      expect(flood.wronglyRefused).toBeLessThan(0.01);
+      expect(runScenario(size, FLOOD_PER_S, runWithoutFaults, [5]).overshoot).toBeLessThanOrEqual(
+        0,
+      );
     },
     60_000,
   );
@@ -70,9 +72,9 @@
         fleet.freeze(owner, false);
         fleet.run(6000);
       });
-      expect([killed.over, frozen.over].filter((over) => over > 1)).toEqual([]);
-      expect(killed.refusedBelow).toBeLessThan(0.05);
-      expect(frozen.refusedBelow).toBeLessThan(0.05);
+      expect([killed.overshoot, frozen.overshoot].filter((over) => over > 1)).toEqual([]);
+      expect(killed.wronglyRefused).toBeLessThan(0.05);
+      expect(frozen.wronglyRefused).toBeLessThan(0.05);
     },
     60_000,
   );
@@ -89,14 +91,14 @@
   ])(
     'holds while VMs are isolated: %d VMs, one in %d',
     (size, one) => {
-      const { over } = runScenario(size, FLOOD_PER_S, (fleet, all) => {
+      const { overshoot } = runScenario(size, FLOOD_PER_S, (fleet, all) => {
         fleet.run(6000);
-        fleet.cut(all.filter((number) => number % one === 1));
+        fleet.isolate(all.filter((number) => number % one === 1));
         fleet.run(10_000);
-        fleet.cut([]);
+        fleet.isolate([]);
         fleet.run(4000);
       });
-      expect(over).toBeLessThan(1);
+      expect(overshoot).toBeLessThan(1);
     },
     60_000,
   );
@@ -108,14 +110,14 @@
   test.each([8, 66])(
     'holds while half of the VMs cannot reach the owner: %d VMs',
     (size) => {
-      const { over } = runScenario(size, FLOOD_PER_S, (fleet, all) => {
+      const { overshoot } = runScenario(size, FLOOD_PER_S, (fleet, all) => {
         fleet.run(6000);
         const owner = fleet.owner(KEY);
         const half = all.filter((number) => number !== owner && number % 2 === 0);
-        fleet.cutBetween([owner], half);
+        fleet.partition([owner], half);
         fleet.run(12_000);
       });
-      expect(over).toBeLessThan(1);
+      expect(overshoot).toBeLessThan(1);
     },
     60_000,
   );
@@ -127,8 +129,8 @@
       fleet.kill(all.filter((number) => number % 2 === 0));
       fleet.run(8000);
     };
-    expect(runScenario(66, USUAL_PER_S, killHalf).refusedBelow).toBeLessThan(0.05);
-    expect(runScenario(66, FLOOD_PER_S, killHalf).over).toBeLessThan(1);
+    expect(runScenario(66, USUAL_PER_S, killHalf).wronglyRefused).toBeLessThan(0.05);
+    expect(runScenario(66, FLOOD_PER_S, killHalf).overshoot).toBeLessThan(1);
   }, 60_000);
 
   /* During an overload the operator lowers the quota far below the customer's load and raises it again. */
@@ -139,10 +141,10 @@
       fleet.run(10_000);
       fleet.configure({ ...full, ratePerS: 8000, burst: 8000 });
       fleet.run(2000);
-      granted.push(fleet.ranIn(8000));
+      granted.push(fleet.grantedDuring(8000));
       fleet.configure(full);
       fleet.run(2000);
-      granted.push(fleet.ranIn(4000));
+      granted.push(fleet.grantedDuring(4000));
     });
     const [lowered = 0, raised = 0] = granted;
     expect(lowered).toBeLessThanOrEqual(8000 * 9);
--- a/test/router/ratefleet.test.ts
+++ b/test/router/ratefleet.test.ts
@@ -1,7 +1,7 @@
 import { groupOf } from '../../src/core/customers/groups';
-import type { QuotaFigures, QuotaWayOf } from '../fakes/virtual/quotafleet';
+import type { QuotaMeasurements, QuotaStrategyFactory } from '../fakes/virtual/quotafleet';
 import { QuotaFleet } from '../fakes/virtual/quotafleet';
-import { OwnerAsked } from '../fakes/virtual/quotaways';
+import { OwnerStrategy } from '../fakes/virtual/quotastrategies';
 
 /** Permits 1.5 times the limit over four seconds plus five requests; the slack contains 1 for the burst of one. */
 const bounds = { windowMs: 4000, overage: 0.5, slack: 3.5, wholeRuns: true };
@@ -16,15 +16,15 @@
   size: number,
   ratePerS: number,
   inject: (fleet: QuotaFleet, all: readonly number[]) => void,
-): QuotaFigures {
-  const wayOf: QuotaWayOf = (network) => new OwnerAsked(network, bounds);
+): QuotaMeasurements {
+  const wayOf: QuotaStrategyFactory = (network) => new OwnerStrategy(network, bounds);
   const limit = { unit: 'requests', ratePerS, burst: 1, plainTokens: 1 } as const;
   const fleet = new QuotaFleet(size, limit, bounds, wayOf, 3);
   fleet.run(CONVERGE_MS);
   const all = fleet.vms.map(({ number }) => number);
   fleet.load(ratePerS * DEMAND_FACTOR, 1, 30_000, all);
   inject(fleet, all);
-  return fleet.figures(CONVERGE_MS);
+  return fleet.measurements(CONVERGE_MS);
 }
 
 const faults: Readonly<Record<string, (fleet: QuotaFleet, all: readonly number[]) => void>> = {
@@ -44,23 +44,23 @@
   },
   'owner isolated': (fleet) => {
     fleet.run(5000);
-    fleet.cut([fleet.owner(KEY)]);
+    fleet.isolate([fleet.owner(KEY)]);
     fleet.run(8000);
-    fleet.cut([]);
+    fleet.isolate([]);
     fleet.run(4000);
   },
   'a third isolated': (fleet, all) => {
     fleet.run(5000);
-    fleet.cut(all.filter((number) => number % 3 === 1));
+    fleet.isolate(all.filter((number) => number % 3 === 1));
     fleet.run(10_000);
-    fleet.cut([]);
+    fleet.isolate([]);
     fleet.run(4000);
   },
   'half cannot reach the owner': (fleet, all) => {
     fleet.run(5000);
     const owner = fleet.owner(KEY);
     const half = all.filter((number) => number !== owner && number % 2 === 0);
-    fleet.cutBetween([owner], half);
+    fleet.partition([owner], half);
     fleet.run(10_000);
   },
   'half killed': (fleet, all) => {
@@ -84,8 +84,8 @@
     'holds: %d VMs, %s',
     (size, name) => {
       const inject = faults[name] as (typeof faults)[string];
-      expect(runScenario(size, 1.4, inject).over).toBeLessThanOrEqual(1);
-      if (size <= 18) expect(runScenario(size, 30, inject).over).toBeLessThanOrEqual(1);
+      expect(runScenario(size, 1.4, inject).overshoot).toBeLessThanOrEqual(1);
+      if (size <= 18) expect(runScenario(size, 30, inject).overshoot).toBeLessThanOrEqual(1);
     },
     60_000,
   );
@@ -96,13 +96,13 @@
    */
   test('holds while many VMs change owners: 195 VMs, a third isolated', () => {
     const inject = faults['a third isolated'] as (typeof faults)[string];
-    expect(runScenario(195, 30, inject).over).toBeLessThanOrEqual(1);
+    expect(runScenario(195, 30, inject).overshoot).toBeLessThanOrEqual(1);
   }, 120_000);
 
   test.each([7, 18, 195])(
     'is fully used by callers who send more: %d VMs',
     (size) => {
-      expect(runScenario(size, 1.4, (fleet) => fleet.run(10_000)).refusedBelow).toBeLessThan(0.1);
+      expect(runScenario(size, 1.4, (fleet) => fleet.run(10_000)).wronglyRefused).toBeLessThan(0.1);
     },
     60_000,
   );
--- a/test/router/returns.test.ts
+++ b/test/router/returns.test.ts
@@ -4,7 +4,7 @@
 import type { Position } from '../../src/core/routing/position';
 import type { News } from '../../src/node/router/knowledge';
 import { seeded } from '../fakes/virtual/workload';
-import { HistoryStore, HistoryVm, TrueRunner } from '../fakes/virtual/storehistory';
+import { HistoryStore, HistoryVm, SimulatedRunner } from '../fakes/virtual/storehistory';
 
 /** What happens at one moment. */
 type Step =
@@ -55,7 +55,7 @@
 class Fleet {
   readonly store = new HistoryStore();
 
-  readonly runners: TrueRunner[] = [];
+  readonly runners: SimulatedRunner[] = [];
 
   readonly vms: HistoryVm[] = [];
 
@@ -83,13 +83,13 @@
   take(one: Step): void {
     const { runners, store, vms } = this;
     if (one.kind === 'leave') runners[one.runner % runners.length]?.leave(this.now, store);
-    else if (one.kind === 'vanish') runners[one.runner % runners.length]?.vanish(this.now, store);
+    else if (one.kind === 'vanish') runners[one.runner % runners.length]?.remove(this.now, store);
     else if (one.kind === 'crash') runners[one.runner % runners.length]?.crash();
     else if (one.kind === 'start') this.#start();
-    else if (one.kind === 'return') store.comeBack(this.now, one.ageMs);
+    else if (one.kind === 'return') store.restore(this.now, one.ageMs);
     else if (one.kind === 'cut') {
       const vm = vms[one.vm];
-      if (vm) vm.cutUntil = this.now + one.forMs;
+      if (vm) vm.storeLostUntil = this.now + one.forMs;
     } else if (one.kind === 'newVm') this.#replace(one.vm);
   }
 
@@ -100,7 +100,7 @@
 
   get living(): readonly string[] {
     return this.runners
-      .filter(({ isLiving }) => isLiving)
+      .filter(({ isActive: isLiving }) => isLiving)
       .map(({ runner }) => runner.id)
       .sort();
   }
@@ -110,7 +110,7 @@
   }
 
   #start(): void {
-    this.runners.push(new TrueRunner(this.now, `r${this.runners.length}`));
+    this.runners.push(new SimulatedRunner(this.now, `r${this.runners.length}`));
   }
 
   #newVm(number: number): HistoryVm {
@@ -125,7 +125,7 @@
       if (key.startsWith(`${number} `)) this.#acknowledged.delete(key);
     }
     const other = this.vms[(number + 1) % VMS];
-    if (other) vm.ask(this.now, other);
+    if (other) vm.fetchFrom(this.now, other);
   }
 
   #spread(from: number, news: News): void {
@@ -147,18 +147,18 @@
       else this.vms[letter.to]?.knowledge.learnRunners(now, letter.facts, 'peer');
     }
     this.vms.forEach((vm, number) => {
-      if (number < READERS && (now + number * 300) % READ_MS === 0) vm.read(now, store);
+      if (number < READERS && (now + number * 300) % READ_MS === 0) vm.readStore(now, store);
       // Digests differ, or a probe says so: what differs is exchanged.
       const other = this.vms[Math.floor(this.#random() * VMS)];
       const differs = other && other.knowledge.digest !== vm.knowledge.digest;
-      if (differs && this.#random() < 0.2) vm.ask(now, other);
+      if (differs && this.#random() < 0.2) vm.fetchFrom(now, other);
       this.#check(number, vm);
     });
   }
 
   #check(number: number, vm: HistoryVm): void {
     const usable = new Set(vm.usable(this.now).map(({ id }) => id));
-    for (const { runner, leftWith } of this.runners) {
+    for (const { runner, leavePosition: leftWith } of this.runners) {
       const { id } = runner;
       const key = `${number} ${id}`;
       const isNew = leftWith && !this.#acknowledged.has(key) && knows(vm, this.now, id, leftWith);
--- a/test/router/revocation.test.ts
+++ b/test/router/revocation.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 
-import { NewsFleet } from '../fakes/virtual/newsfleet';
+import { SyncFleet } from '../fakes/virtual/syncfleet';
 
 const VMS = 7;
 /** Time after which a revoked key must be refused on every VM. */
@@ -35,7 +35,7 @@
 
 /** A fleet and the time at which each configuration was confirmed to the operator. */
 class Scenario {
-  readonly #fleet: NewsFleet;
+  readonly #fleet: SyncFleet;
 
   readonly #confirmedAt = new Map<number, number>();
 
@@ -44,7 +44,7 @@
   #version = 1;
 
   constructor(seed: number) {
-    this.#fleet = new NewsFleet(VMS, 6, seed);
+    this.#fleet = new SyncFleet(VMS, 6, seed);
     this.#fleet.requireKeys();
     this.run(5000);
   }
@@ -56,19 +56,19 @@
       this.#version = fleet.configure();
       this.#confirmedAt.set(this.#version, fleet.now);
     }
-    if (step.kind === 'loseConfig' && this.#version > 1) fleet.loseConfig();
-    if (step.kind === 'cut') fleet.cut(step.vms);
-    if (step.kind === 'mute') fleet.mute(step.vms);
+    if (step.kind === 'loseConfig' && this.#version > 1) fleet.restoreWithoutConfig();
+    if (step.kind === 'cut') fleet.isolate(step.vms);
+    if (step.kind === 'mute') fleet.dropOutgoing(step.vms);
     if (step.kind === 'freeze') this.#freeze(step.vms);
     if (step.kind === 'thaw') this.#freeze([]);
     if (step.kind === 'restart') {
       this.#freeze([]);
       for (const number of step.vms) fleet.restart(number);
     }
-    if (step.kind === 'step') fleet.step(step.vm, step.ms);
+    if (step.kind === 'step') fleet.advanceClock(step.vm, step.ms);
     if (step.kind === 'refuse') {
       const refused = new Set(step.vms);
-      fleet.refuse((number) => refused.has(number));
+      fleet.blockStore((number) => refused.has(number));
     }
   }
 
@@ -76,7 +76,7 @@
   run(ms: number): void {
     for (let at = 0; at < ms; at += TICK_MS) {
       this.#fleet.run(TICK_MS);
-      const oldest = Math.min(Infinity, ...this.#fleet.servedBy(KEY_MAX_AGE_MS));
+      const oldest = Math.min(Infinity, ...this.#fleet.usableConfigs(KEY_MAX_AGE_MS));
       for (const [version, confirmedAt] of this.#confirmedAt) {
         const isOver = this.#fleet.now > confirmedAt + REVOKE_MS;
         if (isOver && oldest < version) {
@@ -91,11 +91,11 @@
   /** Ends all faults and returns the highest age of a configuration after the recovery time. */
   recover(): number {
     this.#freeze([]);
-    this.#fleet.cut([]);
-    this.#fleet.mute([]);
-    this.#fleet.refuse(() => false);
+    this.#fleet.isolate([]);
+    this.#fleet.dropOutgoing([]);
+    this.#fleet.blockStore(() => false);
     this.run(RECOVERY_MS);
-    return this.#fleet.ages.at(-1) ?? Infinity;
+    return this.#fleet.configAges.at(-1) ?? Infinity;
   }
 
   #freeze(vms: readonly number[]): void {
@@ -150,14 +150,14 @@
    * would refuse all keys in that time.
    */
   test('does not make partitioned VMs refuse valid keys while the store answers them', () => {
-    const fleet = new NewsFleet(66, 6, 5);
+    const fleet = new SyncFleet(66, 6, 5);
     fleet.requireKeys();
     fleet.run(9000);
     const readers = new Set(fleet.readers);
     const others = Array.from({ length: 66 }, (_, number) => number).filter(
       (number) => !readers.has(number),
     );
-    fleet.split(others.slice(0, 8));
-    expect(fleet.oldestIn(9000)).toBeLessThan(KEY_MAX_AGE_MS);
+    fleet.partition(others.slice(0, 8));
+    expect(fleet.maxConfigAge(9000)).toBeLessThan(KEY_MAX_AGE_MS);
   });
 });
--- a/test/router/newsfleet.test.ts
+++ b/test/router/syncfleet.test.ts
@@ -1,13 +1,13 @@
-import { NewsFleet } from '../fakes/virtual/newsfleet';
+import { SyncFleet } from '../fakes/virtual/syncfleet';
 
 const RUNNERS = 60;
 const HEARTBEAT_MS = 1200;
 
 /** Runs for some seconds while all runners write heartbeats. */
-function runWithHeartbeats(fleet: NewsFleet, seconds: number): void {
+function runWithHeartbeats(fleet: SyncFleet, seconds: number): void {
   const gapMs = HEARTBEAT_MS / RUNNERS;
   for (let i = 0; i * gapMs < seconds * 1000; i += 1) {
-    fleet.beat(`r${i % RUNNERS}`, false);
+    fleet.writeRunner(`r${i % RUNNERS}`, false);
     fleet.run(gapMs);
   }
 }
@@ -24,13 +24,13 @@
   test.each([30, 200, 800])(
     'keeps the load on the store and on each VM independent of the fleet size: %d VMs',
     (size) => {
-      const fleet = new NewsFleet(size, RUNNERS, 1);
-      expect(fleet.settle(10_000)).toBeLessThan(4000);
+      const fleet = new SyncFleet(size, RUNNERS, 1);
+      expect(fleet.timeToConverge(10_000)).toBeLessThan(4000);
       fleet.run(5500 - fleet.now);
       const start = fleet.cost;
       expect(start.storeCalls).toBeLessThan(350);
       expect(start.exchanges / size).toBeLessThan(20);
-      expect(start.mostAnswered).toBeLessThan(size * 1.5);
+      expect(start.maxAnswered).toBeLessThan(size * 1.5);
 
       runWithHeartbeats(fleet, 2);
       const steady = fleet.cost;
@@ -38,14 +38,14 @@
       expect((steady.storeCalls - start.storeCalls) / 2).toBeLessThan(17);
 
       fleet.configure();
-      expect(fleet.settle(5000)).toBeLessThan(1500);
-      fleet.beat('r1', true);
-      expect(fleet.settle(5000)).toBeLessThan(1500);
-      for (let i = 10; i < 40; i += 1) fleet.beat(`r${i}`, true);
-      expect(fleet.settle(5000)).toBeLessThan(1800);
+      expect(fleet.timeToConverge(5000)).toBeLessThan(1500);
+      fleet.writeRunner('r1', true);
+      expect(fleet.timeToConverge(5000)).toBeLessThan(1500);
+      for (let i = 10; i < 40; i += 1) fleet.writeRunner(`r${i}`, true);
+      expect(fleet.timeToConverge(5000)).toBeLessThan(1800);
       const changed = fleet.cost;
       expect((changed.exchanges - steady.exchanges) / size).toBeLessThan(12);
-      expect(changed.mostAnswered - steady.mostAnswered).toBeLessThan(60);
+      expect(changed.maxAnswered - steady.maxAnswered).toBeLessThan(60);
     },
     120_000,
   );
@@ -58,10 +58,10 @@
   test.each([30, 200, 800])(
     'quarantines a request on all VMs within a second: %d VMs',
     (size) => {
-      const fleet = new NewsFleet(size, RUNNERS, 2);
+      const fleet = new SyncFleet(size, RUNNERS, 2);
       fleet.run(9000);
-      for (const vm of [3, 11, 29]) fleet.end(vm, 'f', `r${vm}`);
-      expect(fleet.refusedBy('f', 3000)).toBeLessThan(1000);
+      for (const vm of [3, 11, 29]) fleet.crashRunner(vm, 'f', `r${vm}`);
+      expect(fleet.timeToRefuse('f', 3000)).toBeLessThan(1000);
     },
     120_000,
   );
@@ -72,10 +72,10 @@
    */
   test('limits packets when thousands of requests lose their runners at once', () => {
     const size = 200;
-    const fleet = new NewsFleet(size, RUNNERS, 3);
+    const fleet = new SyncFleet(size, RUNNERS, 3);
     fleet.run(9000);
     const { packets } = fleet.cost;
-    for (let i = 0; i < 2920; i += 1) fleet.end(i % size, `f${i}`, `r${Math.floor(i / 2)}`);
+    for (let i = 0; i < 2920; i += 1) fleet.crashRunner(i % size, `f${i}`, `r${Math.floor(i / 2)}`);
     fleet.run(10_000);
     // At about 1.2 KB each, this is within the limit of 24 KB per second and VM.
     expect((fleet.cost.packets - packets) / size / 10).toBeLessThan(20);
@@ -89,14 +89,14 @@
   test.each([30, 200, 800])(
     'adds little load when the store is restored from an older copy: %d VMs',
     (size) => {
-      const fleet = new NewsFleet(size, RUNNERS, 8);
+      const fleet = new SyncFleet(size, RUNNERS, 8);
       fleet.run(10_000);
       const before = fleet.cost;
       fleet.run(5000);
       const calm = fleet.cost;
-      fleet.comeBack(Array.from({ length: 20 }, (_, i) => `r${i}`));
+      fleet.restoreStore(Array.from({ length: 20 }, (_, i) => `r${i}`));
       fleet.run(1300);
-      expect(fleet.settle(5000)).toBeLessThan(2000);
+      expect(fleet.timeToConverge(5000)).toBeLessThan(2000);
       fleet.run(5000 - (fleet.now - 15_000));
       const after = fleet.cost;
       const calmCalls = calm.storeCalls - before.storeCalls;
@@ -110,7 +110,7 @@
 
   /* Heartbeats are not state updates: VMs with equal state exchange nothing for them. */
   test('exchanges nothing while only heartbeats change', () => {
-    const fleet = new NewsFleet(60, RUNNERS, 1);
+    const fleet = new SyncFleet(60, RUNNERS, 1);
     fleet.run(9000);
     const before = fleet.cost;
     runWithHeartbeats(fleet, 3);
@@ -119,7 +119,7 @@
 
   /* Comparison without readers: the calls to the store grow with the number of VMs. */
   test('needs more calls to the store if each VM reads for itself', () => {
-    const fleet = new NewsFleet(200, RUNNERS, 1, true);
+    const fleet = new SyncFleet(200, RUNNERS, 1, true);
     fleet.run(5000);
     const before = fleet.cost.storeCalls;
     runWithHeartbeats(fleet, 2);
@@ -132,26 +132,26 @@
    * VMs within four seconds, the time limit for a configuration to take effect.
    */
   test('continues through other readers while the readers are frozen', () => {
-    const fleet = new NewsFleet(200, RUNNERS, 4);
+    const fleet = new SyncFleet(200, RUNNERS, 4);
     fleet.run(10_000);
     const { readers } = fleet;
     fleet.freeze(readers, true);
     fleet.configure();
-    expect(fleet.settle(8000)).toBeLessThan(4000);
+    expect(fleet.timeToConverge(8000)).toBeLessThan(4000);
     fleet.run(2500);
     expect(fleet.readers.filter((vm) => !readers.includes(vm)).length).toBe(10);
     fleet.freeze(readers, false);
-    expect(fleet.settle(8000)).toBeLessThan(8000);
+    expect(fleet.timeToConverge(8000)).toBeLessThan(8000);
   });
 
   test('continues through other readers while the store does not answer the readers', () => {
-    const fleet = new NewsFleet(200, RUNNERS, 5);
+    const fleet = new SyncFleet(200, RUNNERS, 5);
     fleet.run(10_000);
     const { readers } = fleet;
-    fleet.refuse((vm) => readers.includes(vm));
+    fleet.blockStore((vm) => readers.includes(vm));
     fleet.run(100);
     fleet.configure();
-    expect(fleet.settle(8000)).toBeLessThan(4000);
+    expect(fleet.timeToConverge(8000)).toBeLessThan(4000);
     const before = fleet.cost.storeCalls;
     fleet.run(5000);
     // The selected readers keep retrying while the standby readers read.
@@ -166,13 +166,13 @@
   test.each([2, 3, 6])(
     'continues in time while the store does not answer the readers: seed %d',
     (seed) => {
-      const fleet = new NewsFleet(200, RUNNERS, seed);
+      const fleet = new SyncFleet(200, RUNNERS, seed);
       fleet.run(10_000);
       const { readers } = fleet;
-      fleet.refuse((vm) => readers.includes(vm));
+      fleet.blockStore((vm) => readers.includes(vm));
       fleet.run(100);
       fleet.configure();
-      expect(fleet.settle(8000)).toBeLessThan(4000);
+      expect(fleet.timeToConverge(8000)).toBeLessThan(4000);
     },
   );
 
@@ -182,21 +182,21 @@
    * answers and read the store themselves, long before their probes find the readers dead.
    */
   test('continues on VMs that are isolated from all others', () => {
-    const fleet = new NewsFleet(200, RUNNERS, 7);
+    const fleet = new SyncFleet(200, RUNNERS, 7);
     fleet.run(10_000);
     const others = Array.from({ length: 200 }, (_, i) => i).filter(
       (vm) => !fleet.readers.includes(vm),
     );
-    fleet.cut(others.slice(0, 2));
+    fleet.isolate(others.slice(0, 2));
     fleet.configure();
-    expect(fleet.settle(8000)).toBeLessThan(3000);
+    expect(fleet.timeToConverge(8000)).toBeLessThan(3000);
   });
 
   test('continues on the remaining VMs when most VMs are killed', () => {
-    const fleet = new NewsFleet(200, RUNNERS, 6);
+    const fleet = new SyncFleet(200, RUNNERS, 6);
     fleet.run(10_000);
     fleet.kill(Array.from({ length: 133 }, (_, i) => i));
     fleet.configure();
-    expect(fleet.settle(8000)).toBeLessThan(4000);
+    expect(fleet.timeToConverge(8000)).toBeLessThan(4000);
   });
 });
