--- a/scripts/chaos/callers.ts
+++ b/scripts/chaos/callers.ts
@@ -3,12 +3,12 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
 import type { Deployment } from '../../test/fakes/deployment';
-import { answerText } from '../../test/fakes/engine/text';
+import { outputText } from '../../test/fakes/engine/text';
 import type { Random } from '../../test/fakes/virtual/workload';
 import { call } from '../../test/fakes/http';
 import type { OpenStream } from '../../test/fakes/caller';
 import { openStream } from '../../test/fakes/caller';
-import type { Ledger } from './invariants';
+import type { InvariantRecorder } from './invariants';
 
 /** Callers at work at once. */
 const CALLERS = 24;
@@ -31,7 +31,7 @@
 
   readonly #deployment: Deployment;
 
-  readonly #ledger: Ledger;
+  readonly #ledger: InvariantRecorder;
 
   readonly #random: Random;
 
@@ -55,7 +55,7 @@
 
   #settledBy = Infinity;
 
-  constructor(deployment: Deployment, ledger: Ledger, random: Random) {
+  constructor(deployment: Deployment, ledger: InvariantRecorder, random: Random) {
     this.#deployment = deployment;
     this.#ledger = ledger;
     this.#random = random;
@@ -180,7 +180,7 @@
     if (error?.notRun && stream.requestId !== '') this.#notRun.add(stream.requestId);
     this.#count(`${what} ${stream.whole ? 'whole' : (error?.code ?? 'cut')}`);
     if (!stream.whole) return false;
-    const expected = answerText(prompt, maxTokens);
+    const expected = outputText(prompt, maxTokens);
     this.#ledger.check(
       'once',
       stream.text === expected,
--- a/scripts/chaos/checks.ts
+++ b/scripts/chaos/checks.ts
@@ -4,7 +4,7 @@
 
 import type { Deployment } from '../../test/fakes/deployment';
 import { call } from '../../test/fakes/http';
-import type { Ledger } from './invariants';
+import type { InvariantRecorder } from './invariants';
 
 /** Time in which engines must be free after the last request, in milliseconds. */
 const FREE_MS = 15_000;
@@ -26,7 +26,7 @@
 /** Every receipt ran at most once, and those whose caller was only ever told "not run" did not. */
 export async function checkRuns(
   deployment: Deployment,
-  ledger: Ledger,
+  ledger: InvariantRecorder,
   receipts: ReadonlySet<string>,
   neverRun: ReadonlySet<string>,
 ): Promise<void> {
@@ -51,7 +51,10 @@
 }
 
 /** With no caller left, every engine is free. */
-export async function checkMemory(deployment: Deployment, ledger: Ledger): Promise<void> {
+export async function checkMemory(
+  deployment: Deployment,
+  ledger: InvariantRecorder,
+): Promise<void> {
   for (const url of engines(deployment)) {
     const until = Date.now() + FREE_MS;
     let held: readonly string[] = [];
@@ -84,7 +87,10 @@
 }
 
 /** No scheduler has counted a broken invariant. */
-export async function checkStatus(deployment: Deployment, ledger: Ledger): Promise<void> {
+export async function checkStatus(
+  deployment: Deployment,
+  ledger: InvariantRecorder,
+): Promise<void> {
   const { schedulers } = await readStatus(deployment);
   for (const { vm, detail } of schedulers) {
     const broken = detail?.metrics['invariant.broken'] ?? 0;
--- a/scripts/chaos/faults.ts
+++ b/scripts/chaos/faults.ts
@@ -163,7 +163,7 @@
   }
 
   async #platformFault(begin: object, end: object): Promise<void> {
-    await this.#alone('platform', () => this.#faultAt(this.#deployment.platform, begin, end));
+    await this.#alone('platform', () => this.#faultAt(this.#deployment.platformUrl, begin, end));
   }
 
   async #faultAt(url: string, begin: object, end: object): Promise<void> {
--- a/scripts/chaos/invariants.ts
+++ b/scripts/chaos/invariants.ts
@@ -17,7 +17,7 @@
 const EXAMPLES = 3;
 
 /** The book of tries. */
-export class Ledger {
+export class InvariantRecorder {
   readonly #tried = new Map<Invariant, number>();
 
   readonly #broken = new Map<Invariant, string[]>();
--- a/scripts/chaos/main.ts
+++ b/scripts/chaos/main.ts
@@ -10,7 +10,7 @@
 import { seeded } from '../../test/fakes/virtual/workload';
 import { Callers } from './callers';
 import { Faults } from './faults';
-import { Ledger } from './invariants';
+import { InvariantRecorder } from './invariants';
 import { Operators } from './operators';
 import { checkMemory, checkRuns, checkStatus, readStatus, snapshotRuns } from './checks';
 
@@ -27,7 +27,7 @@
   const seconds = Number(process.argv[2] ?? 120);
   const seed = Number(process.argv[3] ?? 1);
   const random = seeded(seed);
-  const ledger = new Ledger();
+  const ledger = new InvariantRecorder();
   const deployment = new Deployment(bagmati);
   process.once('SIGTERM', () => {
     deployment.stop().finally(() => process.exit(1));
--- a/scripts/chaos/operators.ts
+++ b/scripts/chaos/operators.ts
@@ -5,7 +5,7 @@
 import type { Deployment } from '../../test/fakes/deployment';
 import { call } from '../../test/fakes/http';
 import type { Random } from '../../test/fakes/virtual/workload';
-import type { Ledger } from './invariants';
+import type { InvariantRecorder } from './invariants';
 
 const DOCUMENT = 'teams/clerks';
 const PATH = `${DOCUMENT}/services/deeds/totalMs`;
@@ -22,7 +22,7 @@
 export class Operators {
   readonly #deployment: Deployment;
 
-  readonly #ledger: Ledger;
+  readonly #ledger: InvariantRecorder;
 
   readonly #random: Random;
 
@@ -31,7 +31,7 @@
 
   #value = 100_000;
 
-  constructor(deployment: Deployment, ledger: Ledger, random: Random) {
+  constructor(deployment: Deployment, ledger: InvariantRecorder, random: Random) {
     this.#deployment = deployment;
     this.#ledger = ledger;
     this.#random = random;
--- a/scripts/memory.ts
+++ b/scripts/memory.ts
@@ -8,25 +8,25 @@
 import { Planner } from '../src/core/memory/planner';
 import { planPolicy } from '../src/core/memory/policy';
 import { SlotPolicy } from '../test/fakes/memory/baselines';
-import type { MemoryResult, PlacePolicy } from '../test/fakes/memory/bench';
+import type { MemoryResult, PlacementPolicy } from '../test/fakes/memory/bench';
 import { MemoryBench } from '../test/fakes/memory/bench';
 import type { MemoryFigures } from '../test/fakes/memory/engines';
 import {
   fastFigures,
-  readerFigures,
+  fastPrefillFigures,
   slowFigures,
-  tightFigures,
+  smallMemoryFigures,
 } from '../test/fakes/memory/engines';
-import { KnownCosts } from '../test/fakes/memory/known';
+import { KnownCosts } from '../test/fakes/memory/costs';
 import type { MemoryLoad } from '../test/fakes/memory/load';
 import { drawMemoryJobs, shiftBursts as bursts } from '../test/fakes/memory/load';
 
-type Policies = Readonly<Record<string, (figures: MemoryFigures) => PlacePolicy>>;
+type Policies = Readonly<Record<string, (figures: MemoryFigures) => PlacementPolicy>>;
 
 const planners: Policies = {
   planner: () => new Planner(planPolicy),
   'planner that knows': (figures) => new Planner(planPolicy, new KnownCosts(figures)),
-  'planner on other figures': () => new Planner(planPolicy, new KnownCosts(tightFigures)),
+  'planner on other figures': () => new Planner(planPolicy, new KnownCosts(smallMemoryFigures)),
 };
 
 const policies: Policies = {
@@ -65,7 +65,7 @@
   },
   {
     name: 'fast reading',
-    figures: readerFigures,
+    figures: fastPrefillFigures,
     load: { perSecond: 12, bursts, untilMs: UNTIL_MS, output: { mean: 300, most: 700 } },
     prefill: 1,
     decode: 4,
@@ -90,8 +90,8 @@
 ];
 
 function run(
-  { load, prefill, decode, figures = tightFigures }: Case,
-  policy: (figures: MemoryFigures) => PlacePolicy,
+  { load, prefill, decode, figures = smallMemoryFigures }: Case,
+  policy: (figures: MemoryFigures) => PlacementPolicy,
   seed: number,
 ): MemoryResult {
   return new MemoryBench({
--- a/scripts/soak/callers.ts
+++ b/scripts/soak/callers.ts
@@ -20,26 +20,26 @@
   /** When the caller may come back, in milliseconds. Default: not told. */
   readonly retryAfterMs: number | undefined;
   /** What is wrong with an answer that looks whole. Default: nothing. */
-  readonly fault: string | undefined;
+  readonly integrityError: string | undefined;
 }
 
 /** What is told of callers. */
-export interface CallerWitness {
+export interface CallerObserver {
   sent(request: SentRequest, vm: string): void;
   answered(request: SentRequest, vm: string, answer: CallerAnswer): void;
   /** The caller closed its connection before the end. */
-  left(request: SentRequest): void;
+  disconnected(request: SentRequest): void;
 }
 
 /** Customers and their keys, as they are handed out now. */
 export interface KeySource {
   /** A customer and one of its keys. */
-  draw(): { readonly customer: string; readonly key: string };
+  drawKey(): { readonly customer: string; readonly key: string };
 }
 
 /** What callers work with. */
 export interface CallerContext {
-  readonly witness: CallerWitness;
+  readonly observer: CallerObserver;
   readonly random: () => number;
   readonly keys: KeySource;
   /** Directory addresses of all VMs. */
@@ -63,7 +63,7 @@
 const LATE_MS = 2000;
 const kinds: readonly RequestKind[] = ['repeatable', 'once', 'stream', 'resumable'];
 /** Path prefix of each kind's route. */
-export const prefixes: Readonly<Record<RequestKind, string>> = {
+export const routePrefixes: Readonly<Record<RequestKind, string>> = {
   repeatable: '/look/',
   once: '/pay/',
   stream: '/read/',
@@ -102,9 +102,9 @@
     const kind = kinds[Math.floor(random() * kinds.length)] ?? 'once';
     const isStream = kind === 'stream' || kind === 'resumable';
     const events = isStream ? 5 + Math.floor(random() * 30) : 0;
-    const path = `${prefixes[kind]}${randomUUID().slice(0, 6)}`;
+    const path = `${routePrefixes[kind]}${randomUUID().slice(0, 6)}`;
     const body = `events=${events} ${randomUUID()}`;
-    const whose = keys.draw();
+    const whose = keys.drawKey();
     for (let tries = 0; tries < CALLERS_TRIES; tries += 1) {
       const sent: SentRequest = { id: randomUUID(), kind, path, body, events, ...whose };
       const { outcome, retryAfterMs } = await this.#attempt(sent);
@@ -115,14 +115,14 @@
   }
 
   async #attempt(sent: SentRequest): Promise<CallerAnswer> {
-    const { witness, random } = this.#context;
+    const { observer: witness, random } = this.#context;
     const address = await this.#address();
     witness.sent(sent, address);
     const leavesMs = random() < LEAVE_PART ? random() * 600 : undefined;
     const began = performance.now();
     const answer = await exchange(this.#agent, address, sent, leavesMs);
     const whole = { ...answer, ms: performance.now() - began };
-    if (whole.outcome === 'left') witness.left(sent);
+    if (whole.outcome === 'left') witness.disconnected(sent);
     witness.answered(sent, address, whole);
     return whole;
   }
@@ -159,7 +159,12 @@
 
 type Ended = Omit<CallerAnswer, 'ms'>;
 
-const broken: Ended = { outcome: 'broken', status: 0, retryAfterMs: undefined, fault: undefined };
+const broken: Ended = {
+  outcome: 'broken',
+  status: 0,
+  retryAfterMs: undefined,
+  integrityError: undefined,
+};
 
 /** One attempt on a connection that may be an old one. */
 function exchange(
@@ -196,7 +201,7 @@
     const text = Buffer.concat(chunks).toString();
     if (!res.complete) end({ ...broken, status });
     else if (status >= 200 && status < 300) {
-      end({ ...broken, outcome: 'served', status, fault: faultOf(sent, res, text) });
+      end({ ...broken, outcome: 'served', status, integrityError: faultOf(sent, res, text) });
     } else {
       const told = Number(res.headers['retry-after']);
       const retryAfterMs = Number.isFinite(told) ? told * 1000 : undefined;
--- a/scripts/soak/faults.ts
+++ b/scripts/soak/faults.ts
@@ -3,11 +3,11 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
 import type { FakeStore, StoreCopy } from '../../test/fakes/store';
-import type { Place, RunnerPool } from './pool';
+import type { PooledRunner, RunnerPool } from './pool';
 import type { Mesh } from './mesh';
-import type { LinkMood, LinkProxy } from './proxy';
-import type { RunnerMood } from './runner';
-import { wellMood } from './runner';
+import type { LinkState, LinkProxy } from './proxy';
+import type { RunnerBehaviour } from './runner';
+import { healthyBehaviour } from './runner';
 import type { Vm } from './vm';
 
 /** What faults work on. */
@@ -18,7 +18,7 @@
   readonly store: FakeStore;
   readonly pool: RunnerPool;
   /** The store came back from an older copy. */
-  readonly onReturn: () => void;
+  readonly onStoreRestored: () => void;
   /** A fault begins or ends. */
   readonly onFault: (id: number, name: string, target: string, begins: boolean) => void;
 }
@@ -52,7 +52,7 @@
 const CLOCK_STEP_MS = 8000;
 
 /** Draws faults and ends them. */
-export class Faults {
+export class FaultInjector {
   readonly #context: FaultContext;
 
   readonly #wanted: ReadonlySet<string> | undefined;
@@ -84,7 +84,7 @@
   }
 
   /** Time since the last fault of some families ended, in milliseconds; 0 while one lasts. */
-  calmMs(...families: readonly FaultFamily[]): number {
+  faultFreeMs(...families: readonly FaultFamily[]): number {
     const isOpen = [...this.#open.values()].some((name) => families.includes(familyOf(name)));
     if (isOpen) return 0;
     const ends = families.map((family) => this.#endedAt.get(family) ?? this.#began);
@@ -159,12 +159,12 @@
       'store-strange': () => this.#onStore(async () => this.#strangeEntry()),
       'store-link': () => this.#onStoreLink(),
       'runner-crash': () => this.#onRunner((place) => this.#crash(place)),
-      'runner-fails': () => this.#mood({ failPart: 0.4 }),
+      'runner-fails': () => this.#mood({ failRatio: 0.4 }),
       'runner-all-fail': () => this.#failAll(),
-      'runner-sheds': () => this.#mood({ shedPart: 0.4 }),
-      'runner-cuts': () => this.#mood({ cutPart: 0.4 }),
-      'runner-mute': () => this.#mood({ mutePart: 0.2 }),
-      'runner-slow': () => this.#mood({ slowness: 4 }),
+      'runner-sheds': () => this.#mood({ shedRatio: 0.4 }),
+      'runner-cuts': () => this.#mood({ cutRatio: 0.4 }),
+      'runner-mute': () => this.#mood({ hangRatio: 0.2 }),
+      'runner-slow': () => this.#mood({ slowdown: 4 }),
       'runner-link': () => this.#onRunner((place) => this.#link(place.proxy)),
       'runner-reset': () =>
         this.#onRunner(async ({ proxy }) => proxy.reset(this.#context.random, 0.5)),
@@ -181,8 +181,8 @@
 
   #onVm(work: (vm: Vm) => Promise<void>): Begun | undefined {
     const { vms } = this.#context;
-    const down = vms.filter(({ up, frozen }) => !up || frozen).length;
-    const free = vms.filter(({ up, place }) => up && !this.#busy.has(place.name));
+    const down = vms.filter(({ isUp: up, isPaused: frozen }) => !up || frozen).length;
+    const free = vms.filter(({ isUp: up, place }) => up && !this.#busy.has(place.name));
     const vm = this.#pick(free);
     if (!vm || down + 1 > vms.length * DOWN_PART) return undefined;
     return { target: vm.place.name, over: work(vm) };
@@ -203,7 +203,7 @@
   /** Cuts a VM off from others, in both directions or in one. */
   async #cut(vm: Vm, others: readonly Vm[]): Promise<void> {
     const { mesh, random } = this.#context;
-    const moods: readonly LinkMood[] = ['silent', 'forward', 'back'];
+    const moods: readonly LinkState[] = ['silent', 'forward', 'back'];
     mesh.cut(vm, others, this.#pick(moods) ?? 'silent');
     await pause(this.#time());
     mesh.cut(vm, others, 'well');
@@ -227,7 +227,7 @@
   #endVm(signal: 'SIGKILL' | 'SIGTERM'): Begun | undefined {
     return this.#onVm(async (vm) => {
       vm.signal(signal);
-      await vm.gone();
+      await vm.waitForExit();
       await pause(this.#time() / 2);
       vm.start();
       // Its start is part of the fault: nobody knows it yet.
@@ -251,22 +251,22 @@
     return this.#busy.has('store') ? undefined : { target: 'store', over: work() };
   }
 
-  #storeMood(mood: FakeStore['mood']): Begun | undefined {
+  #storeMood(mood: FakeStore['fault']): Begun | undefined {
     return this.#onStore(async () => {
       const { store } = this.#context;
-      store.mood = mood;
+      store.fault = mood;
       await pause(this.#time());
-      store.mood = 'well';
+      store.fault = 'well';
     });
   }
 
   /** Operator and runners write again what the copy lacks. */
   async #comeBack(): Promise<void> {
-    const { store, pool, onReturn } = this.#context;
-    if (this.#copy) store.comeBack(this.#copy);
+    const { store, pool, onStoreRestored: onReturn } = this.#context;
+    if (this.#copy) store.restore(this.#copy);
     await pause(STALE_MS);
     onReturn();
-    for (const place of pool.places) pool.list(place.runner);
+    for (const place of pool.members) pool.publish(place.runner);
     await pause(500);
   }
 
@@ -289,7 +289,7 @@
   async #link(link: LinkProxy): Promise<void> {
     const proxy = link;
     const { random } = this.#context;
-    const moods: readonly LinkMood[] = ['silent', 'forward', 'back', 'refuse', 'well'];
+    const moods: readonly LinkState[] = ['silent', 'forward', 'back', 'refuse', 'well'];
     proxy.mood = this.#pick(moods) ?? 'well';
     if (proxy.mood === 'well') proxy.delayMs = random() * 300;
     await pause(this.#time());
@@ -299,15 +299,15 @@
     proxy.reset(random, 1);
   }
 
-  #onRunner(work: (place: Place) => Promise<void>): Begun | undefined {
-    const free = this.#context.pool.places.filter(
-      ({ runner }) => runner.up && !this.#busy.has(runner.listing),
+  #onRunner(work: (place: PooledRunner) => Promise<void>): Begun | undefined {
+    const free = this.#context.pool.members.filter(
+      ({ runner }) => runner.isUp && !this.#busy.has(runner.runnerId),
     );
     const place = this.#pick(free);
-    return place && { target: place.runner.listing, over: work(place) };
+    return place && { target: place.runner.runnerId, over: work(place) };
   }
 
-  async #crash(place: Place): Promise<void> {
+  async #crash(place: PooledRunner): Promise<void> {
     await this.#context.pool.restart(place, this.#time());
     // VMs hear of the new start, and the old one's requests end.
     await pause(1500);
@@ -315,23 +315,23 @@
 
   /** All plain runners fail most of their requests. */
   #failAll(): Begun | undefined {
-    const places = this.#context.pool.of('plain');
+    const places = this.#context.pool.membersUp('plain');
     const moods = places.map(({ runner }) => runner);
-    if (moods.some(({ listing }) => this.#busy.has(listing))) return undefined;
+    if (moods.some(({ runnerId: listing }) => this.#busy.has(listing))) return undefined;
     const over = async (): Promise<void> => {
-      for (const runner of moods) runner.mood = { ...wellMood, failPart: 0.8 };
+      for (const runner of moods) runner.behaviour = { ...healthyBehaviour, failRatio: 0.8 };
       await pause(this.#time());
-      for (const runner of moods) runner.mood = wellMood;
+      for (const runner of moods) runner.behaviour = healthyBehaviour;
     };
     return { target: 'all plain runners', over: over() };
   }
 
-  #mood(change: Partial<RunnerMood>): Begun | undefined {
+  #mood(change: Partial<RunnerBehaviour>): Begun | undefined {
     return this.#onRunner(async ({ runner }) => {
       const changed = runner;
-      changed.mood = { ...wellMood, ...change };
+      changed.behaviour = { ...healthyBehaviour, ...change };
       await pause(this.#time());
-      changed.mood = wellMood;
+      changed.behaviour = healthyBehaviour;
     });
   }
 }
--- a/scripts/soak/promises.ts
+++ b/scripts/soak/guarantees.ts
@@ -5,11 +5,11 @@
  */
 
 import { bounds } from './vm';
-import type { CallerAnswer, CallerWitness } from './callers';
+import type { CallerAnswer, CallerObserver } from './callers';
 import type { FaultFamily } from './faults';
 import type { SentRequest } from './requests';
 import { digestOf } from './requests';
-import type { Arrival, Order, RunnerWitness } from './runner';
+import type { Arrival, Order, RunnerObserver } from './runner';
 
 /** A promise that did not hold. */
 export interface Breach {
@@ -18,10 +18,10 @@
 }
 
 /** What promises are checked against. */
-export interface PromiseContext {
+export interface GuaranteeContext {
   readonly onBreach: (breach: Breach) => void;
   /** Time since the last fault of some families ended, in milliseconds; 0 while one lasts. */
-  readonly calmMs: (...families: readonly FaultFamily[]) => number;
+  readonly faultFreeMs: (...families: readonly FaultFamily[]) => number;
   /** When the configuration that took a key away was acknowledged. Default: it is held. */
   readonly revokedAt: (key: string) => number | undefined;
   /** Customers' requests a second and at once. */
@@ -58,8 +58,8 @@
 const DRAIN_MS = 2500;
 
 /** All promises of one run. */
-export class Promises implements CallerWitness, RunnerWitness {
-  readonly #context: PromiseContext;
+export class GuaranteeChecker implements CallerObserver, RunnerObserver {
+  readonly #context: GuaranteeContext;
 
   readonly #entries = new Map<string, Entry>();
 
@@ -80,9 +80,9 @@
   readonly #limits = new Map<string, { ratePerS: number; since: number; readonly at: number[] }>();
 
   /** The most that was seen of each bounded amount, as a part of what is allowed. */
-  readonly used: Record<string, number> = {};
+  readonly peakUsage: Record<string, number> = {};
 
-  constructor(context: PromiseContext) {
+  constructor(context: GuaranteeContext) {
     this.#context = context;
   }
 
@@ -101,7 +101,7 @@
     });
   }
 
-  answered(request: SentRequest, vm: string, { outcome, fault, status }: CallerAnswer): void {
+  answered(request: SentRequest, vm: string, { outcome, integrityError: fault, status }: CallerAnswer): void {
     const entry = this.#entries.get(request.id);
     if (fault !== undefined) this.#breach('whole', `${request.id} at ${vm}: ${fault}`);
     if (outcome === 'served' && entry && entry.runs === 0) {
@@ -112,7 +112,7 @@
     if (entry.runs > 0) this.#breach('not run', `${request.id} at ${vm}: ${status} after a run`);
   }
 
-  left({ id }: SentRequest): void {
+  disconnected({ id }: SentRequest): void {
     const entry = this.#entries.get(id);
     if (!entry) return;
     entry.leftAt = Date.now();
@@ -121,8 +121,8 @@
 
   arrived(arrival: Arrival): void {
     const now = Date.now();
-    const entry = this.#entries.get(arrival.request);
-    this.#checkLimit(now, arrival.runner);
+    const entry = this.#entries.get(arrival.requestId);
+    this.#checkLimit(now, arrival.instanceId);
     this.#checkLeaving(now, arrival);
     if (!entry) return;
     // The first prefill of a request is no repeat.
@@ -135,7 +135,7 @@
   }
 
   began(arrival: Arrival): void {
-    const { request: id, digest, customer, hasKey, runner } = arrival;
+    const { requestId: id, digest, customer, hasKey, instanceId: runner } = arrival;
     const entry = this.#entries.get(id);
     if (!entry) {
       this.#breach('asked', `${runner} ran ${id}, which nobody sent`);
@@ -157,10 +157,10 @@
   }
 
   ended(arrival: Arrival): void {
-    this.#entries.get(arrival.request)?.open.delete(arrival);
+    this.#entries.get(arrival.requestId)?.open.delete(arrival);
   }
 
-  ordered({ runner, holder, fence }: Order): void {
+  ordered({ instanceId: runner, holder, fence }: Order): void {
     const now = Date.now();
     const before = this.#holders.get(runner);
     this.#holders.set(runner, { holder, fence, at: now });
@@ -177,13 +177,13 @@
   }
 
   /** The store knows that a runner leaves, or stays after all. */
-  leaving(listing: string, leaves: boolean): void {
+  setDraining(listing: string, leaves: boolean): void {
     if (leaves) this.#leaving.set(listing, Date.now());
     else this.#leaving.delete(listing);
   }
 
   /** A runner names a limit, or none any more. */
-  limited(runner: string, ratePerS: number | undefined): void {
+  setRateLimit(runner: string, ratePerS: number | undefined): void {
     if (ratePerS === undefined) this.#limits.delete(runner);
     else this.#limits.set(runner, { ratePerS, since: Date.now(), at: [] });
   }
@@ -205,14 +205,14 @@
   }
 
   #bound(promise: string, amount: number, most: number, what: string): void {
-    this.used[promise] = Math.max(this.used[promise] ?? 0, Math.round((amount / most) * 100) / 100);
+    this.peakUsage[promise] = Math.max(this.peakUsage[promise] ?? 0, Math.round((amount / most) * 100) / 100);
     if (amount > most) this.#breach(promise, `${what}: ${amount}, ${most} allowed`);
   }
 
   #checkGone({ request, open, leftAt = 0 }: Entry): void {
-    const calmMs = this.#context.calmMs('vm', 'runner');
+    const calmMs = this.#context.faultFreeMs('vm', 'runner');
     if (open.size === 0 || calmMs < CALM_MS + GONE_MS) return;
-    const runners = [...open].map(({ runner }) => runner).join(' ');
+    const runners = [...open].map(({ instanceId: runner }) => runner).join(' ');
     this.#breach(
       'gone',
       `${request.id}: ${runners} at work ${Date.now() - leftAt} ms after its caller left`,
@@ -251,10 +251,10 @@
     this.#bound('budget', repeats, most, 'repeats in 10 s');
   }
 
-  #checkLeaving(now: number, { request, runner }: Arrival): void {
+  #checkLeaving(now: number, { requestId: request, instanceId: runner }: Arrival): void {
     const listing = runner.split('@')[0] ?? '';
     const forMs = now - (this.#leaving.get(listing) ?? Infinity);
-    if (forMs > DRAIN_MS && this.#context.calmMs('vm', 'store') >= forMs) {
+    if (forMs > DRAIN_MS && this.#context.faultFreeMs('vm', 'store') >= forMs) {
       this.#breach(
         'drain',
         `${request} reached ${runner} ${forMs} ms after it said that it leaves`,
@@ -269,7 +269,7 @@
     while ((limit.at[0] ?? now) < now - LIMIT_WINDOW_MS) limit.at.shift();
     const most = (limit.ratePerS * LIMIT_WINDOW_MS * LIMIT_OVERAGE) / 1000 + LIMIT_SLACK;
     const isSettled = now - limit.since > LIMIT_SETTLED_MS;
-    const isCalm = this.#context.calmMs('vm') >= CALM_MS;
+    const isCalm = this.#context.faultFreeMs('vm') >= CALM_MS;
     if (isSettled && isCalm) this.#bound('limit', limit.at.length, most, `${runner} in 4 s`);
   }
 }
--- a/scripts/soak/main.ts
+++ b/scripts/soak/main.ts
@@ -34,7 +34,7 @@
   const { seed, minutes, vms, runners, rate, faults, report } = flags;
   const timeline = new Timeline(print);
   const soak = new Soak(
-    { seed, seconds: minutes * 60, vms, runners, perS: rate, faults: faults?.split(',') },
+    { seed, seconds: minutes * 60, vms, runners, ratePerS: rate, faults: faults?.split(',') },
     timeline,
   );
   process.once('SIGTERM', () => process.exit(1));
@@ -49,7 +49,7 @@
     seed,
     ...totals,
     faults: soak.faultCounts,
-    used: soak.used,
+    used: soak.peakUsage,
     breaches: breaches.length,
     ...logs,
   });
--- a/scripts/soak/plan.ts
+++ b/scripts/soak/maintenance.ts
@@ -2,16 +2,16 @@
 
 import { setTimeout as pause } from 'node:timers/promises';
 
-import type { Place, RunnerPool } from './pool';
+import type { PooledRunner, RunnerPool } from './pool';
 
 /** What planned work is done with. */
-export interface PlanContext {
+export interface MaintenanceContext {
   readonly random: () => number;
   readonly pool: RunnerPool;
   /** A runner says that it leaves, or is back. */
-  readonly onLeaving: (listing: string, leaves: boolean) => void;
+  readonly onDraining: (listing: string, leaves: boolean) => void;
   /** A start of a runner names a limit, or none any more. */
-  readonly onLimit: (runner: string, ratePerS: number | undefined) => void;
+  readonly onRateLimit: (runner: string, ratePerS: number | undefined) => void;
 }
 
 const PACE_MS = 5000;
@@ -23,12 +23,12 @@
 const LIMIT_MOST_PER_S = 1.5;
 
 /** Does planned work until the end. */
-export class Plan {
-  readonly #context: PlanContext;
+export class Maintenance {
+  readonly #context: MaintenanceContext;
 
-  readonly #busy = new Set<Place>();
+  readonly #busy = new Set<PooledRunner>();
 
-  constructor(context: PlanContext) {
+  constructor(context: MaintenanceContext) {
     this.#context = context;
   }
 
@@ -37,27 +37,27 @@
     const open: Promise<void>[] = [];
     while (Date.now() < until) {
       await pause(PACE_MS * (0.5 + random()));
-      const free = pool.places.filter((place) => place.runner.up && !this.#busy.has(place));
+      const free = pool.members.filter((place) => place.runner.isUp && !this.#busy.has(place));
       const place = free[Math.floor(random() * free.length)];
       if (place) open.push(random() < 0.5 ? this.#leave(place) : this.#limit(place, until));
     }
     await Promise.all(open);
   }
 
-  async #leave(place: Place): Promise<void> {
-    const { pool, onLeaving } = this.#context;
-    const { listing } = place.runner;
+  async #leave(place: PooledRunner): Promise<void> {
+    const { pool, onDraining: onLeaving } = this.#context;
+    const { runnerId: listing } = place.runner;
     this.#busy.add(place);
-    pool.leave(place);
+    pool.drain(place);
     onLeaving(listing, true);
     await pause(LEAVE_MS);
-    if (place.runner.up) await pool.restart(place, DOWN_MS);
+    if (place.runner.isUp) await pool.restart(place, DOWN_MS);
     onLeaving(listing, false);
     this.#busy.delete(place);
   }
 
-  async #limit(place: Place, until: number): Promise<void> {
-    const { random, onLimit } = this.#context;
+  async #limit(place: PooledRunner, until: number): Promise<void> {
+    const { random, onRateLimit: onLimit } = this.#context;
     const { runner } = place;
     const { id } = runner;
     this.#busy.add(place);
--- a/scripts/soak/mesh.ts
+++ b/scripts/soak/mesh.ts
@@ -1,7 +1,7 @@
 /** The links of VMs: each to the store and, in small runs, each to every other one has a proxy of its own. */
 
 import { LinkProxy } from './proxy';
-import type { LinkMood } from './proxy';
+import type { LinkState } from './proxy';
 import type { Vm } from './vm';
 import { PEER_PORT } from './vm';
 
@@ -37,7 +37,7 @@
       const host = `${this.#net}.4.${index + 1}`;
       await link.start(host, PEER_PORT);
       this.storeLinks.push(link);
-      vm.route(store, `${host}:${PEER_PORT}`);
+      vm.redirect(store, `${host}:${PEER_PORT}`);
     }
     if (this.#vms.length > PAIRS_MOST) return;
     for (const [from, vm] of this.#vms.entries()) {
@@ -46,23 +46,23 @@
       for (const [to, other] of this.#vms.entries()) {
         if (other !== vm) {
           const host = `${this.#net}.${10 + from}.${to + 1}`;
-          const link = new LinkProxy(other.peer);
+          const link = new LinkProxy(other.peerAddress);
           await link.start(host, PEER_PORT);
           links.set(other, link);
-          vm.route(other.peer, `${host}:${PEER_PORT}`);
+          vm.redirect(other.peerAddress, `${host}:${PEER_PORT}`);
         }
       }
     }
   }
 
   /** Cuts a VM off from others, or in one direction only; `well` heals it. */
-  cut(vm: Vm, others: readonly Vm[], mood: LinkMood): void {
+  cut(vm: Vm, others: readonly Vm[], mood: LinkState): void {
     for (const other of others) {
       this.#set(vm, other, mood);
       this.#set(other, vm, mood === 'forward' ? 'back' : mood);
-      vm.lose(other.place.ip, mood !== 'well');
+      vm.setDatagramLoss(other.place.ip, mood !== 'well');
       // Where one direction passes, so do its datagrams.
-      other.lose(vm.place.ip, mood !== 'well' && mood !== 'forward');
+      other.setDatagramLoss(vm.place.ip, mood !== 'well' && mood !== 'forward');
     }
   }
 
@@ -78,7 +78,7 @@
     for (const links of this.#pairs.values()) for (const link of links.values()) link.stop();
   }
 
-  #set(from: Vm, to: Vm, mood: LinkMood): void {
+  #set(from: Vm, to: Vm, mood: LinkState): void {
     const link = this.#pairs.get(from)?.get(to);
     if (link) link.mood = mood;
   }
--- a/scripts/soak/operator.ts
+++ b/scripts/soak/operator.ts
@@ -5,12 +5,12 @@
 
 import { call } from '../../test/fakes/http';
 import type { FakeStore } from '../../test/fakes/store';
-import type { CallerWitness, KeySource } from './callers';
-import { prefixes } from './callers';
+import type { CallerObserver, KeySource } from './callers';
+import { routePrefixes } from './callers';
 import { services } from './pool';
 import type { SentRequest } from './requests';
-import type { Breach } from './promises';
-import { figures } from './runner';
+import type { Breach } from './guarantees';
+import { runnerProfile } from './runner';
 import type { Vm } from './vm';
 import { bounds } from './vm';
 
@@ -41,9 +41,9 @@
   readonly vms: readonly Vm[];
   readonly random: () => number;
   readonly onBreach: (breach: Breach) => void;
-  readonly onSent: CallerWitness['sent'];
+  readonly onSent: CallerObserver['sent'];
   /** Time since the last fault of VMs or store ended, in milliseconds. */
-  readonly calmMs: () => number;
+  readonly faultFreeMs: () => number;
 }
 
 /** Configurations of one run. */
@@ -75,7 +75,7 @@
   }
 
   /** Mostly a key that is held; some callers go on with one that was taken away. */
-  draw(): Key {
+  drawKey(): Key {
     const { random } = this.#context;
     const isOld = this.#old.length > 0 && random() < OLD_KEY_PART;
     const keys = isOld ? this.#old : this.#keys;
@@ -92,13 +92,13 @@
   }
 
   /** Writes the next configuration. */
-  write(): void {
+  writeNext(): void {
     this.#version += 1;
-    this.writeAgain();
+    this.rewrite();
   }
 
   /** Writes the configuration in force once more: the store may have lost it. */
-  writeAgain(): void {
+  rewrite(): void {
     this.#writtenAt = Date.now();
     this.#context.store.put('op/config', this.#config());
   }
@@ -118,7 +118,7 @@
         this.#revoked.set(taken.key, Date.now());
         this.#old = [taken, ...this.#old].slice(0, OLD_KEYS);
       }
-      this.write();
+      this.writeNext();
     }
   }
 
@@ -126,7 +126,9 @@
     while (Date.now() < until) {
       await pause(PROBE_MS);
       await Promise.all(
-        this.#context.vms.filter(({ up, frozen }) => up && !frozen).map((vm) => this.#ask(vm)),
+        this.#context.vms
+          .filter(({ isUp: up, isPaused: frozen }) => up && !frozen)
+          .map((vm) => this.#ask(vm)),
       );
     }
   }
@@ -136,10 +138,10 @@
     const version = this.#version;
     const writtenAt = this.#writtenAt;
     const askedAt = Date.now();
-    const life = `${vm.place.name}/${vm.lives}`;
+    const life = `${vm.place.name}/${vm.startCount}`;
     const status = await this.#statusOf(vm, version);
-    if (life !== `${vm.place.name}/${vm.lives}`) return;
-    const isLate = askedAt - writtenAt > APPLY_MS && this.#context.calmMs() > APPLY_MS;
+    if (life !== `${vm.place.name}/${vm.startCount}`) return;
+    const isLate = askedAt - writtenAt > APPLY_MS && this.#context.faultFreeMs() > APPLY_MS;
     // A newer version that came meanwhile has dropped the route.
     if (status === 404 && isLate && version === this.#version) {
       this.#breach('config', `${life} does not know version ${version}`);
@@ -164,7 +166,7 @@
       customer: held?.customer,
       key: held?.key,
     };
-    this.#context.onSent(sent, vm.front);
+    this.#context.onSent(sent, vm.frontAddress);
     const headers = {
       host: HOST,
       'request-id': sent.id,
@@ -172,7 +174,7 @@
       authorization: `Bearer ${held?.key}`,
       connection: 'close',
     };
-    const answer = call('POST', `http://${vm.front}${sent.path}`, sent.body, headers);
+    const answer = call('POST', `http://${vm.frontAddress}${sent.path}`, sent.body, headers);
     const limit = pause(1500, undefined, { ref: false });
     return (await Promise.race([answer.catch(() => undefined), limit]))?.status ?? 0;
   }
@@ -200,21 +202,21 @@
         ...(QUOTAS[name] ? { 'rate-per-s': QUOTAS[name].ratePerS, burst: QUOTAS[name].burst } : {}),
       })),
       routes: [
-        route('look', prefixes.repeatable, 'idempotent', plain),
-        route('pay', prefixes.once, 'non_idempotent', plain),
-        route('read', prefixes.stream, 'streaming', model),
-        route('note', prefixes.resumable, 'streaming', { ...model, resumable: true }),
+        route('look', routePrefixes.repeatable, 'idempotent', plain),
+        route('pay', routePrefixes.once, 'non_idempotent', plain),
+        route('read', routePrefixes.stream, 'streaming', model),
+        route('note', routePrefixes.resumable, 'streaming', { ...model, resumable: true }),
         route('version', `/version/${this.#version}/`, 'idempotent', plain),
       ],
       services: [
         {
           name: services.model,
           engine: {
-            slots: figures.slots,
-            'kv-capacity-tokens': figures.memoryTokens,
-            stride: figures.eventTokens,
-            'kv-hold-s': figures.keepMs / 1000,
-            'switch-s': figures.switchMs / 1000,
+            slots: runnerProfile.slots,
+            'kv-capacity-tokens': runnerProfile.memoryTokens,
+            stride: runnerProfile.eventTokens,
+            'kv-hold-s': runnerProfile.cacheHoldMs / 1000,
+            'switch-s': runnerProfile.roleSwitchMs / 1000,
           },
         },
         { name: services.plain },
--- a/scripts/soak/pool.ts
+++ b/scripts/soak/pool.ts
@@ -15,7 +15,7 @@
 const PORT = 8528;
 
 /** A runner and where it is. */
-export interface Place {
+export interface PooledRunner {
   readonly runner: SoakRunner;
   /** Where it listens. */
   readonly host: string;
@@ -26,7 +26,7 @@
 
 /** All runners. */
 export class RunnerPool {
-  readonly places: Place[] = [];
+  readonly members: PooledRunner[] = [];
 
   readonly #store: FakeStore;
 
@@ -47,17 +47,17 @@
     this.#domains = domains;
     this.#context = {
       ...context,
-      onEntry: (runner) => this.list(runner),
-      take: (source) => this.#take(source),
+      onEntryChange: (runner) => this.publish(runner),
+      takeCache: (source) => this.#take(source),
     };
   }
 
-  of(role: RunnerRole): readonly Place[] {
-    return this.places.filter(({ runner }) => runner.role === role && runner.up);
+  membersUp(role: RunnerRole): readonly PooledRunner[] {
+    return this.members.filter(({ runner }) => runner.role === role && runner.isUp);
   }
 
   async add(role: RunnerRole): Promise<void> {
-    const number = this.places.length + 1;
+    const number = this.members.length + 1;
     const domain = this.#domains[number % this.#domains.length] ?? '';
     const service = role === 'plain' ? services.plain : services.model;
     const runner = new SoakRunner(role, service, domain, this.#context);
@@ -69,46 +69,46 @@
       address: `${front}:${PORT}`,
       proxy: new LinkProxy(`${host}:${PORT}`),
     };
-    this.places.push(place);
+    this.members.push(place);
     await place.proxy.start(front, PORT);
     await runner.start(host, PORT);
-    this.list(runner);
+    this.publish(runner);
   }
 
   /** A runner ends and starts again under its id; its entry lapses if that takes long. */
-  async restart(place: Place, downMs: number): Promise<void> {
+  async restart(place: PooledRunner, downMs: number): Promise<void> {
     const { runner, host } = place;
     await runner.crash();
-    const lapses = setTimeout(() => this.#store.remove(`servers/${runner.listing}`), LAPSE_MS);
+    const lapses = setTimeout(() => this.#store.remove(`servers/${runner.runnerId}`), LAPSE_MS);
     await pause(downMs);
     clearTimeout(lapses);
-    runner.leaving = false;
+    runner.isDraining = false;
     await runner.start(host, PORT);
-    this.list(runner);
+    this.publish(runner);
   }
 
   /** A runner says that it leaves. */
-  leave({ runner }: Place): void {
+  drain({ runner }: PooledRunner): void {
     const leaving = runner;
-    leaving.leaving = true;
-    this.list(runner);
+    leaving.isDraining = true;
+    this.publish(runner);
   }
 
   /** A runner writes its entry. */
-  list(runner: SoakRunner): void {
-    const place = this.places.find((one) => one.runner === runner);
-    if (!place || !runner.up) return;
-    this.#store.put(`servers/${runner.listing}`, runner.entry(place.address));
+  publish(runner: SoakRunner): void {
+    const place = this.members.find((one) => one.runner === runner);
+    if (!place || !runner.isUp) return;
+    this.#store.put(`servers/${runner.runnerId}`, runner.entry(place.address));
   }
 
   async stop(): Promise<void> {
-    for (const { proxy } of this.places) proxy.stop();
-    await Promise.all(this.places.map(({ runner }) => runner.crash()));
+    for (const { proxy } of this.members) proxy.stop();
+    await Promise.all(this.members.map(({ runner }) => runner.crash()));
   }
 
   #take(source: string): boolean {
     const [address = '', handle = ''] = source.split('/');
-    const place = this.places.find((one) => one.address === address);
-    return place?.runner.take(handle) ?? false;
+    const place = this.members.find((one) => one.address === address);
+    return place?.runner.takeCache(handle) ?? false;
   }
 }
--- a/scripts/soak/proxy.ts
+++ b/scripts/soak/proxy.ts
@@ -4,7 +4,7 @@
 import { connect, createServer } from 'node:net';
 
 /** What becomes of bytes: `forward` and `back` are the only way that passes; `silent` passes none; `refuse` takes no connection. */
-export type LinkMood = 'well' | 'silent' | 'forward' | 'back' | 'refuse';
+export type LinkState = 'well' | 'silent' | 'forward' | 'back' | 'refuse';
 
 interface Pair {
   readonly client: Socket;
@@ -22,19 +22,19 @@
 
   readonly #pairs = new Set<Pair>();
 
-  #mood: LinkMood = 'well';
+  #mood: LinkState = 'well';
 
   constructor(target: string) {
     this.#target = target;
     this.#server = createServer({ allowHalfOpen: true }, (client) => this.#join(client));
   }
 
-  get mood(): LinkMood {
+  get mood(): LinkState {
     return this.#mood;
   }
 
   /** Connections that were silenced stay so for good; new ones go by the new mood. */
-  set mood(mood: LinkMood) {
+  set mood(mood: LinkState) {
     this.#mood = mood;
     for (const pair of this.#pairs) this.#apply(pair);
   }
--- a/scripts/soak/report.ts
+++ b/scripts/soak/report.ts
@@ -41,7 +41,7 @@
 }
 
 /** One plot as SVG. */
-export function plot(
+export function renderPlot(
   title: string,
   seconds: readonly Second[],
   faults: readonly FaultSpan[],
@@ -79,23 +79,23 @@
 }
 
 /** All plots of a run. */
-export function plots({ seconds, faults }: Timeline): readonly string[] {
+export function renderPlots({ seconds, faults }: Timeline): readonly string[] {
   const of = (value: (second: Second) => number): readonly number[] => seconds.map(value);
   const outcomes = Object.keys(colours) as readonly Outcome[];
   const finite = (value: number): number | null => (Number.isFinite(value) ? value : null);
   return [
-    plot(
+    renderPlot(
       'Requests a second by outcome',
       seconds,
       faults,
       outcomes.map((name) => ({ name, stack: 'all', values: of((one) => one.outcomes[name]) })),
     ),
-    plot('Time of answers that were served, ms', seconds, faults, [
+    renderPlot('Time of answers that were served, ms', seconds, faults, [
       { name: 'median', values: of(({ medianMs }) => medianMs) },
       { name: '95th percentile', values: of(({ p95Ms }) => p95Ms) },
     ]),
-    plot('VMs up', seconds, faults, [{ name: 'up', values: of(({ vmsUp }) => vmsUp) }]),
-    plot('Configuration by which VMs say that they go', seconds, faults, [
+    renderPlot('VMs up', seconds, faults, [{ name: 'up', values: of(({ vmsUp }) => vmsUp) }]),
+    renderPlot('Configuration by which VMs say that they go', seconds, faults, [
       { name: 'lowest', values: seconds.map(({ configLow }) => finite(configLow)) },
       { name: 'highest', values: seconds.map(({ configHigh }) => finite(configHigh)) },
     ]),
@@ -123,7 +123,7 @@
     '<style>body{font-family:sans-serif;margin:2em}td{padding:0 1em 0 0}</style>',
     `<h1>${escape(title)}</h1>`,
     `<p>${escape(JSON.stringify(timeline.totals))}</p>`,
-    ...plots(timeline),
+    ...renderPlots(timeline),
     '<h2>Broken promises</h2>',
     broken,
     '<h2>Faults</h2>',
--- a/scripts/soak/requests.ts
+++ b/scripts/soak/requests.ts
@@ -38,6 +38,6 @@
 }
 
 /** Events that a request's body asks for. */
-export function eventsIn(body: string): number {
+export function eventCountOf(body: string): number {
   return Number(/events=(\d+)/.exec(body)?.[1] ?? 0);
 }
--- a/scripts/soak/runner.ts
+++ b/scripts/soak/runner.ts
@@ -8,15 +8,15 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
 import { closeServer, listen, readBody, sendJson } from '../../test/fakes/http';
-import { digestOf, eventOf, eventsIn, plainAnswer, signatureOf } from './requests';
+import { digestOf, eventOf, eventCountOf, plainAnswer, signatureOf } from './requests';
 
 export type RunnerRole = 'prefill' | 'decode' | 'plain';
 
 /** A request as a runner saw it. */
 export interface Arrival {
-  readonly request: string;
+  readonly requestId: string;
   /** Id of the start of the runner. */
-  readonly runner: string;
+  readonly instanceId: string;
   readonly role: RunnerRole;
   readonly service: string;
   readonly digest: string;
@@ -26,13 +26,13 @@
 
 /** An order as a runner saw it. */
 export interface Order {
-  readonly runner: string;
+  readonly instanceId: string;
   readonly holder: string;
   readonly fence: number;
 }
 
 /** What is told of runners. */
-export interface RunnerWitness {
+export interface RunnerObserver {
   /** A request came, whether it will run or not. */
   arrived(arrival: Arrival): void;
   /** It runs. */
@@ -44,45 +44,45 @@
 
 /** What a runner works with. */
 export interface RunnerContext {
-  readonly witness: RunnerWitness;
+  readonly witness: RunnerObserver;
   readonly random: () => number;
   /** Called when its entry in the store has changed. */
-  readonly onEntry: (runner: SoakRunner) => void;
+  readonly onEntryChange: (runner: SoakRunner) => void;
   /** Takes a cache handle, `HOST:PORT/HANDLE`, from the runner that keeps it; whether it was there. */
-  readonly take: (source: string) => boolean;
+  readonly takeCache: (source: string) => boolean;
 }
 
 /** How a runner treats requests. Parts are of all requests, from 0 to 1. */
-export interface RunnerMood {
-  readonly failPart: number;
-  readonly shedPart: number;
-  readonly cutPart: number;
-  readonly mutePart: number;
+export interface RunnerBehaviour {
+  readonly failRatio: number;
+  readonly shedRatio: number;
+  readonly cutRatio: number;
+  readonly hangRatio: number;
   /** Its work takes so many times as long. */
-  readonly slowness: number;
+  readonly slowdown: number;
 }
 
 /** A runner that does its work. */
-export const wellMood: RunnerMood = {
-  failPart: 0,
-  shedPart: 0,
-  cutPart: 0,
-  mutePart: 0,
-  slowness: 1,
+export const healthyBehaviour: RunnerBehaviour = {
+  failRatio: 0,
+  shedRatio: 0,
+  cutRatio: 0,
+  hangRatio: 0,
+  slowdown: 1,
 };
 
 /** Figures of all engines and plain instances. */
-export const figures = {
+export const runnerProfile = {
   memoryTokens: 20_000,
   slots: 16,
   eventTokens: 7,
-  keepMs: 500,
-  switchMs: 3000,
+  cacheHoldMs: 500,
+  roleSwitchMs: 3000,
   prefillTokenMs: 0.02,
   eventMs: 60,
   plainMs: 30,
   plainSlots: 6,
-  plainWaiting: 6,
+  plainQueueSlots: 6,
 } as const;
 
 /** An answer of a runner. */
@@ -145,24 +145,24 @@
 
 /** One runner at one address; it may be started again. */
 export class SoakRunner {
-  readonly listing = `i-${randomUUID().slice(0, 8)}`;
+  readonly runnerId = `i-${randomUUID().slice(0, 8)}`;
 
   readonly service: string;
 
   readonly domain: string;
 
-  mood: RunnerMood = wellMood;
+  behaviour: RunnerBehaviour = healthyBehaviour;
 
   /** Requests a second that it names in its answers. Default: none. */
   ratePerS: number | undefined;
 
-  leaving = false;
+  isDraining = false;
 
   #role: RunnerRole;
 
   readonly #context: RunnerContext;
 
-  readonly #witness: RunnerWitness;
+  readonly #witness: RunnerObserver;
 
   readonly #random: () => number;
 
@@ -198,10 +198,10 @@
 
   /** Id of this start. */
   get id(): string {
-    return `${this.listing}@${this.#bornAt}`;
+    return `${this.runnerId}@${this.#bornAt}`;
   }
 
-  get up(): boolean {
+  get isUp(): boolean {
     return this.#server !== undefined;
   }
 
@@ -212,8 +212,8 @@
       address,
       zone: this.domain,
       version: 'v1',
-      slots: this.#role === 'plain' ? figures.plainSlots : figures.slots,
-      state: this.leaving ? 'draining' : 'ready',
+      slots: this.#role === 'plain' ? runnerProfile.plainSlots : runnerProfile.slots,
+      state: this.isDraining ? 'draining' : 'ready',
       'cold-remaining-ms': 0,
       sequence: this.#sequence,
       born: this.#bornAt,
@@ -235,7 +235,7 @@
   }
 
   /** Gives a kept cache away; whether it was there. */
-  take(handle: string): boolean {
+  takeCache(handle: string): boolean {
     const kept = this.#kept.get(handle);
     this.#kept.delete(handle);
     return kept !== undefined && kept.until >= Date.now();
@@ -274,7 +274,7 @@
       queued: 0,
       running: this.#runs.size,
       'kv-used': this.#usedTokens,
-      'kv-total': figures.memoryTokens,
+      'kv-total': runnerProfile.memoryTokens,
       'kv-handles': this.#kept.size,
       born: this.#bornAt,
       runs: [...this.#runs].map(([id, tokens]) => [id, tokens, 0, 5]),
@@ -284,7 +284,7 @@
   #order(res: ServerResponse, body: Readonly<Record<string, unknown>>): void {
     const { holder, expected, stage } = body;
     const fence = Number(body['fencing-token']);
-    this.#witness.ordered({ runner: this.id, holder: String(holder), fence });
+    this.#witness.ordered({ instanceId: this.id, holder: String(holder), fence });
     if (fence < this.#fence) sendJson(res, 412, {});
     else if (this.#isChanging || expected !== this.#sequence) sendJson(res, 409, {});
     else if (stage === this.#role) sendJson(res, 200, {});
@@ -298,8 +298,8 @@
         if (this.#bornAt !== born) return;
         this.#role = stage as RunnerRole;
         this.#isChanging = false;
-        this.#context.onEntry(this);
-      }, figures.switchMs).unref();
+        this.#context.onEntryChange(this);
+      }, runnerProfile.roleSwitchMs).unref();
     }
   }
 
@@ -309,22 +309,22 @@
     const id = String(headers['request-id'] ?? '');
     const isPrefill = headers['serving-stage'] === 'prefill';
     const arrival: Arrival = {
-      request: id,
-      runner: this.id,
+      requestId: id,
+      instanceId: this.id,
       role: isPrefill ? 'prefill' : this.#role,
       service: this.service,
       digest: digestOf(pathname, body),
       customer: headers['tenant-id']?.toString(),
       hasKey: headers.authorization !== undefined,
     };
-    const answer = new Reply(res, id, this.listing, this.ratePerS);
+    const answer = new Reply(res, id, this.runnerId, this.ratePerS);
     const wrongStage = isPrefill !== (this.#role === 'prefill');
-    if (headers['expected-instance'] !== this.listing || wrongStage) {
+    if (headers['expected-instance'] !== this.runnerId || wrongStage) {
       answer.reject(421);
       return;
     }
     this.#witness.arrived(arrival);
-    if (this.#random() < this.mood.shedPart || this.#isChanging) {
+    if (this.#random() < this.behaviour.shedRatio || this.#isChanging) {
       answer.reject(503);
       return;
     }
@@ -338,9 +338,9 @@
       const source = headers['kv-source']?.toString();
       const after = Number(headers['last-event-id'] ?? 0);
       const isRead = source !== undefined;
-      if (isRead && !this.#context.take(source)) answer.reject(503);
+      if (isRead && !this.#context.takeCache(source)) answer.reject(503);
       else {
-        const job = { tokens, events: eventsIn(body), after, isRead };
+        const job = { tokens, events: eventCountOf(body), after, isRead };
         await this.#decode(arrival, answer, job, deadline.signal);
       }
     }
@@ -348,34 +348,35 @@
   }
 
   async #prefill(arrival: Arrival, answer: Reply, tokens: number): Promise<void> {
-    if (this.#usedTokens + tokens > figures.memoryTokens) {
+    if (this.#usedTokens + tokens > runnerProfile.memoryTokens) {
       answer.reject(503);
       return;
     }
     this.#witness.began(arrival);
     const handle = randomUUID().slice(0, 12);
     this.#kept.set(handle, { tokens, until: Infinity });
-    await pause(tokens * figures.prefillTokenMs * this.mood.slowness);
-    this.#kept.set(handle, { tokens, until: Date.now() + figures.keepMs });
+    await pause(tokens * runnerProfile.prefillTokenMs * this.behaviour.slowdown);
+    this.#kept.set(handle, { tokens, until: Date.now() + runnerProfile.cacheHoldMs });
     this.#witness.ended(arrival);
-    if (this.#random() < this.mood.failPart) answer.fail();
+    if (this.#random() < this.behaviour.failRatio) answer.fail();
     else answer.json({ 'kv-handle': handle, tokens, version: 1 });
   }
 
   async #plain(arrival: Arrival, answer: Reply, signal: AbortSignal): Promise<void> {
-    if (this.#plainRuns >= figures.plainSlots + figures.plainWaiting) {
+    if (this.#plainRuns >= runnerProfile.plainSlots + runnerProfile.plainQueueSlots) {
       answer.reject(503);
       return;
     }
     this.#plainRuns += 1;
     this.#witness.began(arrival);
-    const factor = Math.max(1, this.#plainRuns / figures.plainSlots) * this.mood.slowness;
-    await this.#work(figures.plainMs * factor, signal);
+    const factor =
+      Math.max(1, this.#plainRuns / runnerProfile.plainSlots) * this.behaviour.slowdown;
+    await this.#work(runnerProfile.plainMs * factor, signal);
     this.#plainRuns -= 1;
     this.#witness.ended(arrival);
-    if (this.#random() < this.mood.failPart) answer.fail();
-    else if (this.#random() < this.mood.cutPart) answer.cut();
-    else answer.text(plainAnswer(arrival.request, arrival.digest));
+    if (this.#random() < this.behaviour.failRatio) answer.fail();
+    else if (this.#random() < this.behaviour.cutRatio) answer.cut();
+    else answer.text(plainAnswer(arrival.requestId, arrival.digest));
   }
 
   async #decode(
@@ -389,17 +390,20 @@
     },
     signal: AbortSignal,
   ): Promise<void> {
-    const need = job.tokens + job.events * figures.eventTokens;
-    if (this.#usedTokens + need > figures.memoryTokens || this.#runs.size >= figures.slots) {
+    const need = job.tokens + job.events * runnerProfile.eventTokens;
+    if (
+      this.#usedTokens + need > runnerProfile.memoryTokens ||
+      this.#runs.size >= runnerProfile.slots
+    ) {
       answer.reject(503);
       return;
     }
     this.#witness.began(arrival);
-    this.#runs.set(arrival.request, need);
-    if (!job.isRead) await this.#work(job.tokens * figures.prefillTokenMs * 2, signal);
-    if (this.#random() < this.mood.failPart) answer.fail();
+    this.#runs.set(arrival.requestId, need);
+    if (!job.isRead) await this.#work(job.tokens * runnerProfile.prefillTokenMs * 2, signal);
+    if (this.#random() < this.behaviour.failRatio) answer.fail();
     else await this.#stream(arrival, answer, job.after, job.events, signal);
-    this.#runs.delete(arrival.request);
+    this.#runs.delete(arrival.requestId);
     this.#witness.ended(arrival);
   }
 
@@ -411,9 +415,9 @@
     signal: AbortSignal,
   ): Promise<void> {
     const cutsAt =
-      this.#random() < this.mood.cutPart ? after + 1 + this.#random() * events : Infinity;
+      this.#random() < this.behaviour.cutRatio ? after + 1 + this.#random() * events : Infinity;
     for (let event = after + 1; event <= events && !signal.aborted; event += 1) {
-      await this.#work(figures.eventMs, signal);
+      await this.#work(runnerProfile.eventMs, signal);
       if (event >= cutsAt) {
         answer.cut(eventOf(event, digest).slice(0, 5));
         return;
@@ -426,8 +430,8 @@
 
   /** Works for a time, or for ever where it falls silent, until the request has left. */
   async #work(ms: number, signal: AbortSignal): Promise<void> {
-    const isMute = this.#random() < this.mood.mutePart;
-    const forMs = isMute ? 60_000 : ms * this.mood.slowness;
+    const isMute = this.#random() < this.behaviour.hangRatio;
+    const forMs = isMute ? 60_000 : ms * this.behaviour.slowdown;
     await pause(forMs, undefined, { signal, ref: false }).catch(() => undefined);
   }
 }
--- a/scripts/soak/soak.ts
+++ b/scripts/soak/soak.ts
@@ -9,13 +9,13 @@
 import { FakeStore } from '../../test/fakes/store';
 import { seeded } from '../../test/fakes/virtual/workload';
 import { CallerGroup } from './callers';
-import { Faults } from './faults';
+import { FaultInjector } from './faults';
 import { Mesh } from './mesh';
 import { Operator } from './operator';
-import { Plan } from './plan';
+import { Maintenance } from './maintenance';
 import { RunnerPool } from './pool';
-import type { Breach } from './promises';
-import { Promises } from './promises';
+import type { Breach } from './guarantees';
+import { GuaranteeChecker } from './guarantees';
 import type { FleetView, Timeline } from './timeline';
 import { Vm } from './vm';
 
@@ -27,7 +27,7 @@
   /** Runners that decode, and as many plain ones; a third as many prefill. */
   readonly runners: number;
   /** Requests a second of all callers. */
-  readonly perS: number;
+  readonly ratePerS: number;
   /** Kinds of faults to draw from. Default: all. */
   readonly faults: readonly string[] | undefined;
 }
@@ -54,13 +54,13 @@
 
   readonly #mesh: Mesh;
 
-  readonly #promises: Promises;
+  readonly #promises: GuaranteeChecker;
 
   readonly #operator: Operator;
 
   readonly #pool: RunnerPool;
 
-  readonly #faults: Faults;
+  readonly #faults: FaultInjector;
 
   readonly #net: string;
 
@@ -74,31 +74,31 @@
     const random = seeded(seed);
     const store = this.#store;
     const vms = this.#vms;
-    const onBreach = (breach: Breach): void => timeline.breach(breach);
+    const onBreach = (breach: Breach): void => timeline.recordBreach(breach);
     this.#operator = new Operator({
       store,
       vms,
       random: seeded(seed + 1),
       onBreach,
       onSent: (request) => this.#promises.sent(request),
-      calmMs: () => this.#faults.calmMs('vm', 'store'),
+      faultFreeMs: () => this.#faults.faultFreeMs('vm', 'store'),
     });
-    this.#promises = new Promises({
+    this.#promises = new GuaranteeChecker({
       onBreach,
-      calmMs: (...families) => this.#faults.calmMs(...families),
+      faultFreeMs: (...families) => this.#faults.faultFreeMs(...families),
       revokedAt: (key) => this.#operator.revokedAt(key),
       quotaOf: (customer) => this.#operator.quotaOf(customer),
     });
     const witness = this.#promises;
     this.#pool = new RunnerPool(store, { witness, random: seeded(seed + 2) }, this.#net, DOMAINS);
-    this.#faults = new Faults(
+    this.#faults = new FaultInjector(
       {
         random,
         vms,
         mesh: this.#mesh,
         store,
         pool: this.#pool,
-        onReturn: () => this.#operator.writeAgain(),
+        onStoreRestored: () => this.#operator.rewrite(),
         onFault: (id, name, target, begins) => timeline.fault(id, name, target, begins),
       },
       options.faults,
@@ -111,8 +111,8 @@
   }
 
   /** The most that was seen of each bounded amount, as a part of what is allowed. */
-  get used(): Readonly<Record<string, number>> {
-    return this.#promises.used;
+  get peakUsage(): Readonly<Record<string, number>> {
+    return this.#promises.peakUsage;
   }
 
   async run(): Promise<void> {
@@ -120,11 +120,11 @@
       await this.#start();
       const until = Date.now() + this.#options.seconds * 1000;
       const ticks = setInterval(() => this.#tick(), SECOND_MS);
-      const plan = new Plan({
+      const plan = new Maintenance({
         random: seeded(this.#options.seed + 3),
         pool: this.#pool,
-        onLeaving: (listing, leaves) => this.#promises.leaving(listing, leaves),
-        onLimit: (runner, ratePerS) => this.#promises.limited(runner, ratePerS),
+        onDraining: (listing, leaves) => this.#promises.setDraining(listing, leaves),
+        onRateLimit: (runner, ratePerS) => this.#promises.setRateLimit(runner, ratePerS),
       });
       await Promise.all([
         this.#faults.run(until),
@@ -140,22 +140,22 @@
   }
 
   #callers(until: number): readonly Promise<void>[] {
-    const { seed, perS } = this.#options;
+    const { seed, ratePerS: perS } = this.#options;
     const promises = this.#promises;
     const timeline = this.#timeline;
     return Array.from({ length: CALLER_GROUPS }, (_, group) =>
       new CallerGroup({
-        witness: {
+        observer: {
           sent: (request) => promises.sent(request),
           answered: (request, vm, answer) => {
-            timeline.answered(answer);
+            timeline.recordAnswer(answer);
             promises.answered(request, vm, answer);
           },
-          left: (request) => promises.left(request),
+          disconnected: (request) => promises.disconnected(request),
         },
         random: seeded(seed + 10 + group),
         keys: this.#operator,
-        directories: this.#vms.map(({ directory }) => directory),
+        directories: this.#vms.map(({ directoryAddress: directory }) => directory),
       }).run(perS / CALLER_GROUPS, until),
     );
   }
@@ -164,7 +164,7 @@
     const { vms, runners } = this.#options;
     this.#store.era = '0';
     await this.#store.start();
-    this.#operator.write();
+    this.#operator.writeNext();
     for (let i = 0; i < Math.ceil(runners / 3); i += 1) await this.#pool.add('prefill');
     for (let i = 0; i < runners; i += 1) {
       await this.#pool.add('decode');
@@ -201,26 +201,26 @@
 
   async #checkRecovery(): Promise<void> {
     await this.#serving(RECOVERY_MS).catch((error: Error) =>
-      this.#timeline.breach({ promise: 'recovery', detail: error.message }),
+      this.#timeline.recordBreach({ promise: 'recovery', detail: error.message }),
     );
-    for (const { ownEnds } of this.#vms) {
-      for (const detail of ownEnds) this.#timeline.breach({ promise: 'own end', detail });
+    for (const { crashes: ownEnds } of this.#vms) {
+      for (const detail of ownEnds) this.#timeline.recordBreach({ promise: 'own end', detail });
     }
   }
 
   #tick(): void {
     this.#promises.prune();
     this.#view()
-      .then((view) => this.#timeline.tick(view))
+      .then((view) => this.#timeline.recordSecond(view))
       .catch((error: Error) => console.error(error.message));
   }
 
   async #view(): Promise<FleetView> {
-    const up = this.#vms.filter((vm) => vm.up && !vm.frozen);
+    const up = this.#vms.filter((vm) => vm.isUp && !vm.isPaused);
     const beliefs = await Promise.all(
       up.map((vm) =>
         Promise.race([
-          call('GET', vm.beliefs).catch(() => undefined),
+          call('GET', vm.snapshotUrl).catch(() => undefined),
           pause(SECOND_MS / 2, undefined, { ref: false }),
         ]),
       ),
@@ -234,7 +234,7 @@
 
   async #stop(): Promise<void> {
     for (const vm of this.#vms) vm.signal('SIGKILL');
-    await Promise.all(this.#vms.map((vm) => vm.gone()));
+    await Promise.all(this.#vms.map((vm) => vm.waitForExit()));
     await this.#pool.stop();
     this.#mesh.stop();
     this.#store.stop();
--- a/scripts/soak/timeline.ts
+++ b/scripts/soak/timeline.ts
@@ -1,7 +1,7 @@
 /** What happened in a run, second by second, as JSON lines and for the report. */
 
 import type { CallerAnswer, Outcome } from './callers';
-import type { Breach } from './promises';
+import type { Breach } from './guarantees';
 
 /** One second of a run. */
 export interface Second {
@@ -63,7 +63,7 @@
     return (Date.now() - this.#began) / 1000;
   }
 
-  answered({ outcome, ms }: CallerAnswer): void {
+  recordAnswer({ outcome, ms }: CallerAnswer): void {
     this.#counts.set(outcome, (this.#counts.get(outcome) ?? 0) + 1);
     if (outcome === 'served') this.#times.push(ms);
   }
@@ -80,13 +80,13 @@
     if (span && !begins) span.to = at;
   }
 
-  breach(breach: Breach): void {
+  recordBreach(breach: Breach): void {
     this.breaches.push(breach);
     this.#print({ at: this.#at, ...breach });
   }
 
   /** One more second has passed. */
-  tick({ vmsUp, configVersions }: FleetView): void {
+  recordSecond({ vmsUp, configVersions }: FleetView): void {
     const sorted = [...this.#times].sort((a, b) => a - b);
     const second: Second = {
       second: Math.round(this.#at),
--- a/scripts/soak/vm.ts
+++ b/scripts/soak/vm.ts
@@ -34,7 +34,7 @@
 } as const;
 
 /** Where a VM is and what it is told. */
-export interface VmPlace {
+export interface VmOptions {
   readonly name: string;
   readonly ip: string;
   readonly domain: string;
@@ -48,15 +48,15 @@
 
 /** One VM; its process may be started again and again. */
 export class Vm {
-  readonly place: VmPlace;
+  readonly place: VmOptions;
 
   /** Processes that ended though nobody asked them to. */
-  readonly ownEnds: string[] = [];
+  readonly crashes: string[] = [];
 
   /** Counts the lives of its process. */
-  lives = 0;
+  startCount = 0;
 
-  frozen = false;
+  isPaused = false;
 
   #process: ChildProcess | undefined;
 
@@ -72,27 +72,27 @@
 
   #asked = false;
 
-  constructor(place: VmPlace) {
+  constructor(place: VmOptions) {
     this.place = place;
   }
 
-  get front(): string {
+  get frontAddress(): string {
     return `${this.place.ip}:${PORTS.front}`;
   }
 
-  get directory(): string {
+  get directoryAddress(): string {
     return `${this.place.ip}:${PORTS.directory}`;
   }
 
-  get peer(): string {
+  get peerAddress(): string {
     return `${this.place.ip}:${PEER_PORT}`;
   }
 
-  get beliefs(): string {
+  get snapshotUrl(): string {
     return `http://${this.place.ip}:${METRICS_PORT}/beliefs`;
   }
 
-  get up(): boolean {
+  get isUp(): boolean {
     return this.#process !== undefined;
   }
 
@@ -115,14 +115,14 @@
     child.once('exit', (code, signal) => this.#ended(code, signal));
     this.#process = child;
     this.#asked = false;
-    this.lives += 1;
+    this.startCount += 1;
   }
 
   /** Signals that end it are expected to. */
   signal(signal: NodeJS.Signals): void {
     if (signal === 'SIGTERM' || signal === 'SIGKILL') this.#asked = true;
-    if (signal === 'SIGSTOP') this.frozen = true;
-    if (signal === 'SIGCONT' || signal === 'SIGKILL') this.frozen = false;
+    if (signal === 'SIGSTOP') this.isPaused = true;
+    if (signal === 'SIGCONT' || signal === 'SIGKILL') this.isPaused = false;
     this.#process?.kill(signal);
   }
 
@@ -133,20 +133,20 @@
   }
 
   /** Has its connections to an address go to another one. */
-  route(from: string, to: string): void {
+  redirect(from: string, to: string): void {
     this.#routes.set(from, to);
     this.#tellShim();
   }
 
   /** Loses its datagrams to a host, or no longer. */
-  lose(host: string, isLost: boolean): void {
+  setDatagramLoss(host: string, isLost: boolean): void {
     if (isLost) this.#lost.add(host);
     else this.#lost.delete(host);
     this.#tellShim();
   }
 
   /** Resolves once its process is gone. */
-  async gone(): Promise<void> {
+  async waitForExit(): Promise<void> {
     const child = this.#process;
     if (!child) return;
     await new Promise((resolve) => {
@@ -177,8 +177,8 @@
 
   #ended(code: number | null, signal: NodeJS.Signals | null): void {
     this.#process = undefined;
-    this.frozen = false;
-    if (!this.#asked) this.ownEnds.push(`${this.place.name} ended with ${code ?? signal}`);
+    this.isPaused = false;
+    if (!this.#asked) this.crashes.push(`${this.place.name} ended with ${code ?? signal}`);
   }
 
   #settings(): unknown {
--- a/scripts/start.ts
+++ b/scripts/start.ts
@@ -4,7 +4,7 @@
  * With `--stay` everything keeps running until it is interrupted.
  */
 
-import { answerText } from '../test/fakes/engine/text';
+import { outputText } from '../test/fakes/engine/text';
 import type { DeploymentSpec } from '../test/fakes/deployment';
 import { Deployment, bagmati, dosel } from '../test/fakes/deployment';
 import { call } from '../test/fakes/http';
@@ -31,7 +31,7 @@
     headers,
   );
   const text = (answer.body as { choices?: { text: string }[] }).choices?.[0]?.text;
-  const ok = text === answerText(prompt, maxTokens);
+  const ok = text === outputText(prompt, maxTokens);
   const seen = ok
     ? `${text.split(' ').length - 1} tokens, whole, in ${Date.now() - began} ms`
     : JSON.stringify(answer.body);
--- a/src/cli/ctl.ts
+++ b/src/cli/ctl.ts
@@ -13,7 +13,7 @@
 import { readText } from '../node/config';
 import { call } from '../utils/http';
 import type { BurnReport } from '../types/burn';
-import { BELIEFS_PATH } from '../types/beliefs';
+import { SNAPSHOT_PATH } from '../types/snapshot';
 import { burnHtml, burnTable } from './report';
 import { lineDiff } from './diff';
 
@@ -177,7 +177,7 @@
   if (server === undefined) {
     throw new Failure('usage', 'found no address, expected: ctl node METRICS-ADDRESS');
   }
-  const url = `http://${server}${BELIEFS_PATH}`;
+  const url = `http://${server}${SNAPSHOT_PATH}`;
   const { body } = await call({ method: 'GET', url, timeoutMs: CALL_LIMIT_MS }).catch(
     (error: Error) => {
       throw new Failure('usage', `${server} does not answer: ${error.message}`);
--- a/src/node/gateway/answer.ts
+++ b/src/node/gateway/answer.ts
@@ -17,7 +17,7 @@
   }
 
   /** When the first token came, in milliseconds since 1970. */
-  get firstAt(): number | undefined {
+  get firstTokenAt(): number | undefined {
     return this.#firstAt;
   }
 
--- a/src/node/gateway/burn.ts
+++ b/src/node/gateway/burn.ts
@@ -42,7 +42,11 @@
   }
 
   /** A model request is good if it was whole and within both targets; a cancelled one counts for nothing. */
-  model(now: number, { team, serviceName, service }: ModelRequest, outcome: RunOutcome): void {
+  recordModel(
+    now: number,
+    { team, serviceName, service }: ModelRequest,
+    outcome: RunOutcome,
+  ): void {
     const record = this.#recordOf(team, serviceName);
     const { code, cancelled, firstTokenMs, tokenMs } = outcome;
     if (cancelled) {
@@ -56,7 +60,7 @@
     countOutcome(now, record, code, code === undefined && inTime);
   }
 
-  plain(now: number, team: string, service: string, code: CodeName | undefined): void {
+  recordPlain(now: number, team: string, service: string, code: CodeName | undefined): void {
     countOutcome(now, this.#recordOf(team, service), code, code === undefined);
   }
 
--- a/src/node/gateway/callers.ts
+++ b/src/node/gateway/callers.ts
@@ -64,7 +64,7 @@
     else if (pathname === '/readyz') this.#ready(res);
     else if (pathname === '/v1/addresses') this.#addresses(res);
     else if (phase() === 'leaving') this.#refuseLeaving(res);
-    else if (!fleet.ready) {
+    else if (!fleet.isReady) {
       throw new Failure('noOwner', 'the settings are not there yet', { retryAfterMs: 1000 });
     } else if (pathname === '/v1/completions' && req.method === 'POST') {
       await this.#options.models.handle(req, res, teamOf(req, fleet.settings));
@@ -78,7 +78,7 @@
   }
 
   #ready(res: ServerResponse): void {
-    const ready = this.#options.fleet.ready && this.#options.phase() === 'open';
+    const ready = this.#options.fleet.isReady && this.#options.phase() === 'open';
     sendJson(res, ready ? 200 : 503, { ready });
   }
 
@@ -121,14 +121,15 @@
       id?: string;
     };
     const run = this.#options.models.run(String(id));
-    sendJson(res, 200, { held: run !== undefined && !run.ended });
+    sendJson(res, 200, { held: run !== undefined && !run.hasEnded });
   }
 
   /** A newer attempt on another gateway reads the run: the readers here are told so. */
   #stream(res: ServerResponse, url: URL): void {
     const id = decodeURIComponent(url.pathname.slice(RELAY_PATH.length));
     const run = this.#options.models.run(id);
-    if (!run || run.ended) throw new Failure('badRequest', 'this gateway does not have that run');
+    if (!run || run.hasEnded)
+      throw new Failure('badRequest', 'this gateway does not have that run');
     run.supersede();
     const sink = new EventSink(res, { id, model: run.request.serviceName });
     run.attach(sink);
--- a/src/node/gateway/daemon.ts
+++ b/src/node/gateway/daemon.ts
@@ -8,7 +8,7 @@
 import type { Logger } from 'pino';
 
 import { codes } from '../../core/codes';
-import { OpenAnswers } from '../../utils/answers';
+import { OpenResponses } from '../../utils/responses';
 import { errorBody } from '../../utils/http';
 import { Failure } from '../../core/failure';
 import type { GatewayConfig } from '../config';
@@ -25,7 +25,7 @@
 import { ModelHandler } from './model';
 import { OperatorHandler } from './operator';
 import { PlainHandler } from './plain';
-import { Relay } from './relay';
+import { RelayClient } from './relay';
 import { SettingsEditor } from './settings';
 
 /** Where a gateway listens. */
@@ -104,7 +104,7 @@
       id: `${config.vm}-${randomUUID().slice(0, 8)}`,
       vm: config.vm,
       key: config.peerKey,
-      home: config.scheduler,
+      localScheduler: config.scheduler,
       address,
       log: logOf(log, 'peer'),
       onMessage: (link, message) => this.#models.receive(link, message),
@@ -117,12 +117,12 @@
       fleet: this.#fleet,
       runners: this.#runners,
       canceller: this.#canceller,
-      relay: new Relay(config.peerKey),
+      relay: new RelayClient(config.peerKey),
       address,
       bodyBytes: config.limits.bodyBytes,
       log: this.#log,
       metrics: this.#metrics,
-      onOutcome: (request, outcome) => burn.model(Date.now(), request, outcome),
+      onOutcome: (request, outcome) => burn.recordModel(Date.now(), request, outcome),
     });
     this.#plain = new PlainHandler({
       fleet: this.#fleet,
@@ -131,7 +131,7 @@
       bodyBytes: config.limits.bodyBytes,
       log: this.#log,
       metrics: this.#metrics,
-      onOutcome: (team, service, code) => burn.plain(Date.now(), team, service, code),
+      onOutcome: (team, service, code) => burn.recordPlain(Date.now(), team, service, code),
     });
     this.#callers = this.#serveCallers(burn);
     this.#operators = this.#serveOperators();
@@ -155,7 +155,7 @@
     if (this.#phase !== 'open') return;
     this.#phase = 'draining';
     this.#log.info('Draining.');
-    this.#fleet.home.send({ kind: 'draining' });
+    this.#fleet.localScheduler.send({ kind: 'draining' });
     await pause(this.#config.addressTtlMs);
     this.#phase = 'leaving';
     while (this.#models.size + this.#plain.size > 0) await pause(DRAIN_LOOK_MS);
@@ -169,10 +169,10 @@
    * connects for one that takes callers; it has to be told again.
    */
   #fleetChanged(): void {
-    if (this.#phase !== 'open' && this.#fleet.home.up) {
-      this.#fleet.home.send({ kind: 'draining' });
+    if (this.#phase !== 'open' && this.#fleet.localScheduler.up) {
+      this.#fleet.localScheduler.send({ kind: 'draining' });
     }
-    this.#models.ownersChanged();
+    this.#models.refreshOwners();
   }
 
   /** Ends at once. */
@@ -202,7 +202,7 @@
       log: this.#log,
       phase: () => this.#phase,
     });
-    const answers = new OpenAnswers();
+    const answers = new OpenResponses();
     const server = createServer(
       {
         maxHeaderSize: limits.headerBytes,
@@ -216,7 +216,7 @@
     );
     server.maxConnections = limits.connections;
     server.on('clientError', (error, socket) => {
-      if (answers.cutOn(socket)) socket.destroy();
+      if (answers.abortOn(socket)) socket.destroy();
       else answerGarbage(error, socket);
     });
     return server;
--- a/src/node/gateway/fleet.ts
+++ b/src/node/gateway/fleet.ts
@@ -18,7 +18,7 @@
   readonly vm: string;
   readonly key: string;
   /** Peer address of the scheduler on this VM. */
-  readonly home: string;
+  readonly localScheduler: string;
   /** Callers' address of this gateway. */
   readonly address: () => string;
   readonly log: Logger;
@@ -61,7 +61,7 @@
 
   /** Connects to the scheduler of this VM; to be called once callers can be served. */
   start(): void {
-    this.#linkTo(this.#options.home);
+    this.#linkTo(this.#options.localScheduler);
   }
 
   get settings(): Settings {
@@ -73,12 +73,12 @@
   }
 
   /** Whether the scheduler of this VM has told the settings and the members. */
-  get ready(): boolean {
+  get isReady(): boolean {
     return this.#book.consortium !== undefined && this.#members.size > 0;
   }
 
-  get home(): PeerLink {
-    return this.#linkTo(this.#options.home);
+  get localScheduler(): PeerLink {
+    return this.#linkTo(this.#options.localScheduler);
   }
 
   /** Link to the first owner of a pool that can be reached; opens links as needed. */
@@ -121,7 +121,8 @@
   }
 
   #callFirst(owners: readonly Member[], method: string, params: unknown): Promise<unknown> {
-    const link = this.#firstUp(owners, 2) ?? (this.home.up ? this.home : undefined);
+    const link =
+      this.#firstUp(owners, 2) ?? (this.localScheduler.up ? this.localScheduler : undefined);
     if (!link) {
       return Promise.reject(new Failure('noOwner', `${method}: no scheduler can be reached`));
     }
@@ -183,7 +184,7 @@
 
   /** The scheduler of this VM tells of all changes; what others tell on connecting only fills gaps. */
   #learn(link: PeerLink, notices: readonly MemberNotice[]): void {
-    const fromHome = link.address === this.#options.home;
+    const fromHome = link.address === this.#options.localScheduler;
     for (const notice of notices) {
       if (fromHome || !this.#members.has(notice.vm)) {
         this.#members.set(notice.vm, { ...notice, incarnation: 0, cores: 1, storeLost: false });
@@ -195,7 +196,7 @@
 
   #sweep(now: number): void {
     for (const [address, { link, usedAt }] of this.#links) {
-      if (address !== this.#options.home && now - usedAt > UNUSED_MS) {
+      if (address !== this.#options.localScheduler && now - usedAt > UNUSED_MS) {
         this.#links.delete(address);
         link.close();
       }
--- a/src/node/gateway/ledger.ts
+++ b/src/node/gateway/ledger.ts
@@ -17,7 +17,7 @@
 import type { Fleet } from './fleet';
 
 /** The right to dispatch one call. */
-export interface Ticket {
+export interface Claim {
   readonly team: string;
   readonly key: string;
   readonly nonce: string;
@@ -27,12 +27,12 @@
    * forgotten and claimed anew. The clock is monotonic, so setting the VM's
    * time does not renew the right.
    */
-  mayDispatch(): boolean;
+  canDispatch(): boolean;
 }
 
 /** What a claim gives. */
-export type ClaimGrant =
-  | { readonly kind: 'ticket'; readonly ticket: Ticket }
+export type ClaimResult =
+  | { readonly kind: 'ticket'; readonly claim: Claim }
   | { readonly kind: 'replay'; readonly outcome: Outcome };
 
 const outcomeSchema = z.object({ status: z.int(), contentType: z.string(), body: z.string() });
@@ -73,11 +73,11 @@
   }
 
   /** Claims a call or finds its outcome; throws what the caller is to be told otherwise. */
-  async claim(team: string, key: string, fingerprint: string): Promise<ClaimGrant> {
+  async claim(team: string, key: string, fingerprint: string): Promise<ClaimResult> {
     const nonce = randomUUID();
     const ticket = newTicket(team, key, nonce);
     const result = await this.#claim(ticket, fingerprint);
-    if (result.kind === 'claimed') return { kind: 'ticket', ticket };
+    if (result.kind === 'claimed') return { kind: 'ticket', claim: ticket };
     if (result.kind === 'full') {
       throw new Failure('ledgerFull', 'the ledger has no room', { retryAfterMs: RETRY_AFTER_MS });
     }
@@ -96,14 +96,14 @@
   }
 
   /** Records an outcome; goes on trying while the store is down. */
-  settle(ticket: Ticket, outcome: Outcome): void {
+  settle(ticket: Claim, outcome: Outcome): void {
     const fits = Buffer.byteLength(outcome.body) <= OUTCOME_LIMIT_BYTES;
     const kept = fits ? outcome : { status: NOT_KEPT, contentType: '', body: '' };
     this.#insist(ticket, 'ledger.settle', { ...nameOf(ticket), outcome: kept }, TRIES);
   }
 
   /** Takes a claim back of which nothing ran. */
-  withdraw(ticket: Ticket): void {
+  withdraw(ticket: Claim): void {
     this.#insist(ticket, 'ledger.withdraw', nameOf(ticket), TRIES);
   }
 
@@ -113,7 +113,7 @@
     this.#timers.clear();
   }
 
-  async #claim(ticket: Ticket, fingerprint: string): Promise<z.infer<typeof resultSchema>> {
+  async #claim(ticket: Claim, fingerprint: string): Promise<z.infer<typeof resultSchema>> {
     try {
       const params = { ...nameOf(ticket), fingerprint };
       return resultSchema.parse(await this.#call(ticket, 'ledger.claim', params));
@@ -125,11 +125,11 @@
     }
   }
 
-  #call({ team, key }: Ticket, method: string, params: unknown): Promise<unknown> {
+  #call({ team, key }: Claim, method: string, params: unknown): Promise<unknown> {
     return this.#fleet.callShard(shardOf(ledgerKey(team, key)), method, params);
   }
 
-  #insist(ticket: Ticket, method: string, params: unknown, tries: number): void {
+  #insist(ticket: Claim, method: string, params: unknown, tries: number): void {
     this.#call(ticket, method, params).catch((error) => {
       // A call that fails because of the stop itself must not start the next try.
       if (this.#stopped) return;
@@ -146,11 +146,11 @@
   }
 }
 
-function nameOf({ team, key, nonce }: Ticket): { team: string; key: string; nonce: string } {
+function nameOf({ team, key, nonce }: Claim): { team: string; key: string; nonce: string } {
   return { team, key, nonce };
 }
 
-function newTicket(team: string, key: string, nonce: string): Ticket {
+function newTicket(team: string, key: string, nonce: string): Claim {
   const until = performance.now() + DISPATCH_LIMIT_MS;
-  return { team, key, nonce, mayDispatch: () => performance.now() < until };
+  return { team, key, nonce, canDispatch: () => performance.now() < until };
 }
--- a/src/node/gateway/model.ts
+++ b/src/node/gateway/model.ts
@@ -15,15 +15,15 @@
 import { readBody } from '../../utils/http';
 import type { PeerLink } from '../peer/link';
 import type { ToGateway } from '../peer/messages';
-import type { Relay } from './relay';
+import type { RelayClient } from './relay';
 import type { ModelRequest, RunContext, RunDescription, RunOutcome } from './request';
 import { ModelRun } from './run';
 import type { Sink } from './sink';
-import { EventSink, JsonSink, OnceSink } from './sink';
+import { EventSink, JsonSink, DeduplicatingSink } from './sink';
 
 /** What model requests work with. */
 export interface ModelHandlerOptions extends Omit<RunContext, 'onEnd' | 'onLocated'> {
-  readonly relay: Relay;
+  readonly relay: RelayClient;
   /** Callers' address of this gateway. */
   readonly address: () => string;
   readonly bodyBytes: number;
@@ -66,7 +66,7 @@
 ]);
 
 /** Reads the idempotency key of a request. */
-export function keyOf(req: IncomingMessage): string | undefined {
+export function idempotencyKeyOf(req: IncomingMessage): string | undefined {
   const { 'idempotency-key': key } = req.headers;
   if (key === undefined) return undefined;
   if (typeof key !== 'string' || key === '' || key.length > KEY_LIMIT) {
@@ -126,14 +126,14 @@
   }
 
   /** Owners may have changed: every run looks for its own again. */
-  ownersChanged(): void {
-    for (const run of this.#runs.values()) run.ownersChanged();
+  refreshOwners(): void {
+    for (const run of this.#runs.values()) run.refreshOwner();
   }
 
   /** Answers `POST /v1/completions`. */
   async handle(req: IncomingMessage, res: ServerResponse, team: string): Promise<void> {
     const now = Date.now();
-    const key = keyOf(req);
+    const key = idempotencyKeyOf(req);
     const body = await readBody(req, this.#options.bodyBytes);
     const completion = parseCompletion(body.toString());
     const request = this.#check(team, completion, key !== undefined);
@@ -164,7 +164,7 @@
       fingerprint: contentIdOf(`${team} ${model}`, prompt),
       blocks: hashBlocks(salt, prompt),
       salt,
-      keyed,
+      isKeyed: keyed,
     };
   }
 
@@ -192,7 +192,7 @@
   async #startKeyed(
     request: ModelRequest,
     key: string,
-    sink: OnceSink,
+    sink: DeduplicatingSink,
     res: ServerResponse,
     now: number,
   ): Promise<void> {
@@ -225,7 +225,7 @@
     now: number,
   ): Promise<void> {
     const local = this.#runs.get(attempt.id);
-    if (local && !local.ended) {
+    if (local && !local.hasEnded) {
       local.supersede();
       watch(local, sink, res);
       return;
@@ -300,9 +300,9 @@
   return sharingGroup === undefined ? `team/${team}` : `group/${sharingGroup}`;
 }
 
-function sinkFor(res: ServerResponse, request: ModelRequest, stream: boolean): OnceSink {
+function sinkFor(res: ServerResponse, request: ModelRequest, stream: boolean): DeduplicatingSink {
   const frame = { id: request.id, model: request.serviceName };
-  return new OnceSink(
+  return new DeduplicatingSink(
     stream ? new EventSink(res, frame) : new JsonSink(res, frame, request.promptTokens),
   );
 }
--- a/src/node/gateway/plain.ts
+++ b/src/node/gateway/plain.ts
@@ -13,11 +13,11 @@
 import { PlainBalancer } from '../../core/plain/balancer';
 import { Quarantine } from '../../core/quarantine/quarantine';
 import type { PlainService, RunnerSettings } from '../../core/settings/schema';
-import { cutOff, failOnReset, isRefusedConnect, readBody } from '../../utils/http';
+import { abortResponse, failOnReset, isConnectionRefused, readBody } from '../../utils/http';
 import type { Metrics } from '../metrics';
 import type { Fleet } from './fleet';
-import type { LedgerClient, Ticket } from './ledger';
-import { keyOf } from './model';
+import type { LedgerClient, Claim } from './ledger';
+import { idempotencyKeyOf } from './model';
 
 /** What plain calls work with. */
 export interface PlainHandlerOptions {
@@ -214,7 +214,7 @@
 
   async #handleOnce(call: PlainCall): Promise<void> {
     const { req, res, team, path } = call;
-    const key = keyOf(req);
+    const key = idempotencyKeyOf(req);
     if (key === undefined) throw new Failure('keyRequired', 'found no Idempotency-Key header');
     const body = await readBody(req, this.#options.bodyBytes);
     this.#refuseEnding(call, body, false);
@@ -226,16 +226,16 @@
       res.end(text);
       return;
     }
-    await this.#runOnce(call, body, claim.ticket);
+    await this.#runOnce(call, body, claim.claim);
   }
 
   /** Only a dispatch of which it is proven that nothing ran is followed by another. */
-  async #runOnce(call: PlainCall, body: Buffer, ticket: Ticket): Promise<void> {
+  async #runOnce(call: PlainCall, body: Buffer, ticket: Claim): Promise<void> {
     const { ledger } = this.#options;
     const tried = new Set<string>();
     for (;;) {
       const runner = this.#chooseOnce(call, tried, ticket);
-      if (!ticket.mayDispatch()) {
+      if (!ticket.canDispatch()) {
         ledger.withdraw(ticket);
         throw new Failure('ledgerUnavailable', 'the claim is too old to be dispatched', {
           retryAfterMs: RETRY_AFTER_MS,
@@ -256,7 +256,7 @@
     }
   }
 
-  #chooseOnce(call: PlainCall, tried: ReadonlySet<string>, ticket: Ticket): RunnerSettings {
+  #chooseOnce(call: PlainCall, tried: ReadonlySet<string>, ticket: Claim): RunnerSettings {
     const runners = this.#options.fleet.settings.pool(call.service.pool)?.runners ?? [];
     const runner = this.#balancer.choose(Date.now(), runners, tried);
     if (runner) return runner;
@@ -266,7 +266,7 @@
     });
   }
 
-  async #settle({ res }: PlainCall, answer: IncomingMessage, ticket: Ticket): Promise<void> {
+  async #settle({ res }: PlainCall, answer: IncomingMessage, ticket: Claim): Promise<void> {
     let body: Buffer;
     try {
       body = await readBody(answer, this.#options.bodyBytes);
@@ -314,7 +314,7 @@
         resolve({ kind: 'answered', answer });
       });
       out.on('error', (error) => {
-        if (isRefusedConnect(error)) resolve({ kind: 'refused', leaving: false });
+        if (isConnectionRefused(error)) resolve({ kind: 'refused', leaving: false });
         else resolve({ kind: 'lost', error, brokeOff: !signal.aborted });
       });
       if (body === undefined) this.#streamBody(req, out);
@@ -341,7 +341,7 @@
     }
     res.writeHead(answer.statusCode ?? 502, passedOn(answer.headers));
     // The status is out: cutting the connection is the only way left to tell a part from the whole.
-    answer.once('error', () => cutOff(res));
+    answer.once('error', () => abortResponse(res));
     try {
       await pipeline(answer, res);
     } catch (error) {
--- a/src/node/gateway/relay.ts
+++ b/src/node/gateway/relay.ts
@@ -24,7 +24,7 @@
 const SILENCE_LIMIT_MS = 5000;
 
 /** Reads runs of other gateways over HTTP. */
-export class Relay {
+export class RelayClient {
   readonly #key: string;
 
   constructor(key: string) {
--- a/src/node/gateway/request.ts
+++ b/src/node/gateway/request.ts
@@ -11,7 +11,7 @@
 import type { Canceller } from './canceller';
 import type { Fleet } from './fleet';
 import type { ModelRun } from './run';
-import type { Silence } from './silence';
+import type { IdleTimeout } from './timeout';
 
 /** A checked model request. */
 export interface ModelRequest {
@@ -28,7 +28,7 @@
   /** Keeps the prefix caches of teams apart. */
   readonly salt: string;
   /** Whether another attempt with the same key may come for the answer. */
-  readonly keyed: boolean;
+  readonly isKeyed: boolean;
 }
 
 /** What runs work with. */
@@ -66,19 +66,22 @@
 }
 
 /** A run's place on a runner. */
-export interface Place {
+export interface Execution {
   readonly runner: string;
   readonly url: string;
   readonly runId: string;
   /** Ends the step at this place when the runner goes silent. */
-  readonly silence: Silence;
+  readonly idleTimeout: IdleTimeout;
 }
 
 /** How far a run has come, as its gateway sees it. */
 export type RunStage = 'queued' | 'prefilling' | 'prefilled' | 'decoding' | 'ended';
 
 /** How messages to the owner name a request. */
-export function nameOf({ id, service }: ModelRequest): Pick<Message<'started'>, 'pool' | 'id'> {
+export function requestRefOf({
+  id,
+  service,
+}: ModelRequest): Pick<Message<'started'>, 'pool' | 'id'> {
   return { pool: service.pool, id };
 }
 
@@ -87,12 +90,12 @@
   const { team, service, promptTokens, maxTokens, blocks, fingerprint } = request;
   const { tier } = service;
   const size = { promptTokens, maxTokens, blocks: [...blocks] };
-  return { ...nameOf(request), team, tier, ...size, fingerprint, dueInMs };
+  return { ...requestRefOf(request), team, tier, ...size, fingerprint, dueInMs };
 }
 
 /** The engine's job for a run. Tokens that are out become part of the prompt, so that the engine goes on behind them. */
 export function jobOf(
-  { prompt, maxTokens, service, salt, keyed }: ModelRequest,
+  { prompt, maxTokens, service, salt, isKeyed: keyed }: ModelRequest,
   tokens: readonly string[],
   runId: string,
 ): EngineJob {
--- a/src/node/gateway/run.ts
+++ b/src/node/gateway/run.ts
@@ -8,16 +8,16 @@
 import type { Message, ToGateway, ToScheduler } from '../peer/messages';
 import type { Token } from '../runner/client';
 import { RunnerFailure } from '../runner/client';
-import { Silence } from './silence';
+import { IdleTimeout } from './timeout';
 import type {
   ModelRequest,
-  Place,
+  Execution,
   RunContext,
   RunDescription,
   RunOutcome,
   RunStage,
 } from './request';
-import { arrivalOf, jobOf, nameOf, timingOf } from './request';
+import { arrivalOf, jobOf, requestRefOf, timingOf } from './request';
 import type { Sink } from './sink';
 import { Answer } from './answer';
 
@@ -50,9 +50,9 @@
 
   #attempt = 0;
 
-  #prefill: Place | undefined;
+  #prefill: Execution | undefined;
 
-  #decode: Place | undefined;
+  #decode: Execution | undefined;
 
   #owner: PeerLink | undefined;
 
@@ -74,7 +74,7 @@
     );
   }
 
-  get ended(): boolean {
+  get hasEnded(): boolean {
     return this.#stage === 'ended';
   }
 
@@ -103,8 +103,8 @@
 
   /** A reader is gone. Without readers the run ends, keyed runs after a while. */
   detach(sink: Sink): void {
-    if (!this.#answer.detach(sink) || this.ended) return;
-    if (this.request.keyed) this.#unread = setTimeout(() => this.cancel(), UNREAD_MS);
+    if (!this.#answer.detach(sink) || this.hasEnded) return;
+    if (this.request.isKeyed) this.#unread = setTimeout(() => this.cancel(), UNREAD_MS);
     else this.cancel();
   }
 
@@ -116,27 +116,27 @@
 
   /** Asks the owner for a place; again when the owner has changed. */
   place(): void {
-    if (this.ended) return;
+    if (this.hasEnded) return;
     const owner = this.#context.fleet.ownerOf(this.request.service.pool);
     if (owner && owner === this.#owner && owner.up) return;
     if (!owner) {
       this.#placeLater();
       return;
     }
-    this.#owner?.send({ kind: 'cancelled', ...nameOf(this.request) });
+    this.#owner?.send({ kind: 'cancelled', ...requestRefOf(this.request) });
     this.#owner = owner;
     this.#ask();
   }
 
   /** The link to the owner was lost or came back: everything is asked for again. */
-  ownersChanged(): void {
-    if (this.ended) return;
+  refreshOwner(): void {
+    if (this.hasEnded) return;
     if (this.#owner && !this.#owner.up) this.#owner = undefined;
     this.place();
   }
 
   receive(link: PeerLink, message: ToGateway): void {
-    if (link !== this.#owner || this.ended) return;
+    if (link !== this.#owner || this.hasEnded) return;
     if (message.kind === 'prefill') this.#startPrefill(message);
     else if (message.kind === 'decode') this.#startDecode(message);
     else if (message.kind === 'refuse') this.#refused(message);
@@ -152,15 +152,15 @@
     }
     this.#sent = true;
     this.#stage = 'decoding';
-    const place = { runner, url, runId, silence: new Silence(this.#work.signal) };
+    const place = { runner, url, runId, idleTimeout: new IdleTimeout(this.#work.signal) };
     this.#decode = place;
     this.place();
-    this.#stream(this.#context.runners.resume(url, runId, 0, place.silence.signal), place);
+    this.#stream(this.#context.runners.resume(url, runId, 0, place.idleTimeout.signal), place);
   }
 
   /** The caller is gone: frees every runner and the place at the owner. */
   cancel(): void {
-    if (this.ended) return;
+    if (this.hasEnded) return;
     this.#context.metrics.count('model.cancelled');
     this.#end({ code: undefined, cancelled: true });
   }
@@ -216,7 +216,7 @@
     return pool?.runners.find(({ id }) => id === runner)?.url;
   }
 
-  #newPlace(runner: string): Place | undefined {
+  #newPlace(runner: string): Execution | undefined {
     const url = this.#urlOf(runner);
     if (url === undefined) return undefined;
     this.#attempt += 1;
@@ -224,7 +224,7 @@
       runner,
       url,
       runId: runIdOf(this.request.id, this.#attempt),
-      silence: new Silence(this.#work.signal),
+      idleTimeout: new IdleTimeout(this.#work.signal),
     };
   }
 
@@ -251,24 +251,24 @@
     this.#stage = 'prefilling';
     this.#prefill = place;
     this.#sent = true;
-    place.silence.expect(PREFILL_SILENCE_MS);
+    place.idleTimeout.restart(PREFILL_SILENCE_MS);
     this.#context.runners
       .prefill(
         place.url,
         jobOf(this.request, this.#answer.tokens, place.runId),
-        place.silence.signal,
+        place.idleTimeout.signal,
       )
-      .finally(() => place.silence.stop())
+      .finally(() => place.idleTimeout.stop())
       .then(({ cachedTokens, keptMs }) => {
         if (this.#prefill !== place || this.#stage !== 'prefilling') return;
         this.#stage = 'prefilled';
-        this.#tell({ kind: 'prefilled', ...nameOf(this.request), cachedTokens, keptMs });
+        this.#tell({ kind: 'prefilled', ...requestRefOf(this.request), cachedTokens, keptMs });
       })
       .catch((error: Error) => this.#prefillFailed(place, error));
   }
 
-  #prefillFailed(place: Place, error: Error): void {
-    if (this.ended || this.#prefill !== place) return;
+  #prefillFailed(place: Execution, error: Error): void {
+    if (this.hasEnded || this.#prefill !== place) return;
     this.#prefill = undefined;
     this.#stage = 'queued';
     this.#failedAt(place, error);
@@ -292,30 +292,30 @@
       place.url,
       job,
       { url: from.url, runId: from.runId },
-      place.silence.signal,
+      place.idleTimeout.signal,
     );
-    if (this.request.keyed) {
+    if (this.request.isKeyed) {
       const base = this.#answer.tokens.length;
       this.#context.onLocated(this, { runner: place.runner, runId: place.runId, base });
     }
     this.#stream(tokens, place);
   }
 
-  #stream(tokens: AsyncIterable<Token>, place: Place): void {
-    place.silence.expect(TOKEN_SILENCE_MS);
+  #stream(tokens: AsyncIterable<Token>, place: Execution): void {
+    place.idleTimeout.restart(TOKEN_SILENCE_MS);
     this.#read(tokens, place)
-      .finally(() => place.silence.stop())
+      .finally(() => place.idleTimeout.stop())
       .catch((error: Error) => this.#decodeFailed(place, error));
   }
 
-  async #read(tokens: AsyncIterable<Token>, place: Place): Promise<void> {
+  async #read(tokens: AsyncIterable<Token>, place: Execution): Promise<void> {
     const base = this.#answer.tokens.length;
     for await (const { offset, text } of tokens) {
-      if (this.ended || this.#decode !== place) return;
-      place.silence.expect(TOKEN_SILENCE_MS);
+      if (this.hasEnded || this.#decode !== place) return;
+      place.idleTimeout.restart(TOKEN_SILENCE_MS);
       this.#accept(base + offset, text);
     }
-    if (this.ended || this.#decode !== place) return;
+    if (this.hasEnded || this.#decode !== place) return;
     this.#finish();
   }
 
@@ -324,13 +324,13 @@
     if (!this.#answer.isNext(offset)) return;
     if (this.#prefill) {
       this.#prefill = undefined;
-      this.#tell({ kind: 'started', ...nameOf(this.request) });
+      this.#tell({ kind: 'started', ...requestRefOf(this.request) });
     }
     this.#answer.add(Date.now(), text);
   }
 
-  #decodeFailed(place: Place, error: Error): void {
-    if (this.ended || this.#decode !== place) return;
+  #decodeFailed(place: Execution, error: Error): void {
+    if (this.hasEnded || this.#decode !== place) return;
     this.#decode = undefined;
     const keepsPrefill =
       error instanceof RunnerFailure && error.reason === 'full' && this.#prefill !== undefined;
@@ -345,7 +345,7 @@
     if (prefill) this.#context.canceller.cancel(prefill.url, prefill.runId);
   }
 
-  #failedAt(place: Place, error: Error): void {
+  #failedAt(place: Execution, error: Error): void {
     const reason = error instanceof RunnerFailure ? error.reason : 'lost';
     this.#context.metrics.count(`runner.${reason}`);
     if (reason === 'lost') this.#context.canceller.cancel(place.url, place.runId);
@@ -354,13 +354,17 @@
 
   #tellFailed(runner: string, reason: RunnerFailure['reason']): void {
     const tokens = this.#answer.tokens.length;
-    this.#tell({ kind: 'failed', ...nameOf(this.request), runner, reason, tokens });
+    this.#tell({ kind: 'failed', ...requestRefOf(this.request), runner, reason, tokens });
   }
 
   #finish(): void {
     this.#decode = undefined;
     this.#prefill = undefined;
-    this.#tell({ kind: 'finished', ...nameOf(this.request), tokens: this.#answer.tokens.length });
+    this.#tell({
+      kind: 'finished',
+      ...requestRefOf(this.request),
+      tokens: this.#answer.tokens.length,
+    });
     this.#owner = undefined;
     this.#end({ code: undefined, cancelled: false });
     this.#answer.end();
@@ -368,7 +372,7 @@
 
   /** "Not run" is said only if this gateway sent nothing to any runner. */
   #fail(code: CodeName, detail: string, retryAfterMs?: number): void {
-    if (this.ended) return;
+    if (this.hasEnded) return;
     const failure = new Failure(code, detail, retryAfterMs === undefined ? {} : { retryAfterMs });
     const notRun = !this.#sent && codes[code].notRun;
     this.#end({ code, cancelled: false });
@@ -380,14 +384,19 @@
     clearTimeout(this.#limit);
     clearTimeout(this.#retry);
     clearTimeout(this.#unread);
-    this.#tell({ kind: 'cancelled', ...nameOf(this.request) });
+    this.#tell({ kind: 'cancelled', ...requestRefOf(this.request) });
     this.#work.abort();
     for (const place of [this.#prefill, this.#decode]) {
       if (place) this.#context.canceller.cancel(place.url, place.runId);
     }
     this.#context.onEnd(this, {
       ...how,
-      ...timingOf(this.#startedAt, this.#answer.firstAt, this.#answer.tokens.length, Date.now()),
+      ...timingOf(
+        this.#startedAt,
+        this.#answer.firstTokenAt,
+        this.#answer.tokens.length,
+        Date.now(),
+      ),
     });
   }
 }
--- a/src/node/gateway/settings.ts
+++ b/src/node/gateway/settings.ts
@@ -16,7 +16,7 @@
 import type { Platform } from '../platform/client';
 
 /** A document or a part of it, as read. */
-export interface SettingsRead {
+export interface SettingsValue {
   readonly path: string;
   readonly revision: number;
   /** JSON with comments for a whole document, JSON for a part. */
@@ -57,7 +57,7 @@
     if (!covered) throw new Failure('forbidden', `the token does not cover ${path}`);
   }
 
-  async read(path: string): Promise<SettingsRead> {
+  async read(path: string): Promise<SettingsValue> {
     const { path: document, inside } = splitPath(path);
     const { revision, text } = await this.#current(document);
     if (text === null) throw new Failure('settingsNotFound', `there is no ${document}`);
--- a/src/node/gateway/sink.ts
+++ b/src/node/gateway/sink.ts
@@ -19,7 +19,7 @@
  * another one is fed from the beginning again; without this it would see the
  * tokens before the break twice. Fails if the other stream is a different answer.
  */
-export class OnceSink implements Sink {
+export class DeduplicatingSink implements Sink {
   readonly #sink: Sink;
 
   readonly #tokens: string[] = [];
@@ -66,7 +66,7 @@
 }
 
 /** What both forms of an answer carry. */
-export interface AnswerFrame {
+export interface ResponseMetadata {
   readonly id: string;
   /** Name of the service, as the caller gave it. */
   readonly model: string;
@@ -76,9 +76,9 @@
 export class EventSink implements Sink {
   readonly #res: ServerResponse;
 
-  readonly #frame: AnswerFrame;
+  readonly #frame: ResponseMetadata;
 
-  constructor(res: ServerResponse, frame: AnswerFrame) {
+  constructor(res: ServerResponse, frame: ResponseMetadata) {
     this.#res = res;
     this.#frame = frame;
   }
@@ -114,13 +114,13 @@
 export class JsonSink implements Sink {
   readonly #res: ServerResponse;
 
-  readonly #frame: AnswerFrame;
+  readonly #frame: ResponseMetadata;
 
   readonly #promptTokens: number;
 
   #text = '';
 
-  constructor(res: ServerResponse, frame: AnswerFrame, promptTokens: number) {
+  constructor(res: ServerResponse, frame: ResponseMetadata, promptTokens: number) {
     this.#res = res;
     this.#frame = frame;
     this.#promptTokens = promptTokens;
--- a/src/node/gateway/silence.ts
+++ b/src/node/gateway/timeout.ts
@@ -5,7 +5,7 @@
  * whole time limit and hold its slot meanwhile. Silence for longer than any
  * healthy step takes is treated as loss, and the request goes on elsewhere.
  */
-export class Silence {
+export class IdleTimeout {
   readonly #stop = new AbortController();
 
   readonly #signal: AbortSignal;
@@ -22,7 +22,7 @@
   }
 
   /** Something must be heard within this time from now, in milliseconds. */
-  expect(ms: number): void {
+  restart(ms: number): void {
     if (this.#timer) this.#timer.refresh();
     else this.#timer = setTimeout(() => this.#stop.abort(), ms);
   }
--- a/src/node/log.ts
+++ b/src/node/log.ts
@@ -4,7 +4,7 @@
 import pino from 'pino';
 
 /** The parts that write logs; the name is the prefix. */
-export type Part =
+export type Component =
   | 'gateway'
   | 'scheduler'
   | 'cell'
@@ -67,6 +67,6 @@
 }
 
 /** Logger of one part: each message starts with `part: `. */
-export function logOf(root: Logger, part: Part): Logger {
+export function logOf(root: Logger, part: Component): Logger {
   return root.child({}, { msgPrefix: `${part}: ` });
 }
--- a/src/node/budget.ts
+++ b/src/node/loglimiter.ts
@@ -3,7 +3,7 @@
 const WINDOW_MS = 1000;
 
 /** Lets the first lines of each second through and counts the rest. */
-export class LineBudget {
+export class LogRateLimiter {
   readonly #most: number;
 
   readonly #onRest: (lines: number) => void;
@@ -19,7 +19,7 @@
   }
 
   /** Whether one more line may be written now. */
-  allows(now: number): boolean {
+  tryAcquire(now: number): boolean {
     if (now - this.#windowAt >= WINDOW_MS) this.#open(now);
     this.#lines += 1;
     return this.#lines <= this.#most;
--- a/src/node/peer/link.ts
+++ b/src/node/peer/link.ts
@@ -57,7 +57,7 @@
   #settleOpened: (() => void) | undefined;
 
   /** Resolves when the first try to connect has ended, well or not. */
-  readonly opened = new Promise<void>((resolve) => {
+  readonly attempted = new Promise<void>((resolve) => {
     this.#settleOpened = resolve;
   });
 
--- a/src/node/platform/client.ts
+++ b/src/node/platform/client.ts
@@ -8,7 +8,7 @@
 import { z } from 'zod';
 
 import { Failure, toFailure } from '../../core/failure';
-import type { Answer } from '../../utils/http';
+import type { HttpResponse } from '../../utils/http';
 import { call } from '../../utils/http';
 
 /** A value with the index of its last change. */
@@ -41,7 +41,7 @@
   endLease(lease: string): Promise<void>;
   /** Takes a key under a lease; false if another holds it. */
   acquire(key: string, value: string, lease: string): Promise<boolean>;
-  vms(): Promise<readonly ListedVm[]>;
+  listVms(): Promise<readonly ListedVm[]>;
 }
 
 /** Values under a prefix at one moment. */
@@ -140,7 +140,7 @@
     return answer.body.trim() === 'true';
   }
 
-  async vms(): Promise<readonly ListedVm[]> {
+  async listVms(): Promise<readonly ListedVm[]> {
     const answer = await this.#call('GET', '/v1/catalog/nodes');
     const nodes = nodesSchema.parse(JSON.parse(answer.body));
     return nodes.map(({ Node: id, Address: address, Meta }) => ({
@@ -160,7 +160,7 @@
     body?: string,
     timeoutMs = CALL_LIMIT_MS,
     signal?: AbortSignal,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     try {
       const answer = await call({
         method,
@@ -178,7 +178,7 @@
   }
 }
 
-function parseEntries(answer: Answer): readonly StoredValue[] {
+function parseEntries(answer: HttpResponse): readonly StoredValue[] {
   const entries = entriesSchema.parse(JSON.parse(answer.body));
   return entries.map(({ Key: key, Value, ModifyIndex: index }) => ({
     key,
--- a/src/node/router/accountowners.ts
+++ b/src/node/router/accountowners.ts
@@ -14,7 +14,7 @@
 import type { RouterFleet } from './fleet';
 
 /** What the owners of accounts are worked out from. */
-export interface AccountContext {
+export interface AccountOwnersContext {
   readonly vm: string;
   readonly fleet: RouterFleet;
   /** The accounts that this VM owns, or is taken for the owner of. */
@@ -67,7 +67,7 @@
 
 /** Owners by group. */
 export class AccountOwners {
-  readonly #context: AccountContext;
+  readonly #context: AccountOwnersContext;
 
   readonly #pauses = new PauseDetector(LOOK_MS);
 
@@ -81,7 +81,7 @@
 
   #members: QuotaMembers | undefined;
 
-  constructor(context: AccountContext) {
+  constructor(context: AccountOwnersContext) {
     this.#context = context;
     this.#timer = setInterval(() => this.#look(performance.now()), LOOK_MS).unref();
   }
@@ -101,7 +101,7 @@
   }
 
   /** By whom this VM goes, for operators. */
-  beliefs(): Readonly<Record<string, string>> {
+  snapshot(): Readonly<Record<string, string>> {
     return Object.fromEntries([...this.#owners].map(([group, { vm }]) => [group, vm]));
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** The members or the groups changed: others may own accounts now. */
-  changed(now: number): void {
+  refresh(now: number): void {
     this.#members = undefined;
     this.#review(now);
   }
@@ -135,7 +135,7 @@
         this.#told(performance.now(), group, owner);
         return answer;
       } catch (error) {
-        fleet.shun(performance.now(), owner.vm);
+        fleet.deprioritize(performance.now(), owner.vm);
         metrics.count(names.unanswered);
         log.debug({ group, owner: owner.vm }, toFailure(error).line);
       }
@@ -144,7 +144,7 @@
   }
 
   /** Tells something to the owner of a group; whether that is another VM. */
-  tell(group: string, method: string, params: unknown): boolean {
+  notify(group: string, method: string, params: unknown): boolean {
     const { vm, fleet, log } = this.#context;
     const [owner] = this.#ownersOf(performance.now(), group);
     if (!owner || owner.vm === vm) return false;
--- a/src/node/router/authorizer.ts
+++ b/src/node/router/authorizer.ts
@@ -9,18 +9,18 @@
 import type { RouteTable } from '../../core/routing/table';
 import type { Route } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 
 /** Retry delay for a caller whose key was assigned to another customer while its request was in progress. */
 const REASSIGNED_RETRY_MS = 100;
 
 /** Authenticates requests by the keys in this VM's configuration, as long as that is recent enough. */
 export class Authorizer {
-  readonly #knowledge: Knowledge;
+  readonly #knowledge: RoutingState;
 
   readonly #bounds: () => AgeBounds;
 
-  constructor(knowledge: Knowledge, bounds: () => AgeBounds) {
+  constructor(knowledge: RoutingState, bounds: () => AgeBounds) {
     this.#knowledge = knowledge;
     this.#bounds = bounds;
   }
--- a/src/node/router/calls.ts
+++ b/src/node/router/calls.ts
@@ -3,10 +3,10 @@
 import { Failure } from '../../core/failure';
 import type { RouterFleet } from './fleet';
 import type { PlannerHost } from './plannerhost';
-import type { PermitDesk } from './permits';
+import type { PermitController } from './permits';
 import type { ReservationClient } from './reservations';
-import type { QuotaDesk } from './quotas';
-import type { FactSync } from './sync';
+import type { QuotaController } from './quotas';
+import type { StateExchange } from './stateexchange';
 import {
   askSchema,
   gatherSchema,
@@ -22,9 +22,9 @@
   readonly fleet: RouterFleet;
   readonly planners: PlannerHost;
   readonly reservations: ReservationClient;
-  readonly sync: FactSync;
-  readonly quotas: QuotaDesk;
-  readonly permits: PermitDesk;
+  readonly sync: StateExchange;
+  readonly quotas: QuotaController;
+  readonly permits: PermitController;
 }
 
 /** Sends a call back to the VM that called. */
@@ -52,9 +52,9 @@
     if (method === 'note') planners.onProgress(now, vm, noteSchema.parse(params));
     else if (method === 'hold') planners.onHoldings(now, vm, holdSchema.parse(params));
     else if (method === 'quotaJoin') quotas.onJoin(now, vm, params);
-    else if (method === 'quotaBack') quotas.onBack(params);
+    else if (method === 'quotaBack') quotas.onRefund(params);
     else if (method === 'permitJoin') permits.onJoin(now, vm, params);
-    else if (method === 'rates') permits.onTold(now, vm, params);
+    else if (method === 'rates') permits.onRates(now, vm, params);
     else if (method === 'gather') this.#reportHoldings(now, vm, gatherSchema.parse(params).service);
     else if (method === 'verdict') {
       const { service, verdict } = delayedDecisionSchema.parse(params);
@@ -67,7 +67,7 @@
   collectHoldings(service: string): void {
     const { fleet, vm } = this.#context;
     this.#reportHoldings(performance.now(), vm, service);
-    fleet.callBack('gather', { service });
+    fleet.callClients('gather', { service });
   }
 
   /** @param caller name of the VM that asks, or its address if the call came over a link that this VM opened */
--- a/src/node/router/desks.ts
+++ b/src/node/router/controllers.ts
@@ -7,22 +7,22 @@
 import { PeerCalls } from './calls';
 import type { RouterFleet } from './fleet';
 import type { Authorizer } from './authorizer';
-import type { Knowledge } from './knowledge';
-import { NewsDesk } from './news';
+import type { RoutingState } from './routingstate';
+import { StateSync } from './statesync';
 import type { PlannerHost } from './plannerhost';
-import { PermitDesk } from './permits';
+import { PermitController } from './permits';
 import { ReservationClient } from './reservations';
-import { QuarantineDesk } from './quarantine';
-import { QuotaDesk } from './quotas';
+import { QuarantineController } from './quarantine';
+import { QuotaController } from './quotas';
 import type { RateChange } from './ratelimits';
-import { RateLimitDesk } from './ratelimits';
-import { FactSync } from './sync';
+import { RateLimitController } from './ratelimits';
+import { StateExchange } from './stateexchange';
 import type { Feed, RouterSettings, SuspectArchive } from './types';
 
 /** What the desks work with. */
-export interface DesksContext {
+export interface ControllersContext {
   readonly settings: RouterSettings;
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly gate: Authorizer;
   readonly fleet: RouterFleet;
   readonly host: PlannerHost;
@@ -35,40 +35,40 @@
 }
 
 /** The desks of one VM, and the calls of other VMs that reach them. */
-export class Desks {
-  readonly quarantine: QuarantineDesk;
+export class Controllers {
+  readonly quarantine: QuarantineController;
 
-  readonly rateLimits: RateLimitDesk;
+  readonly rateLimits: RateLimitController;
 
-  readonly permits: PermitDesk;
+  readonly permits: PermitController;
 
-  readonly quotas: QuotaDesk;
+  readonly quotas: QuotaController;
 
   readonly places: ReservationClient;
 
-  readonly news: NewsDesk;
+  readonly stateSync: StateSync;
 
   readonly calls: PeerCalls;
 
-  constructor(context: DesksContext) {
+  constructor(context: ControllersContext) {
     const { settings, knowledge, gate, fleet, host, feed, archive, metrics, log } = context;
     const { vm, seeds, peer: self } = settings;
-    this.quarantine = new QuarantineDesk({
+    this.quarantine = new QuarantineController({
       archive,
-      readsStore: () => this.news.reading,
+      readsStore: () => this.stateSync.reading,
       metrics,
       log: logOf(log, 'quarantine'),
-      onNews: (suspects) => this.news.suspected(suspects),
-      onRefused: () => this.news.setDigest(),
+      onChanges: (suspects) => this.stateSync.announceSuspects(suspects),
+      onRefusedChange: () => this.stateSync.setDigest(),
     });
-    this.rateLimits = new RateLimitDesk({
+    this.rateLimits = new RateLimitController({
       knowledge,
       metrics,
       log: logOf(log, 'ratelimits'),
-      onNews: (changes) => this.#ratesChanged(performance.now(), changes),
+      onChanges: (changes) => this.#ratesChanged(performance.now(), changes),
     });
     const { quarantine, rateLimits } = this;
-    this.permits = new PermitDesk({
+    this.permits = new PermitController({
       vm,
       bounds: settings.rateLimits,
       rateLimits,
@@ -76,7 +76,7 @@
       metrics,
       log: logOf(log, 'ratelimits'),
     });
-    this.quotas = new QuotaDesk({
+    this.quotas = new QuotaController({
       vm,
       bounds: settings.quotas,
       knowledge,
@@ -85,8 +85,8 @@
       log: logOf(log, 'quotas'),
     });
     this.places = new ReservationClient(vm, fleet, host, logOf(log, 'places'));
-    const sync = new FactSync({ knowledge, quarantine, rateLimits, fleet });
-    this.news = new NewsDesk({
+    const sync = new StateExchange({ knowledge, quarantine, rateLimits, fleet });
+    this.stateSync = new StateSync({
       knowledge,
       gate,
       quarantine,
@@ -113,7 +113,7 @@
   }
 
   stop(): void {
-    this.news.stop();
+    this.stateSync.stop();
     this.quarantine.stop();
     this.rateLimits.stop();
     this.permits.stop();
@@ -123,23 +123,23 @@
 
   /** The members of the fleet changed. */
   membersChanged(now: number): void {
-    this.quotas.changed(now);
-    this.permits.changed(now);
-    this.news.membersChanged();
+    this.quotas.refresh(now);
+    this.permits.refresh(now);
+    this.stateSync.membersChanged();
   }
 
   /** What the desks go by, for operators. */
-  beliefs(now: number): Readonly<Record<string, unknown>> {
+  snapshot(now: number): Readonly<Record<string, unknown>> {
     return {
-      readsStore: this.news.reading,
-      refuses: this.quarantine.beliefs(now),
-      quotas: this.quotas.beliefs(),
-      rateLimits: this.permits.beliefs(),
+      readsStore: this.stateSync.reading,
+      refuses: this.quarantine.snapshot(now),
+      quotas: this.quotas.snapshot(),
+      rateLimits: this.permits.snapshot(),
     };
   }
 
   #ratesChanged(now: number, changes: readonly RateChange[]): void {
     this.permits.limitsChanged(now, changes);
-    this.news.rateLimited(changes.map(({ rate }) => rate));
+    this.stateSync.announceRates(changes.map(({ rate }) => rate));
   }
 }
--- a/src/node/router/daemon.ts
+++ b/src/node/router/daemon.ts
@@ -13,15 +13,15 @@
 import { LazyMap } from '../../utils/lazymap';
 import { logOf } from '../log';
 import { Control } from './control';
-import { Desks } from './desks';
+import { Controllers } from './controllers';
 import { accessLogFields } from './accesslog';
 import type { Exchange } from './exchange';
 import { RouterFleet } from './fleet';
 import { FrontEnd } from './frontend';
 import { Authorizer } from './authorizer';
 import { InflightClient } from './inflight';
-import type { News } from './knowledge';
-import { Knowledge } from './knowledge';
+import type { StateChange } from './routingstate';
+import { RoutingState } from './routingstate';
 import { RouterMetrics } from './metrics';
 import { ModelHandler } from './model';
 import { OrderController } from './orders';
@@ -65,7 +65,7 @@
 
   readonly #log: Logger;
 
-  readonly #knowledge: Knowledge;
+  readonly #knowledge: RoutingState;
 
   readonly #fleet: RouterFleet;
 
@@ -75,7 +75,7 @@
 
   readonly #host: PlannerHost;
 
-  readonly #desks: Desks;
+  readonly #desks: Controllers;
 
   readonly #front: FrontEnd;
 
@@ -103,9 +103,9 @@
     this.#settings = settings;
     this.#ports = ports;
     this.#log = logOf(log, 'router');
-    this.#knowledge = new Knowledge(ports.history, logOf(log, 'knowledge'), {
-      onNews: (news) => this.#onNews(news),
-      onUnfitEntry: () => this.#metrics.count('entries.unfit'),
+    this.#knowledge = new RoutingState(ports.history, logOf(log, 'knowledge'), {
+      onChange: (news) => this.#onNews(news),
+      onInvalidEntry: () => this.#metrics.count('entries.unfit'),
     });
     this.#runners = new InflightClient(
       ports.runners,
@@ -114,21 +114,21 @@
     );
     this.#host = new PlannerHost(this.#knowledge, this.#runners, logOf(log, 'cell'), {
       onIncompleteState: (service) => this.#desks.calls.collectHoldings(service),
-      rateAllowanceOf: (service) => this.#desks.permits.rationOf(service),
+      rateAllowanceOf: (service) => this.#desks.permits.allowanceOf(service),
     });
     this.#gate = new Authorizer(this.#knowledge, () => this.#settings.ages);
-    const proofs = this.#knowledge.proofExchange;
+    const proofs = this.#knowledge.freshnessExchange;
     this.#fleet = new RouterFleet(settings, proofs, this.#metrics, logOf(log, 'members'), {
       onCall: (vm, method, params, push) => this.#desks.calls.answer(vm, method, params, push),
-      onLost: (vm) => this.#host.onVmLost(performance.now(), vm),
-      onMembers: () => {
+      onVmLost: (vm) => this.#host.onVmLost(performance.now(), vm),
+      onMembersChange: () => {
         this.#warmLinks();
         this.#desks.membersChanged(performance.now());
       },
-      onDiffers: (address) => this.#desks.news.differs(address),
-      onRumour: (rumour, address) => this.#desks.news.heard(rumour, address),
+      onDigestDiffers: (address) => this.#desks.stateSync.digestDiffers(address),
+      onUpdate: (rumour, address) => this.#desks.stateSync.receive(rumour, address),
     });
-    this.#desks = new Desks({
+    this.#desks = new Controllers({
       settings,
       knowledge: this.#knowledge,
       gate: this.#gate,
@@ -196,13 +196,13 @@
       onRunners: (facts) => this.#knowledge.learnRunners(performance.now(), facts, 'store'),
       onEra: (start) => this.#knowledge.learnEras(performance.now(), [start], 'store'),
       onListed: (ids, position) => this.#knowledge.learnList(performance.now(), ids, position),
-      onVms: (vms) => this.#fleet.list(vms.filter((entry) => entry.vm !== vm)),
+      onVms: (vms) => this.#fleet.addListed(vms.filter((entry) => entry.vm !== vm)),
       onSuspects: (suspects, isAll) =>
-        this.#desks.quarantine.stored(performance.now(), suspects, isAll),
-      onProof: (askedAt) => this.#knowledge.freshness.recordStoreAnswer(askedAt),
-      onStore: (up, detail) => this.#desks.news.storeAnswered(performance.now(), up, detail),
+        this.#desks.quarantine.learnStored(performance.now(), suspects, isAll),
+      onConfirmed: (askedAt) => this.#knowledge.freshness.recordStoreAnswer(askedAt),
+      onStore: (up, detail) => this.#desks.stateSync.storeCallEnded(performance.now(), up, detail),
     });
-    this.#desks.news.start();
+    this.#desks.stateSync.start();
     this.#orders = new OrderController({
       vm,
       knowledge: this.#knowledge,
@@ -265,8 +265,8 @@
       vm: this.#settings.vm,
       ready: this.#ready,
       active: this.#front.activeRequests,
-      ...this.#desks.beliefs(now),
-      ...this.#knowledge.beliefs(now),
+      ...this.#desks.snapshot(now),
+      ...this.#knowledge.snapshot(now),
       vms: this.#fleet.all.map(({ vm, state, draining }) => ({ vm, state, draining })),
       owners: Object.fromEntries(
         models.map((name) => [name, this.#fleet.ownersOf(now, name)[0]?.vm ?? null]),
@@ -285,7 +285,7 @@
   #warmLinks(): void {
     const services = this.#knowledge.table?.config.services ?? [];
     const now = performance.now();
-    this.#fleet.cool();
+    this.#fleet.clearWarm();
     for (const { name, engine } of services) if (engine) this.#fleet.warm(now, name);
   }
 
@@ -311,7 +311,7 @@
 
   #done(exchange: Exchange, ms: number): void {
     const { service, status, code } = exchange;
-    this.#metrics.ended(service, status, code, ms);
+    this.#metrics.recordRequest(service, status, code, ms);
     this.#log.info(accessLogFields(exchange, ms, this.#knowledge.configVersion), 'Request ended.');
   }
 
@@ -328,16 +328,16 @@
   #describe(): void {
     if (this.#leaving) return;
     const { front } = this.#settings.listen;
-    const { storeLost } = this.#desks.news;
+    const { isStoreLost: storeLost } = this.#desks.stateSync;
     this.#fleet.describe({ gateways: [front], draining: !this.#ready, storeLost });
   }
 
-  #onNews(news: News): void {
+  #onNews(news: StateChange): void {
     match(news)
       .with({ kind: 'config' }, () => {
         this.#describe();
         this.#warmLinks();
-        this.#desks.quotas.changed(performance.now());
+        this.#desks.quotas.refresh(performance.now());
       })
       .with({ kind: 'runners' }, () => this.#runners.abortLost())
       .with({ kind: 'era' }, ({ cameBack }) => {
@@ -345,6 +345,6 @@
         if (cameBack) this.#orders?.onStoreRestored(performance.now());
       })
       .exhaustive();
-    this.#desks.news.learnt(news);
+    this.#desks.stateSync.announce(news);
   }
 }
--- a/src/node/router/exchange.ts
+++ b/src/node/router/exchange.ts
@@ -6,7 +6,7 @@
 import { Failure } from '../../core/failure';
 import { contentIdOf } from '../../core/fingerprint';
 import type { Route } from '../../core/routing/types';
-import { cutOff, errorBody } from '../../utils/http';
+import { abortResponse, errorBody } from '../../utils/http';
 import { QuotaCharge } from './charge';
 import type { CallRequest, IngressCodec } from './types';
 
@@ -161,7 +161,7 @@
   fail(now: number, failure: Failure): void {
     this.code = failure.codeName;
     if (this.#res.headersSent) {
-      cutOff(this.#res);
+      abortResponse(this.#res);
       return;
     }
     const { retryAfterMs } = failure;
--- a/src/node/router/fleet.ts
+++ b/src/node/router/fleet.ts
@@ -8,13 +8,13 @@
 import { isPresent, canOwn } from '../../core/membership/types';
 import { addressesNear, rankByCores } from '../../core/ownership';
 import { toFailure } from '../../core/failure';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { PeerLink } from '../peer/link';
 import { PROTOCOL_VERSION } from '../peer/messages';
 import type { Peer } from '../peer/server';
 import { PeerServer } from '../peer/server';
-import type { ProofExchange } from '../scheduler/members';
+import type { FreshnessExchange } from '../scheduler/members';
 import { MembershipDriver } from '../scheduler/members';
 import type { RouterSettings } from './types';
 
@@ -28,13 +28,13 @@
     push: (method: string, params: unknown) => void,
   ): Promise<unknown>;
   /** A VM is gone and its requests with it. */
-  onLost(vm: string): void;
+  onVmLost(vm: string): void;
   /** The membership changed. */
-  onMembers(): void;
+  onMembersChange(): void;
   /** Another VM knows other things than this one. */
-  onDiffers(address: string): void;
+  onDigestDiffers(address: string): void;
   /** Another VM tells news. */
-  onRumour(rumour: GossipUpdate, address: string): void;
+  onUpdate(rumour: GossipUpdate, address: string): void;
 }
 
 /** Period of membership probes, in milliseconds: a dead VM is found in about a second and a half. */
@@ -80,7 +80,7 @@
   /** Addresses of VMs that may plan a service, to which links are kept. */
   readonly #warm = new Set<string>();
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   #reaper: NodeJS.Timeout | undefined;
 
@@ -96,7 +96,7 @@
 
   constructor(
     settings: RouterSettings,
-    proofs: ProofExchange,
+    proofs: FreshnessExchange,
     metrics: Metrics,
     log: Logger,
     listener: FleetListener,
@@ -104,7 +104,7 @@
     this.#settings = settings;
     this.#log = log;
     this.#listener = listener;
-    this.#lines = new LineBudget(MEMBER_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(MEMBER_LINES, (lines) =>
       log.info({ lines, present: this.alive.length }, 'More members changed.'),
     );
     const { vm, domain, peer, peerKey, cores } = settings;
@@ -128,8 +128,8 @@
       proofs,
       listener: {
         onChange: (member) => this.#changed(member),
-        onRumour: (rumour, address) => listener.onRumour(rumour, address),
-        onDiffers: (address) => listener.onDiffers(address),
+        onUpdate: (rumour, address) => listener.onUpdate(rumour, address),
+        onDigestDiffers: (address) => listener.onDigestDiffers(address),
       },
     });
     this.#server = new PeerServer({
@@ -182,20 +182,20 @@
   /** Says hello to addresses at which other VMs may be. */
   contact(addresses: readonly string[]): void {
     const others = addresses.filter((address) => address !== this.#settings.peer);
-    this.#members.tell({ kind: 'contact', addresses: others });
+    this.#members.handle({ kind: 'contact', addresses: others });
   }
 
   /** Takes over the members that another VM knows. */
   sync(members: readonly Member[]): void {
-    this.#members.tell({ kind: 'synced', members });
+    this.#members.handle({ kind: 'synced', members });
   }
 
   /** VMs that the store names; what probes say of them goes first. */
-  list(vms: readonly { readonly vm: string; readonly address: string }[]): void {
+  addListed(vms: readonly { readonly vm: string; readonly address: string }[]): void {
     const known = new Set(this.all.map(({ address }) => address));
     const fresh = vms.filter(({ address }) => !known.has(address));
     if (fresh.length === 0) return;
-    this.#members.tell({
+    this.#members.handle({
       kind: 'listed',
       vms: fresh.map(({ vm, address }) => ({ vm, address, leaving: false })),
     });
@@ -203,7 +203,7 @@
 
   /** Tells the others of this VM. */
   describe(description: MemberStatus): void {
-    this.#members.tell({ kind: 'described', description });
+    this.#members.handle({ kind: 'described', description });
   }
 
   /** What this VM knows, in short, for others to compare. */
@@ -212,11 +212,11 @@
   }
 
   leave(): void {
-    this.#members.tell({ kind: 'leaving' });
+    this.#members.handle({ kind: 'leaving' });
   }
 
-  spread(rumours: readonly GossipUpdate[]): void {
-    if (rumours.length > 0) this.#members.tell({ kind: 'rumours', rumours });
+  gossip(rumours: readonly GossipUpdate[]): void {
+    if (rumours.length > 0) this.#members.handle({ kind: 'rumours', rumours });
   }
 
   /** Addresses for callers in a failure domain, of VMs that live and stay. */
@@ -246,7 +246,7 @@
   }
 
   /** Forgets to which VMs links are kept; they are named anew. */
-  cool(): void {
+  clearWarm(): void {
     this.#warm.clear();
   }
 
@@ -259,19 +259,19 @@
     return owners;
   }
 
-  shun(now: number, vm: string): void {
+  deprioritize(now: number, vm: string): void {
     this.#shunned.set(vm, now + SHUNNED_MS);
   }
 
   /** Calls another VM; a link that is being opened is waited for. */
   async call(address: string, method: string, params: unknown, limitMs: number): Promise<unknown> {
     const link = this.#linkTo(performance.now(), address);
-    if (!link.up) await Promise.race([link.opened, pause(limitMs, undefined, { ref: false })]);
+    if (!link.up) await Promise.race([link.attempted, pause(limitMs, undefined, { ref: false })]);
     return link.call(method, params, limitMs);
   }
 
   /** Calls all VMs that have a link to this one, over those links. */
-  callBack(method: string, params: unknown): void {
+  callClients(method: string, params: unknown): void {
     for (const peer of this.#callers.values()) this.#push(peer, method, params);
   }
 
@@ -285,7 +285,7 @@
     const { vm } = peer;
     if (this.#callers.get(vm) === peer) this.#callers.delete(vm);
     const state = this.#members.members.get(vm)?.state;
-    if (state === 'left' || state === 'dead') this.#listener.onLost(vm);
+    if (state === 'left' || state === 'dead') this.#listener.onVmLost(vm);
   }
 
   #reap(now: number): void {
@@ -318,7 +318,7 @@
 
   #changed(member: Member): void {
     const { vm, address, state, draining, incarnation } = member;
-    if (this.#lines.allows(performance.now())) {
+    if (this.#lines.tryAcquire(performance.now())) {
       this.#log.info({ vm, state, draining, incarnation }, 'Member changed.');
     }
     if (state === 'dead' || state === 'left') {
@@ -326,7 +326,7 @@
       this.#links.delete(address);
     }
     // A VM that has left still serves what it has; it is lost when its link closes.
-    if (state === 'dead') this.#listener.onLost(vm);
+    if (state === 'dead') this.#listener.onVmLost(vm);
     this.#ranking.clear();
     this.#addresses.clear();
     this.#gather();
@@ -338,7 +338,7 @@
     this.#gathering = true;
     setTimeout(() => {
       this.#gathering = false;
-      this.#listener.onMembers();
+      this.#listener.onMembersChange();
     }, GATHER_MS).unref();
   }
 }
--- a/src/node/router/frontend.ts
+++ b/src/node/router/frontend.ts
@@ -13,18 +13,18 @@
 import type { Route } from '../../core/routing/types';
 
 import { bootNow } from '../../utils/clock';
-import { OpenAnswers } from '../../utils/answers';
+import { OpenResponses } from '../../utils/responses';
 import { listenOn, readBody } from '../../utils/http';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { Exchange, sendRefusal } from './exchange';
 import type { Authorizer } from './authorizer';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { CallRequest, IngressCodec } from './types';
 
 /** Dependencies of the front end. */
 export interface FrontEndContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly authorizer: Authorizer;
   readonly codec: IngressCodec;
   readonly metrics: Metrics;
@@ -52,9 +52,9 @@
 
   readonly #server: Server;
 
-  readonly #logBudget: LineBudget;
+  readonly #logBudget: LogRateLimiter;
 
-  readonly #openResponses = new OpenAnswers();
+  readonly #openResponses = new OpenResponses();
 
   #activeRequests = 0;
 
@@ -62,7 +62,7 @@
 
   constructor(context: FrontEndContext) {
     this.#context = context;
-    this.#logBudget = new LineBudget(REFUSAL_LINES_PER_S, (lines) =>
+    this.#logBudget = new LogRateLimiter(REFUSAL_LINES_PER_S, (lines) =>
       context.log.info({ lines }, 'Suppressed log lines of refused requests.'),
     );
     this.#server = createServer(
@@ -75,7 +75,7 @@
     this.#server.headersTimeout = DEFAULT_HEADER_MS;
     this.#server.on('connection', (socket) => socket.setNoDelay(true));
     this.#server.on('clientError', (error, socket) => {
-      if (this.#openResponses.cutOn(socket)) socket.destroy();
+      if (this.#openResponses.abortOn(socket)) socket.destroy();
       else rejectMalformed(error, socket as Socket);
     });
   }
@@ -103,7 +103,7 @@
 
   /** Resets the connections of all responses in progress, so that they cannot look complete. */
   cutOff(): void {
-    this.#openResponses.cutAll();
+    this.#openResponses.abortAll();
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -160,7 +160,7 @@
   #logRefusal(now: number, request: string | undefined, { codeName, message }: Failure): void {
     const { knowledge, metrics, log } = this.#context;
     metrics.count(`refused.${codeName}`);
-    if (!this.#logBudget.allows(now)) return;
+    if (!this.#logBudget.tryAcquire(now)) return;
     const { configVersion, freshness } = knowledge;
     const ageMs = Math.round(freshness.ageMs(bootNow()));
     log.info(
--- a/src/node/router/metrics.ts
+++ b/src/node/router/metrics.ts
@@ -6,7 +6,7 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
 import { listenOn } from '../../utils/http';
-import { BELIEFS_PATH } from '../../types/beliefs';
+import { SNAPSHOT_PATH } from '../../types/snapshot';
 import type { Metrics } from '../metrics';
 
 /** Bounds of the latency histograms in seconds: from one round trip to the longest deadline. */
@@ -56,7 +56,7 @@
   }
 
   /** Notes a request that has its final answer. */
-  ended(service: string, status: number, code: string | undefined, ms: number): void {
+  recordRequest(service: string, status: number, code: string | undefined, ms: number): void {
     this.#ended.inc({ service, status: String(status), code: code ?? '' });
     this.#latency.observe({ service }, ms / 1000);
   }
@@ -93,7 +93,7 @@
   /** Serves on an address: what the VM believes on one path, the metrics' text on all others. */
   listen(address: string, beliefs: () => unknown): Promise<void> {
     const server = createServer((req, res) => {
-      if (req.url === BELIEFS_PATH) {
+      if (req.url === SNAPSHOT_PATH) {
         const body = JSON.stringify(beliefs());
         res.writeHead(HTTP_OK, { 'content-type': 'application/json' }).end(body);
         return;
--- a/src/node/router/model.ts
+++ b/src/node/router/model.ts
@@ -4,8 +4,8 @@
 import { Failure, toFailure } from '../../core/failure';
 import type { Engine, Runner } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
-import type { PermitDesk } from './permits';
+import type { RoutingState } from './routingstate';
+import type { PermitController } from './permits';
 import type { ReservationClient } from './reservations';
 import type { Progress } from './progress';
 import {
@@ -16,7 +16,7 @@
   timeoutFailure,
   callerFailure,
 } from './progress';
-import type { QuotaDesk } from './quotas';
+import type { QuotaController } from './quotas';
 import type { Answer, RelayOutcome } from './relay';
 import { Relay } from './relay';
 import type { Runs } from './runs';
@@ -24,12 +24,12 @@
 
 /** Dependencies of the model request handler. */
 export interface ModelContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly runners: RunnerClient;
   readonly reservations: ReservationClient;
   readonly runs: Runs;
-  readonly quotas: Pick<QuotaDesk, 'cover'>;
-  readonly permits: Pick<PermitDesk, 'isLimited'>;
+  readonly quotas: Pick<QuotaController, 'cover'>;
+  readonly permits: Pick<PermitController, 'isLimited'>;
   /** Takes one retry from the service's retry budget; false if the budget is exhausted. */
   readonly takeRetry: (now: number, service: string) => boolean;
 }
--- a/src/node/router/orders.ts
+++ b/src/node/router/orders.ts
@@ -4,14 +4,14 @@
 
 import { toFailure } from '../../core/failure';
 import type { StageChange } from '../../core/memory/balance';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { PlannerHost } from './plannerhost';
-import type { OrderLock, OrderRight, RunnerClient } from './types';
+import type { OrderLock, OrderLease, RunnerClient } from './types';
 
 /** Dependencies of the controller. */
 export interface OrderContext {
   readonly vm: string;
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly planners: PlannerHost;
   readonly runners: RunnerClient;
   readonly lock: OrderLock;
@@ -39,7 +39,7 @@
 
   readonly #startedAt = performance.now();
 
-  #right: OrderRight | undefined;
+  #right: OrderLease | undefined;
 
   #busy = false;
 
@@ -112,7 +112,7 @@
    * from its own clock that its lease has expired.
    */
   async #order(
-    right: OrderRight,
+    right: OrderLease,
     change: StageChange & { readonly service: string },
   ): Promise<void> {
     const { planners, runners, vm, knowledge, log } = this.#context;
--- a/src/node/router/permits.ts
+++ b/src/node/router/permits.ts
@@ -13,7 +13,7 @@
 import type { Metrics } from '../metrics';
 import { AccountOwners } from './accountowners';
 import type { RouterFleet } from './fleet';
-import type { RateChange, RateLimitDesk } from './ratelimits';
+import type { RateChange, RateLimitController } from './ratelimits';
 import { rateSchema } from './ratewire';
 
 /** What permits work with. */
@@ -21,7 +21,7 @@
   readonly vm: string;
   /** By how much all VMs together may be over a limit for a while. */
   readonly bounds: QuotaBounds;
-  readonly rateLimits: RateLimitDesk;
+  readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
   readonly metrics: Metrics;
   readonly log: Logger;
@@ -56,7 +56,7 @@
 export type Permit = Readonly<z.infer<typeof permitSchema>>;
 
 /** Permits at one VM. */
-export class PermitDesk {
+export class PermitController {
   readonly #context: PermitContext;
 
   readonly #accounts: QuotaAccounts;
@@ -156,28 +156,28 @@
   }
 
   /** A VM tells the owner of a service that limits of its runners changed. */
-  onTold(now: number, vm: string, params: unknown): void {
+  onRates(now: number, vm: string, params: unknown): void {
     this.#context.rateLimits.learn(now, toldSchema.parse(params).rates, vm);
   }
 
   /** The members changed. */
-  changed(now: number): void {
-    this.#owners.changed(now);
+  refresh(now: number): void {
+    this.#owners.refresh(now);
   }
 
   /** Limits of runners changed. */
   limitsChanged(now: number, changes: readonly RateChange[]): void {
     for (const { rate } of changes) this.#fullUntil.delete(rate.runner);
     this.#forgetOthers();
-    this.#owners.changed(now);
+    this.#owners.refresh(now);
     // The owner gives out the rest of a limit, so it must not hear of it by chance.
     for (const { rate, isOwn } of changes) {
-      if (isOwn) this.#owners.tell(rate.service, 'rates', { rates: [rate] });
+      if (isOwn) this.#owners.notify(rate.service, 'rates', { rates: [rate] });
     }
   }
 
   /** What the planner of a service may give out. */
-  rationOf(service: string): RateAllowance {
+  allowanceOf(service: string): RateAllowance {
     const { vm, rateLimits } = this.#context;
     const isFree = (runner: string): boolean => rateLimits.ratePerS(runner) === undefined;
     return {
@@ -190,8 +190,8 @@
   }
 
   /** What this VM goes by, for operators. */
-  beliefs(): Readonly<Record<string, unknown>> {
-    return { runners: this.#context.rateLimits.limited, owners: this.#owners.beliefs() };
+  snapshot(): Readonly<Record<string, unknown>> {
+    return { runners: this.#context.rateLimits.limited, owners: this.#owners.snapshot() };
   }
 
   /** Forgets runners that name no limit, or are gone. */
--- a/src/node/router/plain.ts
+++ b/src/node/router/plain.ts
@@ -6,7 +6,7 @@
 import type { Exchange } from './exchange';
 import type { BalancerContext } from './plainbalancer';
 import { PlainBalancer } from './plainbalancer';
-import type { QuotaDesk } from './quotas';
+import type { QuotaController } from './quotas';
 import type { Run, Runs } from './runs';
 import type { Reply, RunnerClient } from './types';
 
@@ -14,7 +14,7 @@
 export interface PlainContext extends BalancerContext {
   readonly runners: RunnerClient;
   readonly runs: Runs;
-  readonly quotas: Pick<QuotaDesk, 'cover'>;
+  readonly quotas: Pick<QuotaController, 'cover'>;
   /** Takes one retry from the service's retry budget; false if the budget is exhausted. */
   readonly takeRetry: (now: number, service: string) => boolean;
 }
--- a/src/node/router/plainbalancer.ts
+++ b/src/node/router/plainbalancer.ts
@@ -6,14 +6,17 @@
 import { Failure } from '../../core/failure';
 import type { Runner } from '../../core/routing/types';
 import type { Exchange } from './exchange';
-import type { Knowledge } from './knowledge';
-import type { PermitDesk } from './permits';
+import type { RoutingState } from './routingstate';
+import type { PermitController } from './permits';
 
 /** Dependencies of the balancer. */
 export interface BalancerContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly health: (service: string) => RunnerHealth;
-  readonly permits: Pick<PermitDesk, 'isLimited' | 'mayTake' | 'isTrialDue' | 'ask' | 'askTrial'>;
+  readonly permits: Pick<
+    PermitController,
+    'isLimited' | 'mayTake' | 'isTrialDue' | 'ask' | 'askTrial'
+  >;
   readonly domain: string;
 }
 
--- a/src/node/router/plannerhost.ts
+++ b/src/node/router/plannerhost.ts
@@ -11,7 +11,7 @@
 import { PauseDetector } from '../../core/pause';
 import type { RateAllowance } from '../../core/ratelimits/types';
 import type { Engine } from '../../core/routing/types';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type {
   ReservationRequest,
   HoldingsReport,
@@ -62,7 +62,7 @@
 
 /** All planners of this VM, by service. */
 export class PlannerHost {
-  readonly #knowledge: Knowledge;
+  readonly #knowledge: RoutingState;
 
   readonly #runners: RunnerClient;
 
@@ -79,7 +79,7 @@
   #draining = false;
 
   constructor(
-    knowledge: Knowledge,
+    knowledge: RoutingState,
     runners: RunnerClient,
     log: Logger,
     context: PlannerHostContext,
--- a/src/node/router/quarantine.ts
+++ b/src/node/router/quarantine.ts
@@ -20,9 +20,9 @@
   readonly metrics: Metrics;
   readonly log: Logger;
   /** To be told to other VMs. */
-  readonly onNews: (suspects: readonly Suspect[]) => void;
+  readonly onChanges: (suspects: readonly Suspect[]) => void;
   /** What is refused has changed. */
-  readonly onRefused: () => void;
+  readonly onRefusedChange: () => void;
 }
 
 /** Period of looking at what has run out and what is to be saved, in milliseconds. */
@@ -35,7 +35,7 @@
 const SAVE_AGAIN_MS = 1000;
 
 /** Requests that are kept from the runners, at one VM. */
-export class QuarantineDesk {
+export class QuarantineController {
   readonly #context: QuarantineContext;
 
   readonly #quarantine = new Quarantine();
@@ -72,7 +72,7 @@
   }
 
   /** A runner ended under a request. Gives the runners that are known to have. */
-  ended(now: number, fingerprint: string, runner: string): number {
+  crashed(now: number, fingerprint: string, runner: string): number {
     this.#changed(now, this.#quarantine.recordCrash(now, fingerprint, runner), 'own');
     return this.#quarantine.crashCount(fingerprint);
   }
@@ -93,7 +93,7 @@
    * The store tells of requests.
    * @param isAll whether it holds no others: what is missing was lost with it, and is saved again
    */
-  stored(now: number, suspects: readonly Suspect[], isAll: boolean): void {
+  learnStored(now: number, suspects: readonly Suspect[], isAll: boolean): void {
     if (isAll) this.#stored = new Set();
     for (const { fingerprint } of suspects) this.#stored.add(fingerprint);
     this.learn(now, suspects, 'store');
@@ -110,7 +110,7 @@
   }
 
   /** What is refused, for operators. */
-  beliefs(now: number): readonly unknown[] {
+  snapshot(now: number): readonly unknown[] {
     return this.#quarantine.refused(now).map(({ fingerprint, ends }) => ({
       fingerprint,
       runners: ends.map(({ runner }) => runner),
@@ -136,7 +136,7 @@
   #tellAll(): void {
     const suspects = [...this.#fresh.values()];
     this.#fresh.clear();
-    this.#context.onNews(suspects);
+    this.#context.onChanges(suspects);
   }
 
   #look(now: number): void {
@@ -150,7 +150,7 @@
     const refused = this.#quarantine.refused(now);
     const before = this.#refused;
     this.#refused = new Set(refused.map(({ fingerprint }) => fingerprint));
-    const { log, metrics, onRefused } = this.#context;
+    const { log, metrics, onRefusedChange: onRefused } = this.#context;
     const begun = refused.filter(({ fingerprint }) => !before.has(fingerprint));
     const over = [...before].filter((fingerprint) => !this.#refused.has(fingerprint));
     for (const { fingerprint, ends } of begun) {
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -10,18 +10,18 @@
 import type { QuotaBounds, QuotaDecision } from '../../core/quotas/account';
 import type { QuotaKey } from '../../core/quotas/accounts';
 import { QuotaAccounts } from '../../core/quotas/accounts';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
 import { AccountOwners } from './accountowners';
 import type { Exchange } from './exchange';
 import type { RouterFleet } from './fleet';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 
 /** What quotas work with. */
 export interface QuotaContext {
   readonly vm: string;
   readonly bounds: QuotaBounds;
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly fleet: RouterFleet;
   readonly metrics: Metrics;
   readonly log: Logger;
@@ -58,14 +58,14 @@
 }
 
 /** Quotas at one VM. */
-export class QuotaDesk {
+export class QuotaController {
   readonly #context: QuotaContext;
 
   readonly #accounts: QuotaAccounts;
 
   readonly #owners: AccountOwners;
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
   constructor(context: QuotaContext) {
     const { vm, bounds, fleet, metrics, log } = context;
@@ -80,7 +80,7 @@
       metrics,
       log,
     });
-    this.#lines = new LineBudget(REFUSAL_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(REFUSAL_LINES, (lines) =>
       log.info({ lines }, 'Refused more over a quota.'),
     );
   }
@@ -107,7 +107,7 @@
     const { customer } = request;
     const size = charge.settle();
     if (customer === undefined || size === 0) return;
-    const isTold = this.#owners.tell(groupOf(customer), 'quotaBack', { customer, size });
+    const isTold = this.#owners.notify(groupOf(customer), 'quotaBack', { customer, size });
     if (!isTold) this.#accounts.refund(keyOf(customer), size);
   }
 
@@ -120,19 +120,19 @@
     this.#owners.onJoin(now, vm, params);
   }
 
-  onBack(params: unknown): void {
+  onRefund(params: unknown): void {
     const { customer, size } = backSchema.parse(params);
     this.#accounts.refund(keyOf(customer), size);
   }
 
   /** Members or customers changed. */
-  changed(now: number): void {
-    this.#owners.changed(now);
+  refresh(now: number): void {
+    this.#owners.refresh(now);
   }
 
   /** What this VM goes by, for operators. */
-  beliefs(): Readonly<Record<string, unknown>> {
-    return { accounts: this.#accounts.size, owners: this.#owners.beliefs() };
+  snapshot(): Readonly<Record<string, unknown>> {
+    return { accounts: this.#accounts.size, owners: this.#owners.snapshot() };
   }
 
   get #hasQuotas(): boolean {
@@ -166,7 +166,7 @@
     const { configVersion } = knowledge;
     const { customer } = request;
     metrics.count('quotas.refused');
-    if (this.#lines.allows(performance.now())) {
+    if (this.#lines.tryAcquire(performance.now())) {
       log.info(
         { request: request.id, customer, configVersion, size, retryAfterMs },
         'Over the quota.',
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -9,9 +9,9 @@
 import { RunnerRates, digestOf } from '../../core/ratelimits/rates';
 import type { RunnerRate } from '../../core/ratelimits/types';
 import type { Runner } from '../../core/routing/types';
-import { LineBudget } from '../budget';
+import { LogRateLimiter } from '../loglimiter';
 import type { Metrics } from '../metrics';
-import type { Knowledge } from './knowledge';
+import type { RoutingState } from './routingstate';
 import type { Reply } from './types';
 
 /** A limit that changed as this VM sees it. */
@@ -23,11 +23,11 @@
 
 /** What rate limits work with. */
 export interface RateLimitContext {
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
   readonly metrics: Metrics;
   readonly log: Logger;
   /** To be told to other VMs and acted upon; with none where a limit may be over with its runner. */
-  readonly onNews: (changes: readonly RateChange[]) => void;
+  readonly onChanges: (changes: readonly RateChange[]) => void;
 }
 
 /** Answers below this status are what a runner in good order gives. */
@@ -44,14 +44,14 @@
 const GATHER_MS = 20;
 
 /** Rate limits at one VM. */
-export class RateLimitDesk {
+export class RateLimitController {
   readonly #context: RateLimitContext;
 
   readonly #rates = new RunnerRates();
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
-  readonly #unreadable: LineBudget;
+  readonly #unreadable: LogRateLimiter;
 
   readonly #timer: NodeJS.Timeout;
 
@@ -61,10 +61,10 @@
   constructor(context: RateLimitContext) {
     this.#context = context;
     const { log } = context;
-    this.#lines = new LineBudget(RATE_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(RATE_LINES, (lines) =>
       log.info({ lines }, 'More rate limits changed.'),
     );
-    this.#unreadable = new LineBudget(UNREADABLE_LINES, (lines) =>
+    this.#unreadable = new LogRateLimiter(UNREADABLE_LINES, (lines) =>
       log.warn({ lines }, 'More rate limits were unreadable.'),
     );
     this.#timer = setInterval(() => this.#prune(performance.now()), PRUNE_MS).unref();
@@ -93,7 +93,7 @@
    * The limits in force and those that ended a while ago, of the runners that are listed, for
    * another VM. VMs forget the others one after the other; told of them, none ever would.
    */
-  told(now: number): readonly RunnerRate[] {
+  shared(now: number): readonly RunnerRate[] {
     return this.#listedOf(now, this.#rates.all);
   }
 
@@ -128,7 +128,7 @@
     if (this.#fresh.size === 0) setTimeout(() => this.#tellAll(), GATHER_MS).unref();
     this.#fresh.set(rate.runner, { rate, isOwn: source === OWN });
     metrics.gauge('ratelimits.runners', this.#rates.limited.length);
-    if (!this.#lines.allows(now)) return;
+    if (!this.#lines.tryAcquire(now)) return;
     const holds = rate.ratePerS !== undefined;
     const what = holds ? 'A runner has a rate limit.' : 'A runner has no rate limit any more.';
     log.info({ ...rate, source }, what);
@@ -137,12 +137,12 @@
   #tellAll(): void {
     const changes = [...this.#fresh.values()];
     this.#fresh.clear();
-    this.#context.onNews(changes);
+    this.#context.onChanges(changes);
   }
 
   #noteUnreadable(now: number, { id: runner, service }: Runner, text: string): void {
     this.#context.metrics.count('ratelimits.unreadable');
-    if (!this.#unreadable.allows(now)) return;
+    if (!this.#unreadable.tryAcquire(now)) return;
     const detail = `found ${JSON.stringify(text)} as a rate limit, expected a decimal number`;
     const { line } = new Failure('factUnreadable', detail);
     this.#context.log.warn({ runner, service, keptPerS: this.#rates.ratePerS(runner) }, line);
@@ -160,7 +160,7 @@
   }
 
   #prune(now: number): void {
-    const { metrics, onNews } = this.#context;
+    const { metrics, onChanges: onNews } = this.#context;
     if (this.#rates.all.length === 0) return;
     this.#rates.prune(now, this.#listed(now));
     metrics.gauge('ratelimits.runners', this.#rates.limited.length);
--- a/src/node/router/ratewire.ts
+++ b/src/node/router/ratewire.ts
@@ -4,7 +4,7 @@
 
 import type { GossipUpdate } from '../../core/membership/types';
 import type { RunnerRate } from '../../core/ratelimits/types';
-import { toRumour } from './rumours';
+import { toUpdate } from './updates';
 
 /** Path of news of one runner's limit, followed by the id of its start. */
 export const RATE_PATH = 'rate/';
@@ -19,6 +19,6 @@
 });
 
 /** News of one runner's limit. */
-export function rateRumour(rate: RunnerRate): GossipUpdate {
-  return toRumour(`${RATE_PATH}${rate.runner}`, rate.version, rate);
+export function rateUpdate(rate: RunnerRate): GossipUpdate {
+  return toUpdate(`${RATE_PATH}${rate.runner}`, rate.version, rate);
 }
--- a/src/node/router/reservations.ts
+++ b/src/node/router/reservations.ts
@@ -86,7 +86,7 @@
       }
       if (!decision) {
         unresponsive += 1;
-        this.#fleet.shun(performance.now(), owner.vm);
+        this.#fleet.deprioritize(performance.now(), owner.vm);
         this.#log.warn({ request: demand.id, owner: owner.vm }, 'An owner did not answer in time.');
       }
     }
--- a/src/node/router/knowledge.ts
+++ b/src/node/router/routingstate.ts
@@ -15,8 +15,8 @@
 import { Failure } from '../../core/failure';
 import type { Runner, RunnerRole, RoutingConfig } from '../../core/routing/types';
 import { bootNow } from '../../utils/clock';
-import { LineBudget } from '../budget';
-import type { ProofExchange } from '../scheduler/members';
+import { LogRateLimiter } from '../loglimiter';
+import type { FreshnessExchange } from '../scheduler/members';
 
 /** How long after trouble with the store a vanished entry may be one that lapsed meanwhile, in milliseconds. */
 const LAPSE_MS = 3000;
@@ -36,7 +36,7 @@
 const RETURNED_GRACE_MS = 1000;
 
 /** A newer configuration, or runners that changed. */
-export type News =
+export type StateChange =
   | { readonly kind: 'config' }
   | { readonly kind: 'runners'; readonly facts: readonly RunnerRecord[] }
   /** `cameBack`: another era was known before. */
@@ -46,14 +46,14 @@
 const RUNNER_LINES = 10;
 
 /** What knowledge tells of its changes. */
-export interface KnowledgeListener {
-  onNews(news: News): void;
+export interface RoutingStateListener {
+  onChange(news: StateChange): void;
   /** An entry came in that names no runner to use. */
-  onUnfitEntry(): void;
+  onInvalidEntry(): void;
 }
 
 /** What one VM knows. */
-export class Knowledge {
+export class RoutingState {
   readonly #log: Logger;
 
   readonly #directory = new RunnerDirectory();
@@ -74,15 +74,15 @@
   /** Position of the first full list after the last trouble; none yet while it lasts. */
   #returnedAt: Position | undefined;
 
-  readonly #listener: KnowledgeListener;
+  readonly #listener: RoutingStateListener;
 
-  readonly #lines: LineBudget;
+  readonly #lines: LogRateLimiter;
 
-  constructor(history: StoreHistory, log: Logger, listener: KnowledgeListener) {
+  constructor(history: StoreHistory, log: Logger, listener: RoutingStateListener) {
     this.#history = history;
     this.#log = log;
     this.#listener = listener;
-    this.#lines = new LineBudget(RUNNER_LINES, (lines) =>
+    this.#lines = new LogRateLimiter(RUNNER_LINES, (lines) =>
       log.info({ lines, ...this.runnersPosition }, 'More runners changed.'),
     );
   }
@@ -97,11 +97,11 @@
   }
 
   /** The proof as members exchange it with their probes. */
-  get proofExchange(): ProofExchange {
+  get freshnessExchange(): FreshnessExchange {
     return {
-      tell: () => this.freshness.proofAt(bootNow(), this.configVersion),
-      ask: (seq) => this.freshness.recordQuery(bootNow(), seq),
-      answer: (seq, proof) => this.freshness.recordReply(seq, proof, this.configVersion),
+      currentProof: () => this.freshness.proofAt(bootNow(), this.configVersion),
+      onPingSent: (seq) => this.freshness.recordQuery(bootNow(), seq),
+      onAckReceived: (seq, proof) => this.freshness.recordReply(seq, proof, this.configVersion),
     };
   }
 
@@ -137,11 +137,11 @@
   }
 
   /** Facts of the parts of the digest in which another VM's differ, at most about `most`. */
-  factsBeside(now: number, theirs: readonly number[], most: number): readonly RunnerRecord[] {
+  recordsDiffering(now: number, theirs: readonly number[], most: number): readonly RunnerRecord[] {
     return this.#directory.factsIn(now, this.#directory.digest.differingParts(theirs), most);
   }
 
-  heardStore(now: number): void {
+  storeAnswered(now: number): void {
     this.#storeAt = now;
   }
 
@@ -163,7 +163,7 @@
       this.#log.warn({ ...start, before, source }, 'The store came back from an older copy.');
     }
     const isFirst = before === undefined && start !== undefined && start.era > 0;
-    if (cameBack || isFirst) this.#listener.onNews({ kind: 'era', cameBack });
+    if (cameBack || isFirst) this.#listener.onChange({ kind: 'era', cameBack });
   }
 
   /** How long a runner stays in use whose entry is gone as of a position, in milliseconds. */
@@ -174,7 +174,7 @@
   }
 
   /** Time since the store was last heard, in milliseconds. */
-  storeAge(now: number): number {
+  storeAgeMs(now: number): number {
     return now - this.#storeAt;
   }
 
@@ -191,12 +191,12 @@
         routes: routes.length,
         customers: customers?.length,
         source,
-        storeAgeMs: Math.round(this.storeAge(now)),
+        storeAgeMs: Math.round(this.storeAgeMs(now)),
       },
       'New config.',
     );
     this.#noteDisputed(version);
-    this.#listener.onNews({ kind: 'config' });
+    this.#listener.onChange({ kind: 'config' });
     return true;
   }
 
@@ -225,7 +225,7 @@
         changed.push(gone ? { ...fact, graceMs } : fact);
         this.#checkService(fact);
         const leaving = runner?.leaving;
-        if (this.#lines.allows(now)) {
+        if (this.#lines.tryAcquire(now)) {
           this.#log.info(
             { runner: id, ...position, gone: !runner, leaving, graceMs, source },
             'Runner changed.',
@@ -233,14 +233,14 @@
         }
       }
     }
-    if (changed.length > 0) this.#listener.onNews({ kind: 'runners', facts: changed });
+    if (changed.length > 0) this.#listener.onChange({ kind: 'runners', facts: changed });
   }
 
   /** A runner told of its start itself; the one that is listed may be over by it. */
   learnStart(listing: string, bornAt: number): void {
     if (!this.#directory.applyInstanceStart(listing, bornAt)) return;
     this.#log.info({ runner: listing, bornAt, source: 'report' }, 'Runner started anew.');
-    this.#listener.onNews({ kind: 'runners', facts: [] });
+    this.#listener.onChange({ kind: 'runners', facts: [] });
   }
 
   /** The latest start that is known of a listing, in Unix milliseconds; 0 if none is. */
@@ -262,7 +262,7 @@
   #noteUnfit(id: string, position: Position, detail: string): void {
     const { line } = new Failure('factUnreadable', detail);
     this.#log.warn({ runner: id, ...position }, line);
-    this.#listener.onUnfitEntry();
+    this.#listener.onInvalidEntry();
   }
 
   /** Runners that a full list of the store no longer names are gone as of its position. */
@@ -275,12 +275,12 @@
   }
 
   /** What is known of configuration, store and runners, for operators. */
-  beliefs(now: number): Readonly<Record<string, unknown>> {
+  snapshot(now: number): Readonly<Record<string, unknown>> {
     const usable = new Set(this.#directory.usable(now).map(({ id }) => id));
     return {
       configVersion: this.configVersion,
       routes: this.#table?.config.routes.length ?? 0,
-      storeAgeMs: Number.isFinite(this.#storeAt) ? Math.round(this.storeAge(now)) : null,
+      storeAgeMs: Number.isFinite(this.#storeAt) ? Math.round(this.storeAgeMs(now)) : null,
       era: this.#history.era ?? null,
       runners: this.#directory.facts.map(({ id, position, runner }) => ({
         id,
--- a/src/node/router/runs.ts
+++ b/src/node/router/runs.ts
@@ -13,8 +13,8 @@
 import { bootNow } from '../../utils/clock';
 import type { Exchange } from './exchange';
 import type { Authorizer } from './authorizer';
-import type { QuarantineDesk } from './quarantine';
-import type { RateLimitDesk } from './ratelimits';
+import type { QuarantineController } from './quarantine';
+import type { RateLimitController } from './ratelimits';
 import type { Reply } from './types';
 
 /** The part of a stream that one run sent. */
@@ -32,9 +32,9 @@
 
 /** Dependencies of runs. */
 export interface RunsContext {
-  readonly quarantine: QuarantineDesk;
+  readonly quarantine: QuarantineController;
   readonly authorizer: Authorizer;
-  readonly rateLimits: RateLimitDesk;
+  readonly rateLimits: RateLimitController;
   readonly metrics: Metrics;
   readonly log: Logger;
 }
@@ -96,7 +96,7 @@
     const { quarantine, metrics, log } = this.#context;
     const { id: runner } = this.#runner;
     const answeredAt = this.#answeredAt;
-    const ends = isAttributable(now, answeredAt) ? quarantine.ended(now, fingerprint, runner) : 0;
+    const ends = isAttributable(now, answeredAt) ? quarantine.crashed(now, fingerprint, runner) : 0;
     metrics.count('runs.broken');
     log.info(
       {
--- a/src/node/router/sync.ts
+++ b/src/node/router/stateexchange.ts
@@ -12,17 +12,17 @@
 import { memberSchema } from '../scheduler/members';
 import { packConfig, unpackConfig } from './configwire';
 import type { RouterFleet } from './fleet';
-import type { Knowledge } from './knowledge';
-import type { QuarantineDesk } from './quarantine';
-import type { RateLimitDesk } from './ratelimits';
+import type { RoutingState } from './routingstate';
+import type { QuarantineController } from './quarantine';
+import type { RateLimitController } from './ratelimits';
 import { rateSchema } from './ratewire';
 import { suspectSchema } from './suspects';
 
 /** What an exchange works with. */
-export interface SyncContext {
-  readonly knowledge: Knowledge;
-  readonly quarantine: QuarantineDesk;
-  readonly rateLimits: RateLimitDesk;
+export interface StateExchangeContext {
+  readonly knowledge: RoutingState;
+  readonly quarantine: QuarantineController;
+  readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
 }
 
@@ -109,12 +109,12 @@
 }
 
 /** One fact as the text of a message. */
-export function encodeFact(fact: RunnerRecord): string {
+export function encodeRecord(fact: RunnerRecord): string {
   return JSON.stringify(toWire(fact));
 }
 
 /** Rejects with `peerRejected` by throwing. */
-export function decodeFact(text: string): RunnerRecord {
+export function decodeRecord(text: string): RunnerRecord {
   const parsed = factSchema.safeParse(parseJson(text));
   if (!parsed.success) throw new Failure('peerRejected', 'found a fact that does not fit');
   return fromWire(parsed.data);
@@ -129,13 +129,13 @@
 }
 
 /** Both sides of the exchange. */
-export class FactSync {
-  readonly #context: SyncContext;
+export class StateExchange {
+  readonly #context: StateExchangeContext;
 
   /** The configuration that was packed last. */
   #packed: { readonly version: number; readonly bytes: Uint8Array } | undefined;
 
-  constructor(context: SyncContext) {
+  constructor(context: StateExchangeContext) {
     this.#context = context;
   }
 
@@ -148,11 +148,11 @@
     const tellsRates = members || limited !== rateLimits.digest(now);
     return {
       ...(configVersion < knowledge.configVersion ? { config: this.#packedConfig() } : {}),
-      facts: knowledge.factsBeside(now, parts, FACTS_MOST).map(toWire),
+      facts: knowledge.recordsDiffering(now, parts, FACTS_MOST).map(toWire),
       eras: [...knowledge.eras],
       ...(members ? { members: fleet.all.map(toWireMember) } : {}),
       suspects: tellsSuspects ? quarantine.suspects(now).map(toWireSuspect) : [],
-      rates: tellsRates ? rateLimits.told(now).slice(0, RATES_MOST) : [],
+      rates: tellsRates ? rateLimits.shared(now).slice(0, RATES_MOST) : [],
       ...knowledge.proof(bootNow()),
     };
   }
--- a/src/node/router/news.ts
+++ b/src/node/router/statesync.ts
@@ -18,25 +18,25 @@
 import type { Metrics } from '../metrics';
 import type { RouterFleet } from './fleet';
 import type { Authorizer } from './authorizer';
-import type { Knowledge, News } from './knowledge';
-import type { QuarantineDesk } from './quarantine';
-import type { RateLimitDesk } from './ratelimits';
-import { RATE_PATH, rateRumour, rateSchema } from './ratewire';
-import { fromRumour } from './rumours';
-import { SUSPECT_PATH, suspectRumour, suspectSchema } from './suspects';
-import type { FactSync } from './sync';
-import { decodeFact, decodeEras, encodeFact } from './sync';
+import type { RoutingState, StateChange } from './routingstate';
+import type { QuarantineController } from './quarantine';
+import type { RateLimitController } from './ratelimits';
+import { RATE_PATH, rateUpdate, rateSchema } from './ratewire';
+import { fromUpdate } from './updates';
+import { SUSPECT_PATH, suspectUpdate, suspectSchema } from './suspects';
+import type { StateExchange } from './stateexchange';
+import { decodeRecord, decodeEras, encodeRecord } from './stateexchange';
 import type { Feed } from './types';
 
 /** What the desk works with. */
-export interface NewsContext {
-  readonly knowledge: Knowledge;
+export interface StateSyncContext {
+  readonly knowledge: RoutingState;
   readonly gate: Authorizer;
-  readonly quarantine: QuarantineDesk;
-  readonly rateLimits: RateLimitDesk;
+  readonly quarantine: QuarantineController;
+  readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
   readonly feed: Feed;
-  readonly sync: FactSync;
+  readonly sync: StateExchange;
   readonly metrics: Metrics;
   readonly log: Logger;
   /** Addresses of VMs that may be up already. */
@@ -63,8 +63,8 @@
 const RATES_TOLD = 16;
 
 /** The news of one VM. */
-export class NewsDesk {
-  readonly #context: NewsContext;
+export class StateSync {
+  readonly #context: StateSyncContext;
 
   readonly #spread = new UpdatePropagation();
 
@@ -99,7 +99,7 @@
   /** Whether the members changed since the readers were worked out; that takes a hash for each VM of the failure domain. */
   #membersChanged = true;
 
-  constructor(context: NewsContext) {
+  constructor(context: StateSyncContext) {
     this.#context = context;
     this.#duty = setInterval(() => {
       this.#checkDuty(performance.now());
@@ -120,7 +120,7 @@
   }
 
   /** Whether this VM's calls to the store fail. */
-  get storeLost(): boolean {
+  get isStoreLost(): boolean {
     return this.#failedCalls >= LOST_CALLS;
   }
 
@@ -136,16 +136,16 @@
   }
 
   /** Something came in, from wherever: tells it on. */
-  learnt(news: News): void {
+  announce(news: StateChange): void {
     const { fleet, knowledge, metrics } = this.#context;
     this.setDigest();
     const rumours = match(news)
       .with({ kind: 'config' }, () => this.#spread.configUpdates(knowledge.configVersion))
-      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerUpdates(facts, encodeFact))
+      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerUpdates(facts, encodeRecord))
       .with({ kind: 'era' }, () => this.#spread.eraUpdates(knowledge.eras))
       .exhaustive();
     if (news.kind === 'era' && news.cameBack) metrics.count('store.returns');
-    fleet.spread(rumours);
+    fleet.gossip(rumours);
   }
 
   /** Others compare what this VM knows with what they know. */
@@ -157,29 +157,29 @@
   }
 
   /** Runners ended under requests. */
-  suspected(suspects: readonly Suspect[]): void {
-    this.#context.fleet.spread(suspects.map(suspectRumour));
+  announceSuspects(suspects: readonly Suspect[]): void {
+    this.#context.fleet.gossip(suspects.map(suspectUpdate));
   }
 
   /** Rate limits of runners changed. */
-  rateLimited(rates: readonly RunnerRate[]): void {
+  announceRates(rates: readonly RunnerRate[]): void {
     this.setDigest();
-    this.#context.fleet.spread(rates.slice(0, RATES_TOLD).map(rateRumour));
+    this.#context.fleet.gossip(rates.slice(0, RATES_TOLD).map(rateUpdate));
   }
 
   /** A member tells news. */
-  heard(rumour: GossipUpdate, address: string): void {
+  receive(rumour: GossipUpdate, address: string): void {
     const { knowledge, quarantine, rateLimits, log } = this.#context;
     const now = performance.now();
     const { path, text } = rumour;
     try {
       if (path.startsWith(SUSPECT_PATH)) {
-        quarantine.learn(now, [fromRumour(rumour, suspectSchema)], address);
+        quarantine.learn(now, [fromUpdate(rumour, suspectSchema)], address);
       } else if (path.startsWith(RATE_PATH)) {
-        rateLimits.learn(now, [fromRumour(rumour, rateSchema)], address);
+        rateLimits.learn(now, [fromUpdate(rumour, rateSchema)], address);
       } else if (path === ERA_PATH) knowledge.learnEras(now, decodeEras(text ?? ''), address);
       else if (path.startsWith(RUNNER_PATH) && text !== undefined) {
-        knowledge.learnRunners(now, [decodeFact(text)], address);
+        knowledge.learnRunners(now, [decodeRecord(text)], address);
       } else {
         this.#spread.receive(rumour, address, knowledge);
         this.#fetchDue();
@@ -190,15 +190,15 @@
   }
 
   /** A member knows other things. */
-  differs(address: string): void {
+  digestDiffers(address: string): void {
     this.#spread.reportMismatch(performance.now(), address);
     this.#fetchDue();
   }
 
   /** A call to the store has ended; logs where that changes. */
-  storeAnswered(now: number, up: boolean, detail: string): void {
+  storeCallEnded(now: number, up: boolean, detail: string): void {
     const { knowledge, log, metrics } = this.#context;
-    if (up) knowledge.heardStore(now);
+    if (up) knowledge.storeAnswered(now);
     else knowledge.storeFailed(now);
     metrics.count(up ? 'store.answers' : 'store.failures');
     this.#setFailed(now, up ? 0 : this.#failedCalls + 1);
@@ -209,10 +209,10 @@
   }
 
   #setFailed(now: number, calls: number): void {
-    const before = this.storeLost;
+    const before = this.isStoreLost;
     this.#failedCalls = calls;
-    if (this.storeLost) this.#lostAt = now;
-    if (this.storeLost === before) return;
+    if (this.isStoreLost) this.#lostAt = now;
+    if (this.isStoreLost === before) return;
     this.#context.onDescription();
     this.#membersChanged = true;
     this.#checkDuty(now);
@@ -228,7 +228,7 @@
     }
     const isChosen = this.#shouldRead && this.#mayRead(now);
     const reading = isChosen || isIsolated(now, this.#startedAt, fleet.members);
-    if (this.storeLost && now - this.#lostAt > LOST_MS && !reading) this.#setFailed(now, 0);
+    if (this.isStoreLost && now - this.#lostAt > LOST_MS && !reading) this.#setFailed(now, 0);
     if (reading === this.#reading) return;
     this.#reading = reading;
     if (reading && !this.#wasTold) log.info('Goes by the store alone: no other VM told anything.');
@@ -254,7 +254,7 @@
     fleet.contact([...chosen, ...deputies].map(({ address }) => address));
     if (source !== 'store' || !this.#proofPace.tryQuery(now, this.#reading)) return;
     metrics.count('proofs.asked');
-    feed.confirm();
+    feed.confirmConfig();
   }
 
   /**
--- a/src/node/router/suspects.ts
+++ b/src/node/router/suspects.ts
@@ -4,7 +4,7 @@
 
 import type { GossipUpdate } from '../../core/membership/types';
 import type { Suspect } from '../../core/quarantine/types';
-import { toRumour } from './rumours';
+import { toUpdate } from './updates';
 
 /** Path of news of one request, followed by its fingerprint. */
 export const SUSPECT_PATH = 'suspect/';
@@ -19,7 +19,7 @@
 });
 
 /** News of one request. */
-export function suspectRumour(suspect: Suspect): GossipUpdate {
+export function suspectUpdate(suspect: Suspect): GossipUpdate {
   const { fingerprint, ends } = suspect;
-  return toRumour(`${SUSPECT_PATH}${fingerprint}`, ends.length, suspect);
+  return toUpdate(`${SUSPECT_PATH}${fingerprint}`, ends.length, suspect);
 }
--- a/src/node/router/types.ts
+++ b/src/node/router/types.ts
@@ -139,7 +139,7 @@
 export type OrderOutcome = 'accepted' | 'rejected' | 'unknown';
 
 /** The right to give orders, held by one VM at a time. */
-export interface OrderRight {
+export interface OrderLease {
   /** Grows with each holder. */
   readonly fence: number;
   /** Whether no other VM gave orders before. */
@@ -152,7 +152,7 @@
 /** Where that right is taken. */
 export interface OrderLock {
   /** Undefined if another VM holds it. */
-  acquire(): Promise<OrderRight | undefined>;
+  acquire(): Promise<OrderLease | undefined>;
 }
 
 /** Where requests that are refused outlast all VMs. */
@@ -176,7 +176,7 @@
    * Told after what it holds: nothing else was in force when it was asked.
    * @param askedAt boot time; see `bootNow`
    */
-  onProof(askedAt: number): void;
+  onConfirmed(askedAt: number): void;
   /** After each call to the store: whether it was answered. */
   onStore(up: boolean, detail: string): void;
 }
@@ -186,7 +186,7 @@
   /** Nothing is read until `setReading`. */
   start(listener: FeedListener): void;
   /** Asks once for the configuration in force. Does nothing while it asks. */
-  confirm(): void;
+  confirmConfig(): void;
   /** Begins to read everything and then changes, or ends that after the call under way. */
   setReading(reading: boolean): void;
   stop(): void;
--- a/src/node/router/rumours.ts
+++ b/src/node/router/updates.ts
@@ -6,12 +6,12 @@
 import type { GossipUpdate } from '../../core/membership/types';
 
 /** @param revision grows with what is newer */
-export function toRumour(path: string, revision: number, value: unknown): GossipUpdate {
+export function toUpdate(path: string, revision: number, value: unknown): GossipUpdate {
   return { path, revision, text: JSON.stringify(value) };
 }
 
 /** Rejects with `peerRejected` by throwing. */
-export function fromRumour<T>({ path, text = '' }: GossipUpdate, schema: z.ZodType<T>): T {
+export function fromUpdate<T>({ path, text = '' }: GossipUpdate, schema: z.ZodType<T>): T {
   let value: unknown;
   try {
     value = JSON.parse(text);
--- a/src/node/runner/client.ts
+++ b/src/node/runner/client.ts
@@ -7,7 +7,7 @@
 
 import type { FailureReason } from '../../core/cell/types';
 import { END_OF_EVENTS, openStream, readEvents } from '../../utils/events';
-import { call, isRefusedConnect } from '../../utils/http';
+import { call, isConnectionRefused } from '../../utils/http';
 
 /** Thrown when a runner did not do what it was asked; `full`, `evicted` and `leaving` are its own word that it ran nothing. */
 export class RunnerFailure extends Error {
@@ -64,23 +64,18 @@
 /** What gateways and schedulers ask of runners. */
 export interface RunnerClient {
   prefill(url: string, job: EngineJob, signal: AbortSignal): Promise<PrefillResult>;
-  decode(
-    url: string,
-    job: EngineJob,
-    source: DecodeSource,
-    signal: AbortSignal,
-  ): AsyncIterable<Token>;
+  decode(url: string, job: EngineJob, source: KvSource, signal: AbortSignal): AsyncIterable<Token>;
   /** Tokens of a run that another gateway began. */
   resume(url: string, runId: string, offset: number, signal: AbortSignal): AsyncIterable<Token>;
   /** True once the runner holds nothing for the run. */
   cancel(url: string, runId: string): Promise<boolean>;
-  held(url: string): Promise<readonly string[]>;
+  heldRuns(url: string): Promise<readonly string[]>;
   load(url: string): Promise<RunnerLoad>;
   cacheEvents(url: string, since: number): Promise<readonly CacheEvent[]>;
 }
 
 /** Where the KV cache is fetched from. */
-export interface DecodeSource {
+export interface KvSource {
   readonly url: string;
   readonly runId: string;
 }
@@ -128,7 +123,7 @@
 }
 
 function brokenOff(error: Error): RunnerFailure {
-  return new RunnerFailure(isRefusedConnect(error) ? 'unreachable' : 'lost', error.message);
+  return new RunnerFailure(isConnectionRefused(error) ? 'unreachable' : 'lost', error.message);
 }
 
 /** The client on Node's http. */
@@ -155,12 +150,7 @@
     return { cachedTokens, keptMs };
   }
 
-  decode(
-    url: string,
-    job: EngineJob,
-    source: DecodeSource,
-    signal: AbortSignal,
-  ): AsyncIterable<Token> {
+  decode(url: string, job: EngineJob, source: KvSource, signal: AbortSignal): AsyncIterable<Token> {
     const transfer = {
       do_remote_prefill: true,
       remote_url: source.url,
@@ -183,7 +173,7 @@
     return answer.status === 200;
   }
 
-  async held(url: string): Promise<readonly string[]> {
+  async heldRuns(url: string): Promise<readonly string[]> {
     const answer = await this.#small('GET', `${url}/v1/requests`);
     return heldSchema.parse(JSON.parse(answer.body)).held;
   }
--- a/src/node/scheduler/cells.ts
+++ b/src/node/scheduler/cells.ts
@@ -18,12 +18,12 @@
 >;
 
 /** How far this scheduler's claim to a pool goes: 0 is the owner, 1 the next. */
-export type Claims = (pool: string) => number;
+export type OwnerRank = (pool: string) => number;
 
 /** What the host works with. */
 export interface CellHostOptions {
   readonly settings: () => Settings;
-  readonly claim: Claims;
+  readonly rankIn: OwnerRank;
   readonly log: Logger;
   readonly metrics: Metrics;
 }
@@ -100,7 +100,7 @@
   }
 
   /** Requests that are in each cell for longest, for operators who look for the cause of a slow one. */
-  oldest(now: number): readonly unknown[] {
+  oldestRequests(now: number): readonly unknown[] {
     return [...this.#hosted].flatMap(([pool, { cell, peers }]) =>
       [...cell.requests.values()].slice(0, OLDEST_SHOWN).map(({ arrival, stage, since }) => ({
         pool,
@@ -149,7 +149,7 @@
   }
 
   /** A gateway that is back within the time has its requests adopted again by then. */
-  lose(peer: Peer): void {
+  onGatewayDisconnect(peer: Peer): void {
     setTimeout(() => {
       for (const [pool, { peers }] of this.#hosted) {
         const orphans = [...peers].filter(([, owner]) => owner === peer).map(([id]) => id);
@@ -167,12 +167,12 @@
   }
 
   /** Drops cells that others own now, and brings the rest in line with the settings. */
-  review(): void {
+  reconcile(): void {
     const settings = this.#options.settings();
     for (const [pool, hosted] of this.#hosted) {
       const spec = settings.pool(pool);
-      const lost = !spec || this.#options.claim(pool) >= CLAIMS_SERVED;
-      const idle = this.#options.claim(pool) > 0 && hosted.cell.requests.size === 0;
+      const lost = !spec || this.#options.rankIn(pool) >= CLAIMS_SERVED;
+      const idle = this.#options.rankIn(pool) > 0 && hosted.cell.requests.size === 0;
       if (lost || idle) this.#close(pool, hosted);
       else this.#configure(pool);
     }
@@ -188,7 +188,7 @@
   }
 
   /** Counts broken invariants and publishes the counters. */
-  inspect(): void {
+  publishMetrics(): void {
     const { metrics, log } = this.#options;
     for (const [pool, { cell }] of this.#hosted) {
       for (const violation of cell.violations()) {
@@ -211,7 +211,7 @@
   #open(pool: string): Hosted | undefined {
     const settings = this.#options.settings();
     const spec = settings.pool(pool);
-    if (!spec || !settings.consortium || this.#options.claim(pool) >= CLAIMS_SERVED) {
+    if (!spec || !settings.consortium || this.#options.rankIn(pool) >= CLAIMS_SERVED) {
       return undefined;
     }
     const cell = new Cell({
--- a/src/node/scheduler/daemon.ts
+++ b/src/node/scheduler/daemon.ts
@@ -24,7 +24,7 @@
 import { LedgerWriter } from './ledger';
 import { SchedulerLinks } from './links';
 import { MembershipDriver } from './members';
-import { Methods } from './methods';
+import { MethodDispatcher } from './methods';
 import { RunnerMonitor } from './monitor';
 import { SettingsController } from './settings';
 
@@ -65,7 +65,7 @@
 
   readonly #keys: KeyRegistry;
 
-  readonly #methods: Methods;
+  readonly #methods: MethodDispatcher;
 
   readonly #server: PeerServer;
 
@@ -107,7 +107,7 @@
     });
     this.#cells = new CellHost({
       settings: () => this.#settings.settings,
-      claim: (pool) => this.#claimTo(pool),
+      rankIn: (pool) => this.#claimTo(pool),
       log: logOf(log, 'cell'),
       metrics: this.#metrics,
     });
@@ -115,11 +115,11 @@
       settings: () => this.#settings.settings,
       cells: this.#cells,
       runners: this.#runners,
-      holder: (id) => this.#askHolder(id),
+      findHolder: (id) => this.#askHolder(id),
       log: logOf(log, 'cell'),
       metrics: this.#metrics,
     });
-    this.#methods = new Methods({
+    this.#methods = new MethodDispatcher({
       settings: () => this.#settings.settings,
       members: () => this.#allMembers(),
       ledger: this.#ledger,
@@ -134,7 +134,7 @@
       handler: {
         onOpen: (peer) => this.#openPeer(peer),
         onMessage: (peer, message) => this.#receive(peer, message),
-        onCall: (_peer, method, params) => this.#methods.answer(method, params),
+        onCall: (_peer, method, params) => this.#methods.dispatch(method, params),
         onClose: (peer) => this.#closePeer(peer),
       },
     });
@@ -163,8 +163,9 @@
       metrics: this.#metrics,
       listener: {
         onChange: (member) => this.#memberChanged(member),
-        onRumour: (rumour, address) => this.#background(this.#settings.onRumour(rumour, address)),
-        onDiffers: (address) => this.#background(this.#settings.onDiffers(Date.now(), address)),
+        onUpdate: (rumour, address) => this.#background(this.#settings.onUpdate(rumour, address)),
+        onDigestDiffers: (address) =>
+          this.#background(this.#settings.onDigestDiffers(Date.now(), address)),
       },
     });
     this.#members = members;
@@ -181,10 +182,10 @@
   /** Leaves: announces it, lets the next owners take over, ends. */
   async stop(): Promise<void> {
     this.#leaving = true;
-    this.#members?.tell({ kind: 'leaving' });
+    this.#members?.handle({ kind: 'leaving' });
     this.#notify(this.#allMembers());
     this.#owners.update(this.#allMembers());
-    this.#cells.review();
+    this.#cells.reconcile();
     await pause(LEAVE_MS);
     await this.close();
     this.#log.info('Stopped.');
@@ -217,7 +218,7 @@
       leaving: this.#leaving,
       digest: settings.digest,
       cells: [...this.#cells.cells.keys()],
-      oldest: this.#cells.oldest(Date.now()),
+      oldest: this.#cells.oldestRequests(Date.now()),
       gateways: [...this.#gateways.keys()],
       keys: this.#keys.size,
       rss: process.memoryUsage().rss,
@@ -253,7 +254,7 @@
 
   #closePeer(peer: Peer): void {
     if (peer.role !== 'gateway') return;
-    this.#cells.lose(peer);
+    this.#cells.onGatewayDisconnect(peer);
     if (this.#gateways.get(peer.id) !== peer) return;
     this.#gateways.delete(peer.id);
     this.#describe();
@@ -264,7 +265,7 @@
     const open = [...this.#gateways.values()].filter(({ id }) => !this.#drainingGateways.has(id));
     const gateways = open.flatMap(({ address }) => (address === undefined ? [] : [address]));
     const description = { gateways, draining: this.#leaving, storeLost: false };
-    this.#members?.tell({ kind: 'described', description });
+    this.#members?.handle({ kind: 'described', description });
   }
 
   #receive(peer: Peer, message: ToScheduler): void {
@@ -280,7 +281,7 @@
   #memberChanged(member: Member): void {
     this.#owners.update(this.#allMembers());
     this.#notify([member]);
-    this.#cells.review();
+    this.#cells.reconcile();
     if (member.vm !== this.#config.vm) this.#log.info(`Member ${member.vm} is ${member.state}.`);
   }
 
@@ -295,28 +296,28 @@
     this.#owners.invalidate();
     this.#members?.members.setDigest(this.#settings.settings.digest);
     const rumours = documents.map(({ path, revision }) => ({ path, revision }));
-    if (rumours.length > 0) this.#members?.tell({ kind: 'rumours', rumours });
+    if (rumours.length > 0) this.#members?.handle({ kind: 'rumours', rumours });
     for (const gateway of this.#gateways.values()) {
       gateway.send({ kind: 'settings', documents: [...documents] });
     }
-    this.#cells.review();
+    this.#cells.reconcile();
   }
 
   #housekeep(): void {
     this.#keys.expire(Date.now());
-    this.#cells.review();
-    this.#cells.inspect();
+    this.#cells.reconcile();
+    this.#cells.publishMetrics();
   }
 
   async #list(): Promise<void> {
     try {
-      const vms = await this.#platform.vms();
+      const vms = await this.#platform.listVms();
       const listed = vms.map(({ id, address, leaving }) => ({
         vm: id,
         address: this.#peerAddress(address),
         leaving,
       }));
-      this.#members?.tell({ kind: 'listed', vms: listed });
+      this.#members?.handle({ kind: 'listed', vms: listed });
       const leavingHosts = vms
         .filter(({ leaving }) => leaving)
         .map(({ address }) => address.split(':')[0] ?? '');
--- a/src/node/scheduler/members.ts
+++ b/src/node/scheduler/members.ts
@@ -23,18 +23,18 @@
 /** What the rest of the scheduler hears from membership. */
 export interface MembershipListener {
   onChange(member: Member): void;
-  onRumour(rumour: GossipUpdate, address: string): void;
-  onDiffers(address: string): void;
+  onUpdate(rumour: GossipUpdate, address: string): void;
+  onDigestDiffers(address: string): void;
 }
 
 /** How members tell each other of the age of what they know; see `Freshness`. */
-export interface ProofExchange {
+export interface FreshnessExchange {
   /** Default: this one has no proof. */
-  tell(): FreshnessProof | undefined;
+  currentProof(): FreshnessProof | undefined;
   /** This member asks another one. */
-  ask(seq: number): void;
+  onPingSent(seq: number): void;
   /** What it asked is answered. */
-  answer(seq: number, proof: FreshnessProof): void;
+  onAckReceived(seq: number, proof: FreshnessProof): void;
 }
 
 /** How to start. */
@@ -47,7 +47,7 @@
   readonly metrics: Metrics;
   readonly listener: MembershipListener;
   /** Default: nothing of the kind is told. */
-  readonly proofs?: ProofExchange;
+  readonly proofs?: FreshnessExchange;
 }
 
 const TAG_BYTES = 16;
@@ -113,7 +113,7 @@
     return new Promise((resolve, reject) => {
       this.#socket.once('error', reject);
       this.#socket.bind(port, host, () => {
-        this.tell({ kind: 'woke' });
+        this.handle({ kind: 'woke' });
         resolve();
       });
     });
@@ -126,28 +126,28 @@
   }
 
   /** Hands an event to the core and carries out what it wants. */
-  tell(event: MembershipEvent): void {
+  handle(event: MembershipEvent): void {
     if (this.#stopped) return;
     const actions = this.members.handle(performance.now(), event);
     for (const action of actions) this.#perform(action);
     clearTimeout(this.#timer);
     const wait = Math.max(1, this.members.nextWake() - performance.now());
-    this.#timer = setTimeout(() => this.tell({ kind: 'woke' }), wait);
+    this.#timer = setTimeout(() => this.handle({ kind: 'woke' }), wait);
   }
 
   #perform(action: MembershipAction): void {
     const { listener } = this.#options;
     if (action.kind === 'send') this.#send(action.to, action.packet);
     else if (action.kind === 'changed') listener.onChange(action.member);
-    else if (action.kind === 'heard') listener.onRumour(action.rumour, action.address);
-    else listener.onDiffers(action.address);
+    else if (action.kind === 'heard') listener.onUpdate(action.rumour, action.address);
+    else listener.onDigestDiffers(action.address);
   }
 
   #send(to: string, packet: Packet): void {
     const [host = '', port = '0'] = to.split(':');
     const { proofs } = this.#options;
-    if (packet.kind === 'ping') proofs?.ask(packet.seq);
-    const proof = proofs?.tell();
+    if (packet.kind === 'ping') proofs?.onPingSent(packet.seq);
+    const proof = proofs?.currentProof();
     const body = packr.pack(proof ? { ...packet, proof } : packet);
     const data = Buffer.concat([this.#tag(body), body]);
     this.#options.metrics.count('members.packets');
@@ -169,8 +169,8 @@
   }
 
   #take({ proof, ...packet }: z.infer<typeof packetSchema>): void {
-    if (proof && packet.kind === 'ack') this.#options.proofs?.answer(packet.seq, proof);
-    this.tell({ kind: 'packet', packet });
+    if (proof && packet.kind === 'ack') this.#options.proofs?.onAckReceived(packet.seq, proof);
+    this.handle({ kind: 'packet', packet });
   }
 
   /** Without the tag, anyone on the network could have members called dead. */
--- a/src/node/scheduler/methods.ts
+++ b/src/node/scheduler/methods.ts
@@ -134,7 +134,7 @@
 }
 
 /** Answers calls by name; parameters that do not fit are `peerRejected`. */
-export class Methods {
+export class MethodDispatcher {
   readonly #methods: ReadonlyMap<string, Method>;
 
   constructor(context: MethodContext) {
@@ -147,7 +147,7 @@
     );
   }
 
-  async answer(method: string, params: unknown): Promise<unknown> {
+  async dispatch(method: string, params: unknown): Promise<unknown> {
     const known = this.#methods.get(method);
     if (!known) throw new Failure('peerRejected', `found method '${method}', expected a known one`);
     try {
--- a/src/node/scheduler/monitor.ts
+++ b/src/node/scheduler/monitor.ts
@@ -14,14 +14,14 @@
 import type { CellHost } from './cells';
 
 /** Whether a gateway still holds a request: `unknown` if it does not answer. */
-export type Holder = (id: string) => Promise<'held' | 'gone' | 'unknown'>;
+export type HolderLookup = (id: string) => Promise<'held' | 'gone' | 'unknown'>;
 
 /** What the monitor works with. */
 export interface RunnerMonitorOptions {
   readonly settings: () => Settings;
   readonly cells: CellHost;
   readonly runners: RunnerClient;
-  readonly holder: Holder;
+  readonly findHolder: HolderLookup;
   readonly log: Logger;
   readonly metrics: Metrics;
 }
@@ -114,7 +114,7 @@
    */
   async #readHeld(pool: string, runner: RunnerSettings, cell: Cell): Promise<void> {
     const now = Date.now();
-    const held = await this.#options.runners.held(runner.url);
+    const held = await this.#options.runners.heldRuns(runner.url);
     const strange = held.filter((runId) => !cell.requests.has(requestOf(runId)));
     this.#forgetOthers(runner.id, new Set(strange));
     for (const runId of strange) {
@@ -133,7 +133,7 @@
   }
 
   async #lookInto(runner: RunnerSettings, runId: string, stranger: Stranger): Promise<void> {
-    const holder = await this.#options.holder(requestOf(runId));
+    const holder = await this.#options.findHolder(requestOf(runId));
     if (holder === 'held') return;
     Object.assign(stranger, { unknown: stranger.unknown + 1 });
     if (holder === 'unknown' && stranger.unknown < UNKNOWN_LIMIT) return;
--- a/src/node/scheduler/settings.ts
+++ b/src/node/scheduler/settings.ts
@@ -70,7 +70,7 @@
     return this.#book;
   }
 
-  get loaded(): boolean {
+  get isLoaded(): boolean {
     return this.#loaded;
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** Fetches the one document that the rumour is of, unless it is known or already being fetched. */
-  async onRumour({ path, revision }: GossipUpdate, address: string): Promise<void> {
+  async onUpdate({ path, revision }: GossipUpdate, address: string): Promise<void> {
     if (revision <= Math.max(this.#book.revisionOf(path), this.#coming.get(path) ?? 0)) return;
     this.#coming.set(path, revision);
     try {
@@ -97,7 +97,7 @@
   }
 
   /** Digests differ for a moment after each change; only a lasting difference is looked into. */
-  async onDiffers(now: number, address: string): Promise<void> {
+  async onDigestDiffers(now: number, address: string): Promise<void> {
     this.#differsSince ??= now;
     const lasting = !this.#loaded || now - this.#differsSince >= DIFFERS_MS;
     if (!lasting || this.#fetching) return;
--- a/src/platform/feed.ts
+++ b/src/platform/feed.ts
@@ -10,7 +10,7 @@
 import type { StoreHistory } from '../core/routing/position';
 import type { Feed, FeedListener } from '../node/router/types';
 import { bootNow } from '../utils/clock';
-import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './facts';
+import { decodeConfig, decodeRunner, decodeSuspect, decodeVm, encodeVm } from './records';
 import { key } from './names';
 import type { Item, Snapshot, StoreClient } from './store';
 
@@ -86,7 +86,7 @@
       });
   }
 
-  confirm(): void {
+  confirmConfig(): void {
     if (this.#confirming) return;
     this.#confirming = true;
     this.#confirm()
@@ -107,7 +107,7 @@
     if (items.length === 0 || era === undefined) return;
     if (era !== this.#history.era) this.#listener?.onEra({ era, revision });
     this.#tell(items, false);
-    this.#listener?.onProof(askedAt);
+    this.#listener?.onConfirmed(askedAt);
   }
 
   async #run(): Promise<void> {
@@ -139,7 +139,7 @@
         this.#listener?.onStore(true, 'answers');
         revision = Math.max(revision, news.revision);
         this.#tell(news.items, false);
-        this.#listener?.onProof(askedAt);
+        this.#listener?.onConfirmed(askedAt);
       }
       const left = WATCH_PACE_MS - (performance.now() - since);
       if (left > 0) await pause(left);
@@ -160,7 +160,7 @@
     this.#tell(items, true);
     const ids = items.filter((item) => item.key.startsWith(key.runners)).map(idOf);
     this.#listener?.onListed(new Set(ids), { era, revision });
-    this.#listener?.onProof(askedAt);
+    this.#listener?.onConfirmed(askedAt);
     return snapshot;
   }
 
--- a/src/platform/ingress.ts
+++ b/src/platform/ingress.ts
@@ -60,7 +60,7 @@
 }
 
 /** Raw headers without those that concern one connection, those it names, and a set of others. */
-export function forwardable(
+export function forwardableHeaders(
   raw: readonly string[],
   connection: string | undefined,
   dropped: ReadonlySet<string>,
@@ -101,7 +101,7 @@
       host: (message.headers.host ?? '').replace(/:\d+$/, ''),
       method: message.method ?? 'GET',
       target: message.url ?? '/',
-      headers: forwardable(
+      headers: forwardableHeaders(
         message.rawHeaders,
         message.headers.connection,
         keyed ? droppedOfKeyed : droppedOfRequests,
--- a/src/platform/lock.ts
+++ b/src/platform/lock.ts
@@ -1,7 +1,7 @@
 /** The right to give orders to runners: a key under a lease in the store. */
 
 import { ordinalOf } from '../core/routing/position';
-import type { OrderLock, OrderRight } from '../node/router/types';
+import type { OrderLock, OrderLease } from '../node/router/types';
 import { key } from './names';
 import type { StoreClient } from './store';
 
@@ -23,11 +23,11 @@
     this.#vm = vm;
   }
 
-  async acquire(): Promise<OrderRight | undefined> {
+  async acquire(): Promise<OrderLease | undefined> {
     const { items } = await this.#store.range(key.orders);
     if (items.some((item) => item.key === key.orderHolder)) return undefined;
     const last = items.find((item) => item.key === key.orderLast);
-    const lease = await this.#store.grant(LEASE_MS);
+    const lease = await this.#store.grantLease(LEASE_MS);
     const mine = `${this.#vm} ${this.#store.era}`;
     const taken = await this.#store.commit({
       expected: [
@@ -45,8 +45,8 @@
       fence: ordinalOf(taken),
       fresh: this.#isFresh(last?.value, mine),
       // A lease of the era before may be somebody else's by now.
-      renew: async () => (await this.#store.keep(lease)) && this.#store.era === era,
-      release: () => this.#store.endLease(lease),
+      renew: async () => (await this.#store.renewLease(lease)) && this.#store.era === era,
+      release: () => this.#store.revokeLease(lease),
     };
   }
 
--- a/src/platform/run.ts
+++ b/src/platform/router.ts
@@ -17,7 +17,7 @@
 import { StoreSuspects } from './suspects';
 
 /** Settings at the path that the environment names. */
-export function settingsOfEnvironment(
+export function loadEnvironmentSettings(
   env: Readonly<Record<string, string | undefined>>,
 ): PlatformSettings {
   const file = env[SETTINGS_VARIABLE];
--- a/src/platform/runner.ts
+++ b/src/platform/runner.ts
@@ -19,7 +19,7 @@
   RunnerReport,
 } from '../node/router/types';
 import { call, failOnReset, readBody } from '../utils/http';
-import { forwardable } from './ingress';
+import { forwardableHeaders } from './ingress';
 import { header, path } from './names';
 import { rateNoticeOf } from './ratelimit';
 
@@ -171,7 +171,9 @@
 function headersOf({ runner, request, deadlineMs }: Dispatch, extra: readonly string[]): string[] {
   const headers = [...request.headers];
   const hasLast = extra.includes(header.lastEvent);
-  const kept = hasLast ? forwardable(headers, undefined, new Set([header.lastEvent])) : headers;
+  const kept = hasLast
+    ? forwardableHeaders(headers, undefined, new Set([header.lastEvent]))
+    : headers;
   const { length } = request.body;
   const sized = length > 0 || (request.method !== 'GET' && request.method !== 'HEAD');
   return [
@@ -250,7 +252,7 @@
     status,
     framing: framingOf(headers),
     isEvents: headers['content-type']?.startsWith(EVENT_STREAM) ?? false,
-    headers: forwardable(message.rawHeaders, headers.connection, none),
+    headers: forwardableHeaders(message.rawHeaders, headers.connection, none),
     genuine,
     notRun: headers[header.notRun] !== undefined || status === HTTP_MISDIRECTED,
     misdirected: status === HTTP_MISDIRECTED,
