--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -6,7 +6,7 @@
 
 import { Failure } from '../core/failure';
 import type { Position } from '../core/routing/position';
-import type { Answer } from '../utils/http';
+import type { HttpResponse } from '../utils/http';
 import { call } from '../utils/http';
 import type { EraReader } from './era';
 import { header, path } from './names';
@@ -164,14 +164,14 @@
   }
 
   /** A new lease. */
-  async grant(ttlMs: number): Promise<number> {
+  async grantLease(ttlMs: number): Promise<number> {
     const { status, body } = await this.#post(path.lease, { 'ttl-ms': ttlMs });
     if (status !== HTTP_OK) throw new Failure('platformUnavailable', `a lease got ${status}`);
     return leaseSchema.parse(JSON.parse(body)).lease;
   }
 
   /** Renews a lease and tells whether it still runs. */
-  async keep(lease: number): Promise<boolean> {
+  async renewLease(lease: number): Promise<boolean> {
     const { status } = await this.#post(`${path.keep}${lease}`, {});
     if (status === HTTP_OK) return true;
     if (status === HTTP_NOT_FOUND) return false;
@@ -179,7 +179,7 @@
   }
 
   /** Ends a lease and with it its keys. */
-  async endLease(lease: number): Promise<void> {
+  async revokeLease(lease: number): Promise<void> {
     await call({
       method: 'DELETE',
       url: `http://${this.#address}${path.leaseEnd}${lease}`,
@@ -191,7 +191,7 @@
   async #post(
     target: string,
     body: unknown,
-  ): Promise<Answer & { readonly era: number | undefined }> {
+  ): Promise<HttpResponse & { readonly era: number | undefined }> {
     const answer = await call({
       method: 'POST',
       url: `http://${this.#address}${target}`,
@@ -203,7 +203,7 @@
   }
 
   /** An answer that turns a call away may come from something before the store, which knows no era. */
-  #eraOf({ status, headers }: Answer): number | undefined {
+  #eraOf({ status, headers }: HttpResponse): number | undefined {
     if (status >= HTTP_TOO_MANY) return undefined;
     return this.#eras.read(headers[header.era]?.toString());
   }
--- a/src/platform/suspects.ts
+++ b/src/platform/suspects.ts
@@ -2,7 +2,7 @@
 
 import type { Suspect } from '../core/quarantine/types';
 import type { SuspectArchive } from '../node/router/types';
-import { encodeSuspect } from './facts';
+import { encodeSuspect } from './records';
 import { key } from './names';
 import type { StoreClient } from './store';
 
@@ -15,7 +15,7 @@
   }
 
   async save(suspect: Suspect, keptMs: number): Promise<void> {
-    const lease = await this.#store.grant(keptMs);
+    const lease = await this.#store.grantLease(keptMs);
     const name = `${key.suspects}${suspect.fingerprint}`;
     const value = encodeSuspect(Date.now(), suspect);
     await this.#store.commit({ expected: [], writes: [{ key: name, value, lease }] });
--- a/src/types/beliefs.ts
+++ b/src/types/snapshot.ts
@@ -1,4 +1,4 @@
 /** Where a node of the platform tells what it believes. */
 
 /** Path on the metrics address; the answer is JSON. */
-export const BELIEFS_PATH = '/beliefs';
+export const SNAPSHOT_PATH = '/beliefs';
--- a/src/utils/http.ts
+++ b/src/utils/http.ts
@@ -13,7 +13,7 @@
 import { Failure } from '../core/failure';
 
 /** Whether nothing listens where a connection was asked for: nothing was sent. */
-export function isRefusedConnect(error: Error): boolean {
+export function isConnectionRefused(error: Error): boolean {
   return (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 }
 
@@ -49,7 +49,7 @@
 }
 
 /** An answer read to its end. */
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
@@ -73,7 +73,7 @@
 const ANSWER_LIMIT = 16 * 1024 * 1024;
 
 /** Makes one call and reads the whole answer; rejects on a broken connection or when time is up. */
-export function call(options: CallOptions): Promise<Answer> {
+export function call(options: CallOptions): Promise<HttpResponse> {
   const { method, url, body, headers, agent, timeoutMs, signal } = options;
   const limit = AbortSignal.timeout(timeoutMs);
   const stop = signal ? AbortSignal.any([signal, limit]) : limit;
@@ -134,7 +134,7 @@
  * Aborts an answer of which a part was sent, so that it does not look complete. HTTP/1.0
  * callers take the close of the connection for its end, so theirs is reset.
  */
-export function cutOff(res: ServerResponse): void {
+export function abortResponse(res: ServerResponse): void {
   if (res.req.httpVersion === '1.0') res.socket?.resetAndDestroy();
   res.destroy();
 }
@@ -150,7 +150,7 @@
   notRun = failure.code.notRun,
 ): void {
   if (res.headersSent) {
-    if (!res.writableEnded) cutOff(res);
+    if (!res.writableEnded) abortResponse(res);
     return;
   }
   const { retryAfterMs } = failure;
--- a/test/core/position.test.ts
+++ b/test/core/position.test.ts
@@ -1,34 +1,37 @@
 import { StoreHistory, isLater, latest, ordinalOf } from '../../src/core/routing/position';
-import { at } from '../fakes/position';
+import { positionAt } from '../fakes/position';
 
 describe('a position in the history of the store', () => {
   test('is ordered by era and then by revision, also as one number', () => {
-    const early = at(900, 1);
-    const late = at(7, 2);
+    const early = positionAt(900, 1);
+    const late = positionAt(7, 2);
     expect([isLater(late, early), isLater(early, late), isLater(late, late)]).toEqual([
       true,
       false,
       false,
     ]);
     expect(ordinalOf(late)).toBeGreaterThan(ordinalOf(early));
-    expect(latest([early, late, at(3, 2)])).toEqual(late);
+    expect(latest([early, late, positionAt(3, 2)])).toEqual(late);
   });
 });
 
 describe('the known history of the store', () => {
   test('assigns revisions up to the first one seen of an era to earlier eras', () => {
     const history = new StoreHistory();
-    expect(history.apply([at(50, 4)])).toBe(false);
-    expect([history.positionOf(50), history.positionOf(51)]).toEqual([at(50), at(51, 4)]);
+    expect(history.apply([positionAt(50, 4)])).toBe(false);
+    expect([history.positionOf(50), history.positionOf(51)]).toEqual([
+      positionAt(50),
+      positionAt(51, 4),
+    ]);
   });
 
   /* Another VM read the store earlier after its restore: entries written in between certainly belong to the new era. */
   test('uses the earliest start of an era that any VM has seen', () => {
     const history = new StoreHistory();
-    history.apply([at(50, 4)]);
-    expect(history.apply([at(40, 4)])).toBe(false);
-    expect(history.apply([at(60, 4)])).toBe(false);
-    expect(history.positionOf(45)).toEqual(at(45, 4));
+    history.apply([positionAt(50, 4)]);
+    expect(history.apply([positionAt(40, 4)])).toBe(false);
+    expect(history.apply([positionAt(60, 4)])).toBe(false);
+    expect(history.positionOf(45)).toEqual(positionAt(45, 4));
   });
 
   /*
@@ -38,13 +41,13 @@
    */
   test('assigns an entry from before two restores to the era before both', () => {
     const history = new StoreHistory();
-    history.apply([at(10, 1)]);
-    expect(history.apply([at(30, 2)])).toBe(true);
-    expect(history.apply([at(35, 3)])).toBe(true);
+    history.apply([positionAt(10, 1)]);
+    expect(history.apply([positionAt(30, 2)])).toBe(true);
+    expect(history.apply([positionAt(35, 3)])).toBe(true);
     expect([20, 32, 36].map((revision) => history.positionOf(revision))).toEqual([
-      at(20, 1),
-      at(32, 2),
-      at(36, 3),
+      positionAt(20, 1),
+      positionAt(32, 2),
+      positionAt(36, 3),
     ]);
   });
 });
--- a/test/fakes/caller.ts
+++ b/test/fakes/caller.ts
@@ -7,7 +7,7 @@
 import { call } from './http';
 
 /** How to ask. */
-export interface AskOptions {
+export interface CompletionOptions {
   /** Default: none. */
   readonly key?: string;
   /** Default: the clerks'. */
@@ -16,7 +16,7 @@
   readonly model?: string;
 }
 
-function headersOf({ key, token = tokens.clerks }: AskOptions): Record<string, string> {
+function headersOf({ key, token = tokens.clerks }: CompletionOptions): Record<string, string> {
   return {
     authorization: `Bearer ${token}`,
     ...(key === undefined ? {} : { 'idempotency-key': key }),
@@ -24,11 +24,11 @@
 }
 
 /** Asks for a whole answer. */
-export async function ask(
+export async function requestCompletion(
   gateway: string,
   prompt: string,
   maxTokens: number,
-  options: AskOptions = {},
+  options: CompletionOptions = {},
 ): Promise<{ status: number; text: string | undefined; body: unknown }> {
   const body = { model: options.model ?? 'deeds', prompt, max_tokens: maxTokens };
   const answer = await call('POST', `${gateway}/v1/completions`, body, headersOf(options));
@@ -86,7 +86,7 @@
   gateway: string,
   prompt: string,
   maxTokens: number,
-  options: AskOptions = {},
+  options: CompletionOptions = {},
 ): OpenStream {
   const req = request(`${gateway}/v1/completions`, {
     method: 'POST',
--- a/test/fakes/cluster.ts
+++ b/test/fakes/cluster.ts
@@ -45,7 +45,7 @@
 const DOMAINS = ['north', 'centre', 'south'];
 
 /** Waits until `look` holds; throws after `limitMs`. */
-export async function eventually(
+export async function waitUntil(
   what: string,
   look: () => boolean | Promise<boolean>,
   limitMs = 10_000,
@@ -103,7 +103,7 @@
   }
 
   /** Runs that any engine holds memory for. */
-  get held(): readonly string[] {
+  get heldRequests(): readonly string[] {
     return this.engines.flatMap(({ model }) => model.held);
   }
 
@@ -149,7 +149,7 @@
   /** Waits until all VMs know of all. */
   async ready(): Promise<void> {
     for (let vm = 0; vm < this.vms; vm += 1) {
-      await eventually(`vm ${vm}`, async () => {
+      await waitUntil(`vm ${vm}`, async () => {
         const { body } = await call('GET', `${this.callers(vm)}/v1/addresses`);
         const { status } = await call('GET', `${this.callers(vm)}/readyz`);
         return status === 200 && (body as { addresses: string[] }).addresses.length === this.vms;
@@ -177,7 +177,7 @@
 
   #seed(): void {
     const put = (path: string, value: object): void =>
-      this.platform.poke(
+      this.platform.writeDirectly(
         `settings/${path}`,
         JSON.stringify({ revision: 1, nonce: 'seed', text: JSON.stringify(value) }),
       );
--- a/test/fakes/deployment.ts
+++ b/test/fakes/deployment.ts
@@ -15,7 +15,7 @@
 export interface DeploymentSpec {
   readonly name: 'dosel' | 'bagmati';
   /** First two numbers of its loopback addresses. */
-  readonly net: string;
+  readonly loopbackPrefix: string;
   readonly domains: readonly string[];
   readonly teams: readonly string[];
   readonly operatorToken: string;
@@ -26,7 +26,7 @@
 /** Dosel Urbano Cartografía. */
 export const dosel: DeploymentSpec = {
   name: 'dosel',
-  net: '127.10',
+  loopbackPrefix: '127.10',
   domains: ['quito-norte', 'quito-centro', 'quito-sur'],
   teams: ['crew-norte', 'crew-centro', 'crew-sur'],
   operatorToken: 'dosel-operator-token',
@@ -36,7 +36,7 @@
 /** Bagmati Lekhapadhi & Sons. */
 export const bagmati: DeploymentSpec = {
   name: 'bagmati',
-  net: '127.20',
+  loopbackPrefix: '127.20',
   domains: ['putalisadak-hall', 'lalitpur-hall', 'bhaktapur-hall'],
   teams: ['clerks', 'lawyers', 'loan-officers'],
   operatorToken: 'bagmati-operator-token',
@@ -48,7 +48,7 @@
 const START_LIMIT_MS = 30_000;
 
 /** Runs `look` until it holds; throws after the limit. */
-export async function until(
+export async function waitUntil(
   what: string,
   look: () => Promise<boolean>,
   limitMs = START_LIMIT_MS,
@@ -72,8 +72,8 @@
     this.spec = spec;
   }
 
-  get platform(): string {
-    return `http://${this.spec.net}.9.1:8500`;
+  get platformUrl(): string {
+    return `http://${this.spec.loopbackPrefix}.9.1:8500`;
   }
 
   get consortium(): Consortium {
@@ -84,11 +84,11 @@
 
   /** Callers' address of a VM, counted from 1. */
   callers(vm: number): string {
-    return `${this.spec.net}.0.${vm}:8080`;
+    return `${this.spec.loopbackPrefix}.0.${vm}:8080`;
   }
 
   operators(vm: number): string {
-    return `${this.spec.net}.0.${vm}:8081`;
+    return `${this.spec.loopbackPrefix}.0.${vm}:8081`;
   }
 
   /** Process by name: `platform`, `gateway-1`, `scheduler-1`, or a runner's id. */
@@ -102,21 +102,21 @@
 
   /** Starts everything and waits until it serves. */
   async start(): Promise<void> {
-    const { net, vms, domains } = this.spec;
+    const { loopbackPrefix: net, vms, domains } = this.spec;
     this.#spawn('platform', ['build/fakes.cjs', 'platform', `${net}.9.1`, '8500']);
     for (const [pool, { runners }] of Object.entries(this.consortium.pools)) {
       for (const { id, url, role } of runners) this.startRunner(pool, id, url, role);
     }
-    await until(
+    await waitUntil(
       'platform',
-      async () => (await call('GET', `${this.platform}/calls`)).status === 200,
+      async () => (await call('GET', `${this.platformUrl}/calls`)).status === 200,
     );
     const list = Array.from({ length: vms }, (_, i) => ({
       id: `vm${i + 1}`,
       address: `${net}.0.${i + 1}`,
       leaving: false,
     }));
-    await call('PUT', `${this.platform}/vms`, { vms: list });
+    await call('PUT', `${this.platformUrl}/vms`, { vms: list });
     await this.#seed();
     for (let vm = 1; vm <= vms; vm += 1) {
       this.startScheduler(vm, domains[(vm - 1) % domains.length] as string);
@@ -129,7 +129,7 @@
   async ready(): Promise<void> {
     const { vms } = this.spec;
     for (let vm = 1; vm <= vms; vm += 1) {
-      await until(`gateway ${vm}`, async () => {
+      await waitUntil(`gateway ${vm}`, async () => {
         const ready = await call('GET', `http://${this.callers(vm)}/readyz`);
         const { body } = await call('GET', `http://${this.callers(vm)}/v1/addresses`);
         return ready.status === 200 && (body as { addresses: string[] }).addresses.length === vms;
@@ -144,13 +144,13 @@
   }
 
   startScheduler(vm: number, domain: string): void {
-    const { net } = this.spec;
+    const { loopbackPrefix: net } = this.spec;
     const config = {
       role: 'scheduler',
       vm: `vm${vm}`,
       domain,
       peer: { host: `${net}.0.${vm}`, port: 9000 },
-      platform: this.platform,
+      platform: this.platformUrl,
       peerKey: PEER_KEY,
       log: process.env.GOLDCRESTDOCK_LOG ?? 'error',
       probeMs: 300,
@@ -164,7 +164,7 @@
   }
 
   startGateway(vm: number, domain: string): void {
-    const host = `${this.spec.net}.0.${vm}`;
+    const host = `${this.spec.loopbackPrefix}.0.${vm}`;
     const config = {
       role: 'gateway',
       vm: `vm${vm}`,
@@ -172,7 +172,7 @@
       listen: { host, port: 8080 },
       operator: { host, port: 8081 },
       scheduler: `${host}:9000`,
-      platform: this.platform,
+      platform: this.platformUrl,
       peerKey: PEER_KEY,
       log: process.env.GOLDCRESTDOCK_LOG ?? 'error',
       addressTtlMs: 1000,
@@ -224,7 +224,7 @@
       const envelope = JSON.stringify({ revision: 1, nonce: 'seed', text });
       await call(
         'PUT',
-        `${this.platform}/v1/kv/${encodeURIComponent(`settings/${path}`)}?cas=0`,
+        `${this.platformUrl}/v1/kv/${encodeURIComponent(`settings/${path}`)}?cas=0`,
         envelope,
       );
     };
--- a/test/fakes/engine/server.ts
+++ b/test/fakes/engine/server.ts
@@ -9,7 +9,7 @@
 import { call, closeServer, listen, readJson, sendJson } from '../http';
 import type { EngineEvent, EngineFigures } from './model';
 import { EngineModel, defaultFigures } from './model';
-import { answerLength, answerToken, splitPrompt } from './text';
+import { outputLength, outputToken, splitPrompt } from './text';
 
 /** How to start an engine. Defaults stand with each field. */
 export interface EngineOptions {
@@ -192,7 +192,7 @@
   async #decode(res: ServerResponse, body: CompletionBody): Promise<void> {
     const { request_id: id, prompt: whole, max_tokens: maxTokens } = body;
     const { base: prompt, done } = splitPrompt(whole);
-    const outputTokens = answerLength(prompt, maxTokens + done) - done;
+    const outputTokens = outputLength(prompt, maxTokens + done) - done;
     const job = { id, promptTokens: countTokens(whole), outputTokens };
     if (!this.model.reserve(job)) {
       sendJson(res, 429, { error: 'full', not_run: true });
@@ -342,7 +342,7 @@
     if (!stream) return;
     if (event.kind === 'token') {
       const { index } = event;
-      const text = answerToken(stream.prompt, stream.done + index);
+      const text = outputToken(stream.prompt, stream.done + index);
       const data = { choices: [{ index: 0, text, finish_reason: null }], offset: index };
       const line = `data: ${JSON.stringify(data)}\n\n`;
       stream.sent.push(line);
--- a/test/fakes/engine/text.ts
+++ b/test/fakes/engine/text.ts
@@ -7,7 +7,7 @@
 }
 
 /** How many tokens the engine has to say to a prompt. */
-export function answerLength(prompt: string, maxTokens: number): number {
+export function outputLength(prompt: string, maxTokens: number): number {
   const spread = digest(prompt).readUInt32BE(0) / 2 ** 32;
   return Math.max(
     1,
@@ -16,14 +16,14 @@
 }
 
 /** Token of the answer at an index. */
-export function answerToken(prompt: string, index: number): string {
+export function outputToken(prompt: string, index: number): string {
   return ` ${digest(prompt).readUInt16BE(4).toString(36)}-${index}`;
 }
 
 /** The whole answer. */
-export function answerText(prompt: string, maxTokens: number): string {
-  const length = answerLength(prompt, maxTokens);
-  return Array.from({ length }, (_, index) => answerToken(prompt, index)).join('');
+export function outputText(prompt: string, maxTokens: number): string {
+  const length = outputLength(prompt, maxTokens);
+  return Array.from({ length }, (_, index) => outputToken(prompt, index)).join('');
 }
 
 /** A prompt without the part of the answer that a resumed run carries at its end. */
@@ -38,6 +38,6 @@
   const tail = /(?: [0-9a-z]+-\d+)+$/.exec(prompt)?.[0] ?? '';
   const done = tail.split(' ').length - 1;
   const base = prompt.slice(0, prompt.length - tail.length);
-  const own = Array.from({ length: done }, (_, index) => answerToken(base, index)).join('');
+  const own = Array.from({ length: done }, (_, index) => outputToken(base, index)).join('');
   return tail !== '' && tail === own ? { base, done } : { base: prompt, done: 0 };
 }
--- a/test/fakes/exchange.ts
+++ b/test/fakes/exchange.ts
@@ -77,7 +77,7 @@
 }
 
 /** What `exchangeInto` notes when the answer is cut off. */
-export const CUT = 'cut';
+export const ABORTED = 'cut';
 
 /** An exchange whose answer is written to `out`. */
 export function exchangeInto(
@@ -103,7 +103,7 @@
       events.emit('close');
     },
     destroy() {
-      out.push(CUT);
+      out.push(ABORTED);
       events.emit('close');
     },
   });
--- a/test/fakes/listener.ts
+++ b/test/fakes/listener.ts
@@ -1,5 +1,5 @@
 /** A listener of knowledge that takes no notice. */
 
-import type { KnowledgeListener } from '../../src/node/router/knowledge';
+import type { RoutingStateListener } from '../../src/node/router/routingstate';
 
-export const silentListener: KnowledgeListener = { onNews: () => {}, onUnfitEntry: () => {} };
+export const noopListener: RoutingStateListener = { onChange: () => {}, onInvalidEntry: () => {} };
--- a/test/fakes/memory/baselines.ts
+++ b/test/fakes/memory/baselines.ts
@@ -1,13 +1,13 @@
 /** Simple policies to hold the planner against. */
 
 import type { Demand, PlanAction, PlanEvent } from '../../../src/core/memory/types';
-import type { PlacePolicy } from './bench';
+import type { PlacementPolicy } from './bench';
 
 /** When a caller may come back that found no slot, in milliseconds. */
 const RETRY_MS = 1000;
 
 /** Starts each prefill at once and decodes where the fewest requests are; `slots` limits how many. */
-export class SlotPolicy implements PlacePolicy {
+export class SlotPolicy implements PlacementPolicy {
   readonly #slots: number;
 
   readonly #prefills = new Map<string, number>();
--- a/test/fakes/memory/bench.ts
+++ b/test/fakes/memory/bench.ts
@@ -7,20 +7,20 @@
 import type { Engine, Runner } from '../../../src/core/routing/types';
 import { runnerOf } from '../runner';
 import { Schedule } from '../virtual/schedule';
-import { AIM_MS, MemoryCaller, PAUSE_MS } from './caller';
+import { TARGET_MS, MemoryCaller, MAX_GAP_MS } from './caller';
 import type { MemoryFigures } from './engines';
 import { DecodeEngine, PrefillEngine } from './engines';
 import type { MemoryJob } from './load';
 
 /** What decides who starts where: the planner, or a baseline. */
-export interface PlacePolicy {
+export interface PlacementPolicy {
   handle(now: number, event: PlanEvent): readonly PlanAction[];
 }
 
 /** A run. */
 export interface MemoryBenchOptions {
   readonly jobs: readonly MemoryJob[];
-  readonly policy: PlacePolicy;
+  readonly policy: PlacementPolicy;
   readonly figures: MemoryFigures;
   readonly prefillRunners: number;
   readonly decodeRunners: number;
@@ -49,7 +49,7 @@
 const DEADLINE_MS = 14_000;
 const KEEP_MS = 500;
 /** Time of a move of memory between runners, in milliseconds. */
-export const MOVE_MS = 20;
+export const KV_TRANSFER_MS = 20;
 const WAKE_MS = 25;
 const REPORT_MS = 1000;
 const CALLER_TRIES = 2;
@@ -137,8 +137,8 @@
 
   #ask(now: number, caller: MemoryCaller): void {
     const { job } = caller;
-    caller.ask(now);
-    const { tries } = caller;
+    caller.startAttempt(now);
+    const { attempts: tries } = caller;
     const lostAt = Math.min(now + PATIENCE_MS, job.at + DEADLINE_MS);
     this.#schedule.add(lostAt, () => this.#leave(lostAt, caller, tries));
     const demand: Demand = {
@@ -150,8 +150,8 @@
       promptTokens: job.promptTokens,
       maxOutputTokens: job.maxOutputTokens,
       hintTokens: job.hintTokens,
-      dueAt: job.at + AIM_MS,
-      gapMs: PAUSE_MS,
+      dueAt: job.at + TARGET_MS,
+      gapMs: MAX_GAP_MS,
       lostAt,
       returned: tries > 1,
       resuming: false,
@@ -162,9 +162,9 @@
 
   /** A caller that saw no event in its patience leaves. */
   #leave(now: number, caller: MemoryCaller, tries: number): void {
-    if (caller.state !== 'waiting' || caller.tries !== tries || caller.hasEvents) return;
+    if (caller.state !== 'waiting' || caller.attempts !== tries || caller.hasEvents) return;
     const { job, prefilled, decode } = caller;
-    caller.leave();
+    caller.disconnect();
     if (prefilled) this.#wastedTokens += job.promptTokens;
     this.#decodes.get(decode ?? '')?.cancel(job.id);
     this.#tell(now, { kind: 'released', id: job.id, blame: undefined });
@@ -189,8 +189,8 @@
   #prefill(now: number, caller: MemoryCaller, runner: string): void {
     const { id, promptTokens } = caller.job;
     if (caller.prefilled) this.#wastedTokens += promptTokens;
-    caller.prefillBegan();
-    const doneAt = this.#prefills.get(runner)?.read(now, promptTokens) ?? now;
+    caller.startPrefill();
+    const doneAt = this.#prefills.get(runner)?.prefill(now, promptTokens) ?? now;
     this.#schedule.add(doneAt + HOP_MS, () => {
       if (caller.state !== 'waiting') return;
       const ready = { kind: 'prefilled', id, ms: doneAt - now } as const;
@@ -200,13 +200,13 @@
 
   #decode(now: number, caller: MemoryCaller, runner: string, moved: boolean): void {
     const { job } = caller;
-    caller.sentTo(runner);
-    this.#later(moved ? MOVE_MS : HOP_MS, (at) => {
+    caller.assignDecode(runner);
+    this.#later(moved ? KV_TRANSFER_MS : HOP_MS, (at) => {
       const read = moved ? job.promptTokens : 0;
-      if (caller.state !== 'waiting' || this.#decodes.get(runner)?.take(at, job, read)) return;
+      if (caller.state !== 'waiting' || this.#decodes.get(runner)?.admit(at, job, read)) return;
       if (moved) this.#wastedTokens += job.promptTokens;
       this.#tell(now, { kind: 'released', id: job.id, blame: undefined });
-      this.#refuse(at, caller, AIM_MS);
+      this.#refuse(at, caller, TARGET_MS);
     });
   }
 
@@ -234,7 +234,7 @@
     const sizes = callers.map(({ job }) => job.promptTokens).sort((a, b) => a - b);
     const large = percentile(sizes, LARGE_PART);
     let lostTokens = this.#wastedTokens;
-    for (const { readAgain } of this.#decodes.values()) lostTokens += readAgain;
+    for (const { recomputedTokens: readAgain } of this.#decodes.values()) lostTokens += readAgain;
     const refused = callers.filter(({ state }) => state === 'refused');
     const done = callers.filter(({ state }) => state === 'done').length;
     const inTime = callers.filter((caller) => caller.inTime).length;
@@ -247,7 +247,7 @@
       worth: worthOf(callers),
       wasted: lostTokens / sizes.reduce((sum, tokens) => sum + tokens, 0),
       refusedAfterMs: percentile(
-        refused.map(({ heldMs }) => heldMs).sort((a, b) => a - b),
+        refused.map(({ waitedMs: heldMs }) => heldMs).sort((a, b) => a - b),
         0.95,
       ),
       worthOfLargest: worthOf(callers.filter(({ job }) => job.promptTokens >= large)),
--- a/test/fakes/memory/caller.ts
+++ b/test/fakes/memory/caller.ts
@@ -3,8 +3,8 @@
 import type { MemoryJob } from './load';
 
 /** Time to the first event within which an answer is in time, and longest pause after it, in milliseconds. */
-export const AIM_MS = 900;
-export const PAUSE_MS = 300;
+export const TARGET_MS = 900;
+export const MAX_GAP_MS = 300;
 /** What a late answer is worth, as a part. */
 const LATE_WORTH = 0.2;
 
@@ -41,12 +41,12 @@
     return this.#state;
   }
 
-  get tries(): number {
+  get attempts(): number {
     return this.#tries;
   }
 
   /** Time spent waiting in tries that were refused, in milliseconds. */
-  get heldMs(): number {
+  get waitedMs(): number {
     return this.#heldMs;
   }
 
@@ -64,15 +64,15 @@
     return this.#prefilled;
   }
 
-  prefillBegan(): void {
+  startPrefill(): void {
     this.#prefilled = true;
   }
 
-  sentTo(runner: string): void {
+  assignDecode(runner: string): void {
     this.#decode = runner;
   }
 
-  ask(now: number): void {
+  startAttempt(now: number): void {
     this.#tries += 1;
     this.#triedAt = now;
     this.#state = 'waiting';
@@ -85,7 +85,7 @@
     this.#state = this.#tries < mostTries ? 'away' : 'refused';
   }
 
-  leave(): void {
+  disconnect(): void {
     this.#state = 'left';
   }
 
@@ -93,7 +93,7 @@
   takeEvent(now: number): boolean {
     const first = this.#firstEventAt === undefined;
     this.#firstEventAt ??= now;
-    if (!first && now - this.#lastEventAt > PAUSE_MS) this.#paused = true;
+    if (!first && now - this.#lastEventAt > MAX_GAP_MS) this.#paused = true;
     this.#lastEventAt = now;
     return first;
   }
@@ -104,7 +104,7 @@
 
   get inTime(): boolean {
     const firstMs = (this.#firstEventAt ?? Infinity) - this.job.at;
-    return this.#state === 'done' && !this.#paused && firstMs <= AIM_MS;
+    return this.#state === 'done' && !this.#paused && firstMs <= TARGET_MS;
   }
 
   /** Worth of what it got. */
--- a/test/fakes/memory/known.ts
+++ b/test/fakes/memory/costs.ts
@@ -1,7 +1,7 @@
 /** Costs of a stand-in engine as they are, for a planner that is told the truth. */
 
 import type { CostModel } from '../../../src/core/memory/cost';
-import { MOVE_MS } from './bench';
+import { KV_TRANSFER_MS } from './bench';
 import type { MemoryFigures } from './engines';
 
 /** Requests that run beside each other when the time of a token is taken. */
@@ -24,7 +24,7 @@
     this.prefillTokenMs = 1 / figures.prefillTokensPerMs;
     this.tokenMs = figures.stepMs + figures.stepSlotMs * USUAL_RUNNING;
     this.minTokenMs = this.tokenMs;
-    this.firstEventMs = MOVE_MS + figures.eventTokens * this.tokenMs;
+    this.firstEventMs = KV_TRANSFER_MS + figures.eventTokens * this.tokenMs;
   }
 
   recordPrefill(): void {}
--- a/test/fakes/memory/engines.ts
+++ b/test/fakes/memory/engines.ts
@@ -23,7 +23,7 @@
 }
 
 /** An engine of the size at which memory for eleven requests stands beside 64 slots. */
-export const tightFigures: MemoryFigures = {
+export const smallMemoryFigures: MemoryFigures = {
   memoryTokens: 65_000,
   stepMs: 5.6,
   stepSlotMs: 0.121,
@@ -56,8 +56,8 @@
 };
 
 /** An engine that reads in no time and whose answers are short. */
-export const readerFigures: MemoryFigures = {
-  ...tightFigures,
+export const fastPrefillFigures: MemoryFigures = {
+  ...smallMemoryFigures,
   prefillTokensPerMs: 200,
   prefillBaseMs: 20,
 };
@@ -86,7 +86,7 @@
   }
 
   /** When a prompt given now will have been read. */
-  read(now: number, tokens: number): number {
+  prefill(now: number, tokens: number): number {
     this.#busyUntil = Math.max(now, this.#busyUntil) + tokens / this.#figures.prefillTokensPerMs;
     return this.#busyUntil + this.#figures.prefillBaseMs;
   }
@@ -112,7 +112,7 @@
   #stepping = false;
 
   /** Prompt tokens read a second time after a request was pushed out. */
-  readAgain = 0;
+  recomputedTokens = 0;
 
   constructor(figures: MemoryFigures, schedule: Schedule, listener: EngineListener) {
     this.#figures = figures;
@@ -127,7 +127,7 @@
   }
 
   /** Takes a request, or turns it away for want of memory. `read` is what it already has of the prompt. */
-  take(now: number, job: EngineJob, read: number): boolean {
+  admit(now: number, job: EngineJob, read: number): boolean {
     if (this.usedTokens + job.promptTokens > this.#figures.memoryTokens) return false;
     this.#running.set(job.id, { job, made: 0, unread: job.promptTokens - read });
     if (!this.#stepping) this.#step(now);
@@ -174,7 +174,7 @@
       const newest = [...this.#running.values()].filter(({ unread }) => unread <= 0).at(-1);
       if (!newest) return;
       const { job, made } = newest;
-      this.readAgain += job.promptTokens + made;
+      this.recomputedTokens += job.promptTokens + made;
       // It is read again from the start once there is room; until then it holds nothing.
       this.#running.delete(job.id);
       const again = { ...job, outputTokens: Math.max(1, job.outputTokens - made) };
@@ -185,7 +185,7 @@
   #retake(job: EngineJob): void {
     const at = this.#schedule.now + RETAKE_MS;
     this.#schedule.add(at, () => {
-      if (!this.take(at, job, 0)) this.#retake(job);
+      if (!this.admit(at, job, 0)) this.#retake(job);
     });
   }
 }
--- a/test/fakes/platform.ts
+++ b/test/fakes/platform.ts
@@ -118,7 +118,7 @@
   }
 
   /** Writes behind the back of the system, as a careless operator would. */
-  poke(key: string, value: string): void {
+  writeDirectly(key: string, value: string): void {
     this.#put(key, value, undefined);
   }
 
--- a/test/fakes/position.ts
+++ b/test/fakes/position.ts
@@ -2,6 +2,6 @@
 
 import type { Position } from '../../src/core/routing/position';
 
-export function at(revision: number, era = 0): Position {
+export function positionAt(revision: number, era = 0): Position {
   return { era, revision };
 }
--- a/test/fakes/routers.ts
+++ b/test/fakes/routers.ts
@@ -13,29 +13,29 @@
 import pino from 'pino';
 
 import type { Router } from '../../src/node/router/daemon';
-import { createRouter } from '../../src/platform/run';
-import { eventually } from './cluster';
+import { createRouter } from '../../src/platform/router';
+import { waitUntil } from './cluster';
 import { entryOf } from './entry';
 import { closeServer, listen, readBody, sendJson } from './http';
 import { FakeStore } from './store';
 
 /** What a body holds that ends each runner which begins to run it. */
-export const DEADLY = 'ends its runner';
+export const CRASH_TEXT = 'ends its runner';
 
 /** Key of a customer under which the fake itself sends requests; where there are customers, one must hold it. */
-export const WARM_KEY = 'key-of-the-test';
+export const WARMUP_KEY = 'key-of-the-test';
 
 /** Services of the deployment. */
 export const services = { model: 'reader', plain: 'desk' } as const;
 
 /** How to start. */
-export interface RoutersOptions {
+export interface RouterClusterOptions {
   /** Default: 3. */
   readonly vms?: number;
   /** Decode runners, and as many plain ones. Default: 6. */
   readonly runners?: number;
   /** Time after which a runner that ended is back under a new id, in milliseconds. Default: 600. */
-  readonly backMs?: number;
+  readonly restartMs?: number;
   /** Customers as the configuration holds them. Default: requests need no key. */
   readonly customers?: readonly unknown[];
 }
@@ -111,7 +111,7 @@
   readonly id = `i-${randomUUID().slice(0, 8)}`;
 
   /** Steady times at which requests reached it, prefills included. */
-  readonly reachedAt: number[] = [];
+  readonly arrivedAt: number[] = [];
 
   readonly arrivals: Arrival[] = [];
 
@@ -164,7 +164,7 @@
       sendJson(res, 200, {});
       return;
     }
-    this.reachedAt.push(performance.now());
+    this.arrivedAt.push(performance.now());
     const { 'tenant-id': customer, 'serving-stage': stage, authorization } = req.headers;
     this.arrivals.push({
       path: pathname,
@@ -183,7 +183,7 @@
       return;
     }
     res.writeHead(200, headers);
-    if (body.includes(DEADLY)) {
+    if (body.includes(CRASH_TEXT)) {
       res.flushHeaders();
       await pause(DEADLY_MS);
       this.#end();
@@ -226,13 +226,13 @@
 }
 
 /** A started deployment. */
-export class Routers {
+export class RouterCluster {
   readonly store = new FakeStore();
 
   /** Runners that ended under a request, in order. */
-  readonly ended: string[] = [];
+  readonly crashed: string[] = [];
 
-  readonly #options: Required<Omit<RoutersOptions, 'customers'>>;
+  readonly #options: Required<Omit<RouterClusterOptions, 'customers'>>;
 
   #customers: readonly unknown[] | undefined;
 
@@ -244,14 +244,19 @@
 
   #stopping = false;
 
-  constructor({ vms = 3, runners = 6, backMs = 600, customers }: RoutersOptions = {}) {
-    this.#options = { vms, runners, backMs };
+  constructor({
+    vms = 3,
+    runners = 6,
+    restartMs: backMs = 600,
+    customers,
+  }: RouterClusterOptions = {}) {
+    this.#options = { vms, runners, restartMs: backMs };
     this.#customers = customers;
   }
 
   /** Requests that reached runners, prefills included. */
-  get reached(): number {
-    return this.#runners.reduce((sum, { reachedAt }) => sum + reachedAt.length, 0);
+  get arrivalCount(): number {
+    return this.#runners.reduce((sum, { arrivedAt: reachedAt }) => sum + reachedAt.length, 0);
   }
 
   async start(): Promise<void> {
@@ -308,7 +313,7 @@
   }
 
   /** Sends one request to a VM, by turns, under an id of its own. */
-  async ask(
+  async sendRequest(
     turn: number,
     path: string,
     body: string,
@@ -367,9 +372,9 @@
   async #settled(): Promise<void> {
     for (let turn = 0; turn < this.#vms.length; turn += 1) {
       for (const path of ['/model/warm', '/plain/warm']) {
-        await eventually(`VM ${turn} serves ${path}`, async () => {
+        await waitUntil(`VM ${turn} serves ${path}`, async () => {
           const body = `warm ${randomUUID()}`;
-          const { status, whole } = await this.ask(turn, path, body, this.#warmHeaders);
+          const { status, whole } = await this.sendRequest(turn, path, body, this.#warmHeaders);
           return status === 200 && whole;
         });
       }
@@ -377,7 +382,7 @@
   }
 
   get #warmHeaders(): Readonly<Record<string, string>> {
-    return this.#customers ? { authorization: `Bearer ${WARM_KEY}` } : {};
+    return this.#customers ? { authorization: `Bearer ${WARMUP_KEY}` } : {};
   }
 
   async #add(role: Role): Promise<void> {
@@ -389,8 +394,8 @@
 
   /** Its lease runs out, and it is back under a new id. */
   #onEnd(runner: RunnerServer): void {
-    this.ended.push(runner.id);
-    const { backMs } = this.#options;
+    this.crashed.push(runner.id);
+    const { restartMs: backMs } = this.#options;
     setTimeout(() => this.store.remove(`servers/${runner.id}`), LEASE_LAPSE_MS).unref();
     setTimeout(() => {
       if (!this.#stopping) this.#add(runner.role).catch(() => undefined);
--- a/test/fakes/service.ts
+++ b/test/fakes/service.ts
@@ -6,7 +6,7 @@
 import { closeServer, listen, readBody, sendJson } from './http';
 
 /** What is sent of an answer that is reset. */
-export const ANSWER_PART = 'part of an answer';
+export const PARTIAL_BODY = 'part of an answer';
 
 /** Time from that part to the reset, in milliseconds. */
 const RESET_MS = 20;
@@ -65,7 +65,7 @@
         if (this.dropAnswers || ends) res.destroy();
         else if (this.resetsAnswers) {
           const { socket } = req;
-          socket.write(`HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n${ANSWER_PART}`);
+          socket.write(`HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n${PARTIAL_BODY}`);
           await pause(RESET_MS);
           socket.resetAndDestroy();
         } else {
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -37,14 +37,14 @@
 }
 
 /** How it treats calls: `silent` never answers, `busy` answers 503, `deaf` does writes and loses their answers. */
-export type StoreMood = 'well' | 'silent' | 'busy' | 'deaf';
+export type StoreFault = 'well' | 'silent' | 'busy' | 'deaf';
 
 /** Items in one page of a range. */
 const PAGE = 3;
 
 /** A store on a loopback port. */
 export class FakeStore {
-  mood: StoreMood = 'well';
+  fault: StoreFault = 'well';
 
   /** Calls by path. */
   readonly calls: string[] = [];
@@ -125,7 +125,7 @@
   }
 
   /** Comes back from an older copy: what was acknowledged since is lost, and revisions and leases' numbers are given out again. */
-  comeBack({ revision, items, history, leases, leaseCount }: StoreCopy): void {
+  restore({ revision, items, history, leases, leaseCount }: StoreCopy): void {
     this.#leases = leaseCount;
     this.era = String(Number(this.era ?? 0) + 1);
     this.#revision = revision;
@@ -169,8 +169,8 @@
     const url = new URL(req.url ?? '/', 'http://store');
     this.calls.push(url.pathname);
     if (this.era !== undefined) res.setHeader('store-era', this.era);
-    if (this.mood === 'silent') return;
-    if (this.mood === 'busy') {
+    if (this.fault === 'silent') return;
+    if (this.fault === 'busy') {
       res.writeHead(503).end();
       return;
     }
@@ -178,7 +178,7 @@
     for await (const chunk of req) chunks.push(chunk as Buffer);
     const body = Buffer.concat(chunks).toString();
     const [status, answer] = await this.#answer(url, req.method ?? 'GET', body);
-    if (this.mood === 'deaf' && req.method === 'POST') return;
+    if (this.fault === 'deaf' && req.method === 'POST') return;
     res.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(answer));
   }
 
--- a/test/fakes/virtual/storehistory.ts
+++ b/test/fakes/virtual/storehistory.ts
@@ -10,8 +10,8 @@
 import { StoreHistory } from '../../../src/core/routing/position';
 import type { Runner } from '../../../src/core/routing/types';
 
-import type { News } from '../../../src/node/router/knowledge';
-import { Knowledge } from '../../../src/node/router/knowledge';
+import type { StateChange } from '../../../src/node/router/routingstate';
+import { RoutingState } from '../../../src/node/router/routingstate';
 import { runnerOf } from '../runner';
 
 interface StoreEntry {
@@ -155,16 +155,19 @@
 export class HistoryVm {
   readonly history = new StoreHistory();
 
-  readonly knowledge: Knowledge;
+  readonly knowledge: RoutingState;
 
   /** Time until which it cannot reach the store. */
   storeLostUntil = 0;
 
   #cursor: { era: number; revision: number } | undefined;
 
-  constructor(onNews: (news: News) => void) {
+  constructor(onNews: (news: StateChange) => void) {
     const log = pino({ level: 'silent' });
-    this.knowledge = new Knowledge(this.history, log, { onNews, onUnfitEntry: () => {} });
+    this.knowledge = new RoutingState(this.history, log, {
+      onChange: onNews,
+      onInvalidEntry: () => {},
+    });
   }
 
   /** Reads what is new in the store. */
@@ -177,7 +180,7 @@
     const { era, revision } = store;
     const changes = this.#cursor?.era === era ? store.changes(this.#cursor.revision) : undefined;
     this.#cursor = { era, revision };
-    this.knowledge.heardStore(now);
+    this.knowledge.storeAnswered(now);
     if (changes) {
       this.knowledge.learnRunners(now, this.#records(changes), 'store');
       return;
@@ -191,7 +194,7 @@
   /** Fetches the state of another VM that differs from its own. */
   fetchFrom(now: number, other: HistoryVm): void {
     this.knowledge.learnEras(now, other.knowledge.eras, 'peer');
-    const records = other.knowledge.factsBeside(now, this.knowledge.digestParts, 1000);
+    const records = other.knowledge.recordsDiffering(now, this.knowledge.digestParts, 1000);
     this.knowledge.learnRunners(now, records, 'peer');
   }
 
--- a/test/fakes/virtual/syncfleet.ts
+++ b/test/fakes/virtual/syncfleet.ts
@@ -25,8 +25,8 @@
 import type { Position } from '../../../src/core/routing/position';
 import { StoreHistory } from '../../../src/core/routing/position';
 import { ERA_PATH, UpdatePropagation, RUNNER_PATH } from '../../../src/core/routing/propagation';
-import { fromRumour } from '../../../src/node/router/rumours';
-import { SUSPECT_PATH, suspectRumour, suspectSchema } from '../../../src/node/router/suspects';
+import { fromUpdate } from '../../../src/node/router/updates';
+import { SUSPECT_PATH, suspectUpdate, suspectSchema } from '../../../src/node/router/suspects';
 import { runnerOf } from '../runner';
 import { Schedule } from './schedule';
 import { seeded } from './workload';
@@ -544,7 +544,7 @@
     if (!suspect) return;
     if (vm.suspects.size === 0) {
       this.#runLater(vm, BATCH_MS, () => {
-        const rumours = [...vm.suspects.values()].map(suspectRumour);
+        const rumours = [...vm.suspects.values()].map(suspectUpdate);
         vm.suspects.clear();
         this.#dispatch(vm, { kind: 'rumours', rumours });
       });
@@ -554,7 +554,7 @@
 
   #receiveUpdate(vm: Vm, update: GossipUpdate, address: string): void {
     if (update.path.startsWith(SUSPECT_PATH)) {
-      this.#announceSuspect(vm, vm.quarantine.apply(this.now, fromRumour(update, suspectSchema)));
+      this.#announceSuspect(vm, vm.quarantine.apply(this.now, fromUpdate(update, suspectSchema)));
       return;
     }
     if (update.path === ERA_PATH) {
--- a/test/node/answers.test.ts
+++ b/test/node/answers.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'node:http';
 
 import { Cluster, tokens } from '../fakes/cluster';
-import { ANSWER_PART } from '../fakes/service';
+import { PARTIAL_BODY } from '../fakes/service';
 
 /** Calls a plain service; tells what came and whether it looks whole. */
 function outcomeOf(url: string, method: string, key?: string): Promise<string> {
@@ -39,7 +39,7 @@
   // Guards against half an answer that looks complete.
   test('is cut for the caller too', async () => {
     const url = `${cluster.callers(0)}/services/registry/tiles`;
-    expect(await outcomeOf(url, 'GET')).toBe(`200 cut ${ANSWER_PART}`);
+    expect(await outcomeOf(url, 'GET')).toBe(`200 cut ${PARTIAL_BODY}`);
   });
 
   // Guards against half an answer that is kept, and given to each repeat of the call.
--- a/test/node/edges.test.ts
+++ b/test/node/edges.test.ts
@@ -3,8 +3,8 @@
 import WebSocket from 'ws';
 
 import { encode } from '../../src/node/peer/codec';
-import { answerText } from '../fakes/engine/text';
-import { ask, openStream } from '../fakes/caller';
+import { outputText } from '../fakes/engine/text';
+import { requestCompletion, openStream } from '../fakes/caller';
 import { Cluster, tokens } from '../fakes/cluster';
 import { call } from '../fakes/http';
 
@@ -82,7 +82,7 @@
      }
     `);
     await witness.ended;
-    expect(witness.text).toBe(answerText('witness', 800));
+    expect(witness.text).toBe(outputText('witness', 800));
   });
 
   test('that is no http gets a numbered error', async () => {
@@ -133,7 +133,7 @@
         .then((text) => text || 'cut off'),
     ]);
     expect(seen).toEqual(['cut off', 'cut off', 'cut off', 'cut off', 'cut off']);
-    const answer = await ask(cluster.callers(0), 'after garbage', 20);
-    expect(answer.text).toBe(answerText('after garbage', 20));
+    const answer = await requestCompletion(cluster.callers(0), 'after garbage', 20);
+    expect(answer.text).toBe(outputText('after garbage', 20));
   });
 });
--- a/test/node/leaving.test.ts
+++ b/test/node/leaving.test.ts
@@ -1,6 +1,6 @@
-import { answerText } from '../fakes/engine/text';
-import { ask, openStream } from '../fakes/caller';
-import { Cluster, eventually } from '../fakes/cluster';
+import { outputText } from '../fakes/engine/text';
+import { requestCompletion, openStream } from '../fakes/caller';
+import { Cluster, waitUntil } from '../fakes/cluster';
 import { call } from '../fakes/http';
 
 describe('leaving', () => {
@@ -11,7 +11,7 @@
 
   /* The platform lists a runner's VM as leaving. The runner itself says nothing yet; it must get no new work all the same. */
   test('runners listed by the platform get no new work', async () => {
-    await ask(cluster.callers(0), 'opens the cell', 10);
+    await requestCompletion(cluster.callers(0), 'opens the cell', 10);
     const [gone] = cluster.decodeRunners;
     const host = new URL(gone?.url ?? '').hostname;
     const vms = Array.from({ length: 3 }, (_, vm) => ({
@@ -25,7 +25,9 @@
     });
     const before = gone?.ran.size;
     await Promise.all(
-      Array.from({ length: 12 }, (_, i) => ask(cluster.callers(i % 3), `after the list ${i}`, 30)),
+      Array.from({ length: 12 }, (_, i) =>
+        requestCompletion(cluster.callers(i % 3), `after the list ${i}`, 30),
+      ),
     );
     expect(gone?.ran.size).toBe(before);
   });
@@ -38,11 +40,11 @@
   test('gateways cut no request and refuse none that comes by an address given before', async () => {
     const prompt = 'long title history '.repeat(30);
     const stream = openStream(cluster.callers(1), prompt, 900);
-    await eventually('it streams', () => stream.offsets.length > 3);
+    await waitUntil('it streams', () => stream.offsets.length > 3);
     const seen: number[] = [];
     const stopped = cluster.gateways[1]?.stop();
-    const late = await ask(cluster.callers(1), 'given before', 10);
-    await eventually('the address is left out', async () => {
+    const late = await requestCompletion(cluster.callers(1), 'given before', 10);
+    await waitUntil('the address is left out', async () => {
       const { body } = await call('GET', `${cluster.callers(0)}/v1/addresses`);
       seen.push((body as { addresses: string[] }).addresses.length);
       return seen.at(-1) === 2;
@@ -51,8 +53,8 @@
     });
     await stream.ended;
     await stopped;
-    expect(late.text).toBe(answerText('given before', 10));
-    expect(stream.text).toBe(answerText(prompt, 900));
+    expect(late.text).toBe(outputText('given before', 10));
+    expect(stream.text).toBe(outputText(prompt, 900));
     expect(stream.whole).toBe(true);
   }, 20_000);
 
@@ -61,13 +63,13 @@
     const streams = [0, 2].map((vm) =>
       openStream(cluster.callers(vm), `kept ${vm} `.repeat(40), 900),
     );
-    await eventually('they stream', () => streams.every(({ offsets }) => offsets.length > 3));
+    await waitUntil('they stream', () => streams.every(({ offsets }) => offsets.length > 3));
     await cluster.schedulers[1]?.stop();
-    const after = await ask(cluster.callers(0), 'planned by the next owner', 10);
+    const after = await requestCompletion(cluster.callers(0), 'planned by the next owner', 10);
     await Promise.all(streams.map(({ ended }) => ended));
-    expect(after.text).toBe(answerText('planned by the next owner', 10));
+    expect(after.text).toBe(outputText('planned by the next owner', 10));
     expect(streams.map(({ text }) => text)).toEqual(
-      [0, 2].map((vm) => answerText(`kept ${vm} `.repeat(40), 900)),
+      [0, 2].map((vm) => outputText(`kept ${vm} `.repeat(40), 900)),
     );
   }, 20_000);
 });
--- a/test/node/model.test.ts
+++ b/test/node/model.test.ts
@@ -1,10 +1,10 @@
 import { Failure } from '../../src/core/failure';
 import { EventSink } from '../../src/node/gateway/sink';
 import { sendFailure } from '../../src/utils/http';
-import { answerText } from '../fakes/engine/text';
-import { Cluster, eventually, tokens } from '../fakes/cluster';
+import { outputText } from '../fakes/engine/text';
+import { Cluster, waitUntil, tokens } from '../fakes/cluster';
 import { call, closeServer, listen } from '../fakes/http';
-import { ask, openStream } from '../fakes/caller';
+import { requestCompletion, openStream } from '../fakes/caller';
 
 describe('model requests', () => {
   const cluster = new Cluster();
@@ -13,14 +13,14 @@
   afterAll(() => cluster.stop());
 
   test('are answered whole as json', async () => {
-    const answer = await ask(cluster.callers(0), 'a short title history', 40);
-    expect(answer.text).toBe(answerText('a short title history', 40));
+    const answer = await requestCompletion(cluster.callers(0), 'a short title history', 40);
+    expect(answer.text).toBe(outputText('a short title history', 40));
   });
 
   test('are answered whole as a stream with offsets', async () => {
     const stream = openStream(cluster.callers(1), 'a streamed history', 40);
     await stream.ended;
-    expect(stream.text).toBe(answerText('a streamed history', 40));
+    expect(stream.text).toBe(outputText('a streamed history', 40));
     expect(stream.offsets).toEqual(stream.offsets.map((_, i) => i));
     expect(stream.whole).toBe(true);
   });
@@ -28,23 +28,23 @@
   test('of many callers at once are each answered with their own text', async () => {
     const prompts = Array.from({ length: 30 }, (_, i) => `history of parcel ${i}`);
     const answers = await Promise.all(
-      prompts.map((prompt, i) => ask(cluster.callers(i % 2), prompt, 30)),
+      prompts.map((prompt, i) => requestCompletion(cluster.callers(i % 2), prompt, 30)),
     );
     expect(answers.map(({ text }) => text)).toEqual(
-      prompts.map((prompt) => answerText(prompt, 30)),
+      prompts.map((prompt) => outputText(prompt, 30)),
     );
   });
 
   test('leave no engine memory held once they are done', async () => {
-    await eventually('memory is free', () => cluster.held.length === 0);
-    expect(cluster.held).toEqual([]);
+    await waitUntil('memory is free', () => cluster.heldRequests.length === 0);
+    expect(cluster.heldRequests).toEqual([]);
   });
 
   test('with a key that was answered are answered again without a second run', async () => {
     const before = new Set(cluster.decodeRunners.flatMap(({ ran }) => [...ran])).size;
-    const first = await ask(cluster.callers(0), 'keyed history', 40, { key: 'k1' });
-    await eventually('the registry has the answer', async () => {
-      const again = await ask(cluster.callers(1), 'keyed history', 40, { key: 'k1' });
+    const first = await requestCompletion(cluster.callers(0), 'keyed history', 40, { key: 'k1' });
+    await waitUntil('the registry has the answer', async () => {
+      const again = await requestCompletion(cluster.callers(1), 'keyed history', 40, { key: 'k1' });
       return again.text === first.text;
     });
     const after = new Set(cluster.decodeRunners.flatMap(({ ran }) => [...ran])).size;
@@ -52,8 +52,10 @@
   });
 
   test('with a key that stood for another request are refused', async () => {
-    await ask(cluster.callers(0), 'first use', 20, { key: 'k2' });
-    const { status, body } = await ask(cluster.callers(0), 'second use', 20, { key: 'k2' });
+    await requestCompletion(cluster.callers(0), 'first use', 20, { key: 'k2' });
+    const { status, body } = await requestCompletion(cluster.callers(0), 'second use', 20, {
+      key: 'k2',
+    });
     expect({ status, body }).toMatchInlineSnapshot(`
      {
        "body": {
@@ -81,10 +83,10 @@
       cluster.prefillRunners.reduce((sum, { ran }) => sum + ran.size, 0);
     const before = prefills();
     const first = openStream(cluster.callers(0), prompt, 900, { key: 'k3' });
-    await eventually('the first run streams', () => first.offsets.length > 3);
+    await waitUntil('the first run streams', () => first.offsets.length > 3);
     const second = openStream(cluster.callers(1), prompt, 900, { key: 'k3' });
     await Promise.all([first.ended, second.ended]);
-    expect(second.text).toBe(answerText(prompt, 900));
+    expect(second.text).toBe(outputText(prompt, 900));
     expect(first.whole).toBe(false);
     expect(first.error).toMatchInlineSnapshot(`
      {
@@ -110,13 +112,13 @@
     ['in mid-answer', 5],
   ])('whose caller leaves %s free all memory', async (_when, tokensSeen) => {
     const stream = openStream(cluster.callers(0), `abandoned ${tokensSeen}`.repeat(20), 1000);
-    await eventually(
+    await waitUntil(
       'tokens came',
-      () => cluster.held.length > 0 && stream.offsets.length >= tokensSeen,
+      () => cluster.heldRequests.length > 0 && stream.offsets.length >= tokensSeen,
     );
     stream.close();
-    await eventually('memory is free', () => cluster.held.length === 0);
-    expect(cluster.held).toEqual([]);
+    await waitUntil('memory is free', () => cluster.heldRequests.length === 0);
+    expect(cluster.heldRequests).toEqual([]);
   });
 
   /*
@@ -126,12 +128,12 @@
    */
   test('whose runner is lost in mid-answer go on at their offset', async () => {
     const stream = openStream(cluster.callers(0), 'long deed with many parts', 900);
-    await eventually('tokens came', () => stream.offsets.length > 5);
+    await waitUntil('tokens came', () => stream.offsets.length > 5);
     await Promise.all(
       cluster.decodeRunners.map(({ url }) => call('POST', `${url}/fault`, { cut: true })),
     );
     await stream.ended;
-    expect(stream.text).toBe(answerText('long deed with many parts', 900));
+    expect(stream.text).toBe(outputText('long deed with many parts', 900));
     expect(stream.whole).toBe(true);
   });
 
--- a/test/node/once.test.ts
+++ b/test/node/once.test.ts
@@ -1,4 +1,4 @@
-import { Cluster, eventually, tokens } from '../fakes/cluster';
+import { Cluster, waitUntil, tokens } from '../fakes/cluster';
 import { call } from '../fakes/http';
 
 const clerk = { authorization: `Bearer ${tokens.clerks}` };
@@ -23,7 +23,7 @@
 
   test('run once, and a repeat on another gateway replays the answer', async () => {
     const first = await issue(0, 'r1');
-    await eventually('the outcome is kept', async () => (await issue(1, 'r1')).status === 200);
+    await waitUntil('the outcome is kept', async () => (await issue(1, 'r1')).status === 200);
     const again = await issue(1, 'r1');
     expect(again.body).toEqual(first.body);
     expect(again.headers['goldcrestdock-replay']).toBe('true');
@@ -107,7 +107,7 @@
     `);
     expect(runsOf('r9')).toBe(0);
     cluster.platform.faults.outage = false;
-    await eventually(
+    await waitUntil(
       'the store is used again',
       async () => (await issue(0, 'r9')).status === 200,
       15_000,
--- a/test/node/settings.test.ts
+++ b/test/node/settings.test.ts
@@ -1,4 +1,4 @@
-import { Cluster, eventually, tokens } from '../fakes/cluster';
+import { Cluster, waitUntil, tokens } from '../fakes/cluster';
 import { call } from '../fakes/http';
 
 describe("operators' settings", () => {
@@ -144,8 +144,8 @@
   test('that are malformed in the store leave the last good ones in force', async () => {
     const revision = await revisionOf('teams/lawyers', tokens.lawyers);
     const bad = JSON.stringify({ revision: revision + 1, nonce: 'x', text: '{ "services": 7 }' });
-    cluster.platform.poke('settings/teams/lawyers', bad);
-    await eventually('the alarm is raised', async () => {
+    cluster.platform.writeDirectly('settings/teams/lawyers', bad);
+    await waitUntil('the alarm is raised', async () => {
       const { body } = await call(
         'GET',
         `${cluster.operators(0)}/v1/status`,
@@ -170,7 +170,7 @@
     cluster.platform.faults.outage = true;
     await cluster.startScheduler(2);
     await cluster.startGateway(2);
-    await eventually(
+    await waitUntil(
       'the new VM serves',
       async () => (await call('GET', `${cluster.callers(2)}/readyz`)).status === 200,
       15_000,
--- a/test/platform/era.test.ts
+++ b/test/platform/era.test.ts
@@ -2,7 +2,7 @@
 
 import { StoreHistory } from '../../src/core/routing/position';
 import { EraReader } from '../../src/platform/era';
-import { at } from '../fakes/position';
+import { positionAt } from '../fakes/position';
 
 /** Reads eras and keeps the lines that are logged about them. */
 class Readings {
@@ -72,7 +72,7 @@
   test('must not be an earlier one than any VM saw', () => {
     const readings = new Readings();
     readings.read('4');
-    readings.history.apply([at(9, 6)]);
+    readings.history.apply([positionAt(9, 6)]);
     expect(readings.read('4')).toBe('found era 4, expected a number from 6 on');
     expect(readings.read('6')).toBe(6);
     expect(readings.latest).toBe(6);
--- a/test/platform/holders.test.ts
+++ b/test/platform/lock.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 
-import type { OrderRight } from '../../src/node/router/types';
+import type { OrderLease } from '../../src/node/router/types';
 import { StoreLock } from '../../src/platform/lock';
 import type { StoreCopy } from '../fakes/store';
 import { FakeStore, clientOf } from '../fakes/store';
@@ -34,7 +34,7 @@
 
   #locks: readonly StoreLock[] = [];
 
-  readonly #rights = new Map<number, OrderRight>();
+  readonly #rights = new Map<number, OrderLease>();
 
   readonly #copies: StoreCopy[] = [];
 
@@ -55,7 +55,7 @@
     else if (one.kind === 'copy') this.#copies.push(store.copy());
     else if (one.kind === 'return') {
       const copy = this.#copies[one.copy % Math.max(1, this.#copies.length)];
-      if (copy) store.comeBack(copy);
+      if (copy) store.restore(copy);
     }
   }
 
--- a/test/platform/facts.test.ts
+++ b/test/platform/records.test.ts
@@ -1,4 +1,4 @@
-import { decodeConfig, decodeRunner } from '../../src/platform/facts';
+import { decodeConfig, decodeRunner } from '../../src/platform/records';
 import { entryOf } from '../fakes/entry';
 
 /** What a change of a whole entry is read as: its error, or what it says of the runner. */
--- a/test/platform/olderstore.test.ts
+++ b/test/platform/restore.test.ts
@@ -1,12 +1,12 @@
 import pino from 'pino';
 
 import { StoreHistory } from '../../src/core/routing/position';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { StoreFeed } from '../../src/platform/feed';
 import { StoreLock } from '../../src/platform/lock';
-import { eventually } from '../fakes/cluster';
+import { waitUntil } from '../fakes/cluster';
 import { entryOf } from '../fakes/entry';
-import { silentListener } from '../fakes/listener';
+import { noopListener } from '../fakes/listener';
 import { FakeStore, clientOf } from '../fakes/store';
 
 const log = pino({ level: 'silent' });
@@ -15,7 +15,7 @@
 class Reader {
   readonly #history = new StoreHistory();
 
-  readonly knowledge = new Knowledge(this.#history, log, silentListener);
+  readonly knowledge = new RoutingState(this.#history, log, noopListener);
 
   readonly #feed: StoreFeed;
 
@@ -32,11 +32,11 @@
       onListed: (ids, position) => knowledge.learnList(performance.now(), ids, position),
       onVms: () => {},
       onStore: (up) => {
-        if (up) knowledge.heardStore(performance.now());
+        if (up) knowledge.storeAnswered(performance.now());
         else knowledge.storeFailed(performance.now());
       },
       onSuspects: () => {},
-      onProof: () => {},
+      onConfirmed: () => {},
     });
     this.#feed.setReading(true);
   }
@@ -53,7 +53,7 @@
   }
 
   async sees(...ids: readonly string[]): Promise<void> {
-    await eventually(`it sees ${ids.join(' ')}`, () => this.runners.join(' ') === ids.join(' '));
+    await waitUntil(`it sees ${ids.join(' ')}`, () => this.runners.join(' ') === ids.join(' '));
   }
 }
 
@@ -88,7 +88,7 @@
     put('z');
     // Its watch has just been answered, and the next one comes a moment later.
     await reader.sees('a', 'b', 'c', 'z');
-    store.comeBack(copy);
+    store.restore(copy);
     put('d');
     put('b', { state: 'draining' });
     for (let i = 0; i < 9; i += 1) put('a');
@@ -109,10 +109,10 @@
     put('d');
     put('e');
     await reader.sees('c', 'd', 'e');
-    store.comeBack(copy);
+    store.restore(copy);
     const seen = new Set<string>();
     const until = performance.now() + 1500;
-    await eventually('the copy is read', () => {
+    await waitUntil('the copy is read', () => {
       seen.add(reader.runners.join(' '));
       return performance.now() > until;
     });
@@ -149,7 +149,7 @@
     const copy = store.copy();
     for (let i = 0; i < 20; i += 1) put('a');
     const first = await new StoreLock(clientOf(store), 'vm1').acquire();
-    store.comeBack(copy);
+    store.restore(copy);
     const second = await new StoreLock(clientOf(store), 'vm2').acquire();
     expect(second?.fence).toBeGreaterThan(first?.fence ?? Infinity);
     expect(second?.fresh).toBe(false);
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -8,7 +8,7 @@
 import { StoreFeed } from '../../src/platform/feed';
 import { StoreLock } from '../../src/platform/lock';
 import { StoreClient } from '../../src/platform/store';
-import { eventually } from '../fakes/cluster';
+import { waitUntil } from '../fakes/cluster';
 import { entryOf } from '../fakes/entry';
 import { closeServer, listen, sendJson } from '../fakes/http';
 import { FakeStore, clientOf } from '../fakes/store';
@@ -47,7 +47,7 @@
 
   onSuspects(): void {}
 
-  onProof(): void {}
+  onConfirmed(): void {}
 
   onStore(up: boolean): void {
     if (this.store.at(-1) !== up) this.store.push(up);
@@ -72,7 +72,7 @@
     feed = new StoreFeed(client, { vm: 'vm1', address: '10.0.0.9:1' }, history, log);
     feed.start(listener);
     feed.setReading(true);
-    await eventually('all is read', () => listener.listed.length > 0);
+    await waitUntil('all is read', () => listener.listed.length > 0);
   });
 
   afterEach(() => {
@@ -85,12 +85,12 @@
     const wrong = { ...(config(9) as object), tenants: [{ name: 'ada', 'rate-per-s': -1 }] };
     store.put('op/config', wrong);
     store.put('servers/i-1', runner('draining'));
-    await eventually('the change after it is told', () => listener.runners.includes('i-1 leaving'));
+    await waitUntil('the change after it is told', () => listener.runners.includes('i-1 leaving'));
     store.put('servers/i-2', runner('draining'));
     store.compact();
-    await eventually('all is read again', () => listener.listed.length > 1);
+    await waitUntil('all is read again', () => listener.listed.length > 1);
     store.put('op/config', config(11));
-    await eventually('the next one is told', () => listener.versions.includes(11));
+    await waitUntil('the next one is told', () => listener.versions.includes(11));
     expect(listener.versions).toEqual([3, 11]);
     expect(lines.filter((line) => line.includes('[503]'))).toHaveLength(1);
   });
@@ -100,7 +100,7 @@
     store.put('op/config', config(9));
     store.put('servers/i-2', runner('draining'));
     store.remove('servers/i-3');
-    await eventually('changes are told', () => listener.runners.includes('i-3 gone'));
+    await waitUntil('changes are told', () => listener.runners.includes('i-3 gone'));
     expect(listener.versions).toEqual([3, 9]);
     expect(listener.runners.slice(4)).toEqual(['i-2 leaving', 'i-3 gone']);
   });
@@ -111,11 +111,11 @@
    * the VM would go on with the old version.
    */
   test('leaves a watch that hangs and reads everything again', async () => {
-    store.mood = 'silent';
-    await eventually('the silence is noticed', () => listener.store.at(-1) === false);
-    store.mood = 'well';
+    store.fault = 'silent';
+    await waitUntil('the silence is noticed', () => listener.store.at(-1) === false);
+    store.fault = 'well';
     store.put('op/config', config(12));
-    await eventually('it is read again', () => listener.versions.at(-1) === 12);
+    await waitUntil('it is read again', () => listener.versions.at(-1) === 12);
     expect(listener.store).toEqual([true, false, true]);
   }, 15_000);
 
@@ -123,7 +123,7 @@
   test('reads the full list when the history is gone', async () => {
     store.remove('servers/i-4');
     store.compact();
-    await eventually('the list is read', () => listener.listed.length > 1);
+    await waitUntil('the list is read', () => listener.listed.length > 1);
     expect(listener.listed.at(-1)).toEqual(['i-1', 'i-2', 'i-3']);
   });
 
@@ -134,7 +134,7 @@
   test('takes no runner from the entries of another writer', async () => {
     store.put('servers/i-2', entryOf({ slots: '32' }));
     store.put('servers/i-9', Buffer.from([0xff, 0xfe, 0x00]));
-    await eventually('both are told', () => listener.runners.includes('i-9 unreadable'));
+    await waitUntil('both are told', () => listener.runners.includes('i-9 unreadable'));
     expect(listener.runners.slice(4)).toEqual(['i-2 unreadable', 'i-9 unreadable']);
     expect(listener.store).toEqual([true]);
   });
@@ -155,7 +155,7 @@
       store.put('servers/j-400', runner('draining'));
       store.put('servers/j-999', runner('ready'));
     };
-    await eventually('the removal is told', () => listener.runners.includes('j-000 gone'));
+    await waitUntil('the removal is told', () => listener.runners.includes('j-000 gone'));
     expect(listener.runners).toContain('j-400 leaving');
     expect(listener.runners).toContain('j-999 ready');
     expect(listener.listed.at(-1)?.length).toBe(515);
@@ -175,7 +175,7 @@
     });
     expect(store.calls.length).toBe(calls);
     feed.setReading(true);
-    await eventually('it is read again', () => listener.versions.at(-1) === 5);
+    await waitUntil('it is read again', () => listener.versions.at(-1) === 5);
     // It is in the store from its first reading, and is not written again.
     expect(store.calls.filter((path) => path === '/v1/kv-txn').length).toBe(1);
   }, 15_000);
@@ -184,7 +184,7 @@
   test('passes over an entry that cannot be decoded', async () => {
     store.put('op/config', '{"version": 4');
     store.put('servers/i-1', runner('draining'));
-    await eventually('the other is told', () => listener.runners.includes('i-1 leaving'));
+    await waitUntil('the other is told', () => listener.runners.includes('i-1 leaving'));
     expect(listener.versions).toEqual([3]);
   });
 });
@@ -220,7 +220,7 @@
 
   /* The write took effect and its answer was lost: the VM does not know and must act as if it had failed. */
   test('is not assumed when the answer of the write is lost', async () => {
-    store.mood = 'deaf';
+    store.fault = 'deaf';
     await expect(lockOf('vm1').acquire()).rejects.toThrow();
   });
 });
--- a/test/router/accountowners.test.ts
+++ b/test/router/accountowners.test.ts
@@ -59,7 +59,7 @@
 
   changed(ranked: readonly Member[]): readonly string[] {
     this.ranked = ranked;
-    this.owners.changed(0);
+    this.owners.refresh(0);
     return this.#calls.splice(0);
   }
 }
@@ -108,7 +108,7 @@
     told.changed([one, other]);
     await setImmediate();
     expect(told.changed([one, other])).toEqual(['join other:1 g']);
-    expect(told.owners.beliefs()).toEqual({ g: 'other' });
+    expect(told.owners.snapshot()).toEqual({ g: 'other' });
     told.owners.stop();
   });
 });
--- a/test/router/authorizer.test.ts
+++ b/test/router/authorizer.test.ts
@@ -4,8 +4,8 @@
 import { StoreHistory } from '../../src/core/routing/position';
 import type { RoutingConfig } from '../../src/core/routing/types';
 import { Authorizer } from '../../src/node/router/authorizer';
-import { Knowledge } from '../../src/node/router/knowledge';
-import { silentListener } from '../fakes/listener';
+import { RoutingState } from '../../src/node/router/routingstate';
+import { noopListener } from '../fakes/listener';
 
 const config = (customers?: readonly Customer[]): RoutingConfig => ({
   version: 1,
@@ -17,7 +17,7 @@
 
 /** The authorizer of a VM that has a configuration of unknown age. */
 function authorizerOf(customers?: readonly Customer[]): Authorizer {
-  const knowledge = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
   knowledge.learnConfig(0, config(customers), 'test');
   return new Authorizer(knowledge, () => ({ keyMs: 4700, finalMs: 2000 }));
 }
--- a/test/router/customers.test.ts
+++ b/test/router/customers.test.ts
@@ -1,11 +1,11 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
-import { eventually } from '../fakes/cluster';
-import { Routers, WARM_KEY } from '../fakes/routers';
+import { waitUntil } from '../fakes/cluster';
+import { RouterCluster, WARMUP_KEY } from '../fakes/routers';
 
 const OWN_KEY = 'key-1';
 const customers = [
-  { name: 'warm', 'api-keys': [WARM_KEY] },
+  { name: 'warm', 'api-keys': [WARMUP_KEY] },
   { name: 'ada', 'api-keys': [OWN_KEY, 'key-2', OWN_KEY, ''] },
   { name: 'bob', 'api-keys': ['key-3', 'key-shared'] },
   { name: 'cyd', 'api-keys': ['key-4', 'key-shared'] },
@@ -16,7 +16,7 @@
 });
 
 describe('requests of customers', () => {
-  const routers = new Routers({ customers });
+  const routers = new RouterCluster({ customers });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -30,14 +30,14 @@
     'reach runners with the name of the customer and without the key: %s',
     async (path) => {
       const sent = { ...bearer(OWN_KEY), 'tenant-id': 'bob' };
-      const { status } = await routers.ask(0, path, 'whose', sent);
+      const { status } = await routers.sendRequest(0, path, 'whose', sent);
       const arrivals = routers.arrivals.filter((one) => one.path === path);
       expect({ status, arrivals }).toMatchSnapshot();
     },
   );
 
   test('reach runners without a customer name on routes that need no key', async () => {
-    await routers.ask(1, '/open/nobody', 'nobody', { 'tenant-id': 'bob' });
+    await routers.sendRequest(1, '/open/nobody', 'nobody', { 'tenant-id': 'bob' });
     const [arrival] = routers.arrivals.filter(({ path }) => path === '/open/nobody');
     expect(arrival).toEqual({ path: '/open/nobody' });
   });
@@ -56,29 +56,29 @@
     ['a byte outside ASCII', bearer('key-1\u00ff')],
     ['a key that two customers hold', bearer('key-shared')],
   ])('are refused with 401 and reach no runner: %s', async (_, sent) => {
-    const before = routers.reached;
+    const before = routers.arrivalCount;
     const statuses: number[] = [];
     for (const path of ['/model/wrong', '/plain/wrong']) {
-      statuses.push((await routers.ask(2, path, 'wrong', sent)).status);
+      statuses.push((await routers.sendRequest(2, path, 'wrong', sent)).status);
     }
     expect(statuses).toEqual([401, 401]);
-    expect(routers.reached).toBe(before);
+    expect(routers.arrivalCount).toBe(before);
   });
 
   test('are accepted with the scheme in any case and several spaces before the key', async () => {
     const sent = { authorization: `bEARER   ${OWN_KEY}` };
-    expect((await routers.ask(0, '/plain/case', 'case', sent)).status).toBe(200);
+    expect((await routers.sendRequest(0, '/plain/case', 'case', sent)).status).toBe(200);
     const found = routers.arrivals.find(({ path }) => path === '/plain/case');
     expect(found?.customer).toBe('ada');
   });
 
   test('are refused after their key is revoked, and accepted with a new one', async () => {
     routers.configure([customers[0], { name: 'ada', 'api-keys': ['key-5'] }]);
-    await eventually('the old key is refused', async () => {
-      const { status } = await routers.ask(1, '/plain/old', 'old', bearer(OWN_KEY));
+    await waitUntil('the old key is refused', async () => {
+      const { status } = await routers.sendRequest(1, '/plain/old', 'old', bearer(OWN_KEY));
       return status === 401;
     });
-    expect((await routers.ask(1, '/plain/new', 'new', bearer('key-5'))).status).toBe(200);
+    expect((await routers.sendRequest(1, '/plain/new', 'new', bearer('key-5'))).status).toBe(200);
   });
 });
 
@@ -88,7 +88,7 @@
 const MIN_SERVED_MS = 4000;
 
 describe('a VM that can reach neither the store nor another VM', () => {
-  const routers = new Routers({ vms: 1, customers });
+  const routers = new RouterCluster({ vms: 1, customers });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -99,14 +99,14 @@
    * compromised, for as long as it is isolated.
    */
   test('accepts keys for a limited time, then refuses them with 503', async () => {
-    routers.store.mood = 'silent';
+    routers.store.fault = 'silent';
     routers.configure([customers[0]]);
     const since = performance.now();
     const acceptedAt: number[] = [];
     const refused = new Set<number>();
     while (performance.now() - since < REVOKE_MS + 2000) {
       const at = performance.now() - since;
-      const { status } = await routers.ask(0, '/plain/cut', 'cut', bearer(OWN_KEY));
+      const { status } = await routers.sendRequest(0, '/plain/cut', 'cut', bearer(OWN_KEY));
       if (status === 200) acceptedAt.push(at);
       else refused.add(status);
       await pause(50);
@@ -118,18 +118,18 @@
 
   /* Its configuration may lack a new key or route, and callers treat 401 and 404 as permanent. */
   test('refuses unknown keys and routes with 503 instead of 401 and 404', async () => {
-    const unknown = await routers.ask(0, '/plain/cut', 'cut', bearer('key-9'));
-    const nowhere = await routers.ask(0, '/nowhere/', 'cut', bearer(OWN_KEY));
+    const unknown = await routers.sendRequest(0, '/plain/cut', 'cut', bearer('key-9'));
+    const nowhere = await routers.sendRequest(0, '/nowhere/', 'cut', bearer(OWN_KEY));
     expect([unknown.status, nowhere.status]).toEqual([503, 503]);
   });
 
   test('accepts keys again once the store answers', async () => {
-    routers.store.mood = 'well';
-    await eventually('the key that was taken away is refused', async () => {
-      const { status } = await routers.ask(0, '/plain/back', 'back', bearer(OWN_KEY));
+    routers.store.fault = 'well';
+    await waitUntil('the key that was taken away is refused', async () => {
+      const { status } = await routers.sendRequest(0, '/plain/back', 'back', bearer(OWN_KEY));
       return status === 401;
     });
-    const { status } = await routers.ask(0, '/plain/back', 'back', bearer(WARM_KEY));
+    const { status } = await routers.sendRequest(0, '/plain/back', 'back', bearer(WARMUP_KEY));
     expect(status).toBe(200);
   });
 });
--- a/test/router/frontend.test.ts
+++ b/test/router/frontend.test.ts
@@ -8,12 +8,12 @@
 import type { RoutingConfig } from '../../src/core/routing/types';
 import type { FrontEndContext } from '../../src/node/router/frontend';
 import { FrontEnd } from '../../src/node/router/frontend';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { RouterMetrics } from '../../src/node/router/metrics';
-import { silentListener } from '../fakes/listener';
-import { gateOf } from '../fakes/runs';
+import { noopListener } from '../fakes/listener';
+import { authorizerOf } from '../fakes/runs';
 import { PlatformIngress } from '../../src/platform/ingress';
-import { eventually } from '../fakes/cluster';
+import { waitUntil } from '../fakes/cluster';
 
 const config: RoutingConfig = {
   version: 1,
@@ -58,10 +58,10 @@
 const log = pino({ level: 'silent' });
 
 /** A front end that passes its requests to `onRequest`. */
-function frontOf(knowledge: Knowledge, onRequest: FrontEndContext['onRequest']): FrontEnd {
+function frontOf(knowledge: RoutingState, onRequest: FrontEndContext['onRequest']): FrontEnd {
   return new FrontEnd({
     knowledge,
-    authorizer: gateOf(knowledge),
+    authorizer: authorizerOf(knowledge),
     codec: new PlatformIngress(),
     metrics: new RouterMetrics(),
     log,
@@ -71,7 +71,7 @@
 }
 
 describe('the front end', () => {
-  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
   const seen: string[] = [];
   const front = frontOf(knowledge, async (exchange) => {
     seen.push(exchange.request.target);
@@ -105,7 +105,7 @@
       socket.write(requestOf('/a/gone'));
       socket.destroy();
     });
-    await eventually('the connection is closed', () => socket.closed);
+    await waitUntil('the connection is closed', () => socket.closed);
     await talk(port, requestOf('/a/after'));
     expect(seen).toEqual(['/a/2', '/a/after']);
   });
@@ -120,7 +120,7 @@
   const REQUEST = 'GET /a/ HTTP/1.0\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n';
   /** Time to observe a connection, longer than a response of this test takes. */
   const OBSERVED_MS = 300;
-  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
   const front = frontOf(knowledge, async (exchange) => {
     exchange.writeHead(200, ['content-type', 'text/event-stream']);
     await exchange.write(Buffer.from(EVENT));
--- a/test/router/model.test.ts
+++ b/test/router/model.test.ts
@@ -5,7 +5,7 @@
 import type { DecodeDispatch, Dispatch } from '../../src/node/router/types';
 import { exchangeInto, promptRequest, replyOf, streamEngine, streamRoute } from '../fakes/exchange';
 import { runnerOf as runner } from '../fakes/runner';
-import { noPermits, noQuotas, quarantineOf, runsOf } from '../fakes/runs';
+import { unlimitedPermits, unlimitedQuotas, quarantineOf, runsOf } from '../fakes/runs';
 
 describe('a model request', () => {
   /*
@@ -41,8 +41,8 @@
         reportProgress: () => {},
       },
       runs: runsOf(),
-      quotas: noQuotas,
-      permits: noPermits,
+      quotas: unlimitedQuotas,
+      permits: unlimitedPermits,
       takeRetry: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
@@ -79,8 +79,8 @@
         reportProgress: () => {},
       },
       runs: runsOf(),
-      quotas: noQuotas,
-      permits: noPermits,
+      quotas: unlimitedQuotas,
+      permits: unlimitedPermits,
       takeRetry: () => true,
     } as unknown as ModelContext;
     const out: string[] = [];
@@ -97,8 +97,8 @@
   test('is due by its latency target, whatever the deadline of its caller', async () => {
     const asked: LocalDemand[] = [];
     const context = {
-      quotas: noQuotas,
-      permits: noPermits,
+      quotas: unlimitedQuotas,
+      permits: unlimitedPermits,
       reservations: {
         reserve: async (_service: string, demand: LocalDemand) => {
           asked.push(demand);
@@ -125,7 +125,7 @@
     const out: string[] = [];
     const route = { ...streamRoute, attempts: 3, resumable: true };
     const exchange = exchangeInto(out, promptRequest, route);
-    for (const id of ['x', 'y']) quarantine.ended(performance.now(), exchange.fingerprint, id);
+    for (const id of ['x', 'y']) quarantine.crashed(performance.now(), exchange.fingerprint, id);
     const sent: string[] = [];
     const context = {
       knowledge: { runnersOf: () => [runner('d1', 'decode'), runner('d2', 'decode')] },
@@ -140,8 +140,8 @@
         reportProgress: () => {},
       },
       runs: runsOf(quarantine),
-      quotas: noQuotas,
-      permits: noPermits,
+      quotas: unlimitedQuotas,
+      permits: unlimitedPermits,
       takeRetry: () => true,
     } as unknown as ModelContext;
     await new ModelHandler(context).run(exchange, streamEngine);
@@ -175,8 +175,8 @@
         reportProgress: () => {},
       },
       runs: runsOf(),
-      quotas: noQuotas,
-      permits: noPermits,
+      quotas: unlimitedQuotas,
+      permits: unlimitedPermits,
       takeRetry: () => true,
     } as unknown as ModelContext;
     await new ModelHandler(context).run(exchange, streamEngine);
--- a/test/router/order.test.ts
+++ b/test/router/order.test.ts
@@ -4,7 +4,7 @@
 import type { Demand } from '../../src/core/memory/types';
 import { FairOrder, SmallestFirst } from '../../src/core/memory/order';
 import { MemoryBench } from '../fakes/memory/bench';
-import { tightFigures } from '../fakes/memory/engines';
+import { smallMemoryFigures } from '../fakes/memory/engines';
 import type { MemoryJob } from '../fakes/memory/load';
 import { drawMemoryJobs } from '../fakes/memory/load';
 
@@ -64,7 +64,7 @@
     const bench = new MemoryBench({
       jobs: jobsOf(seed, sizePart),
       policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder } }),
-      figures: tightFigures,
+      figures: smallMemoryFigures,
       prefillRunners: 2,
       decodeRunners: 4,
     });
@@ -105,7 +105,7 @@
       new MemoryBench({
         jobs,
         policy: new Planner({ ...planPolicy, order: { ...planPolicy.order, createOrder } }),
-        figures: tightFigures,
+        figures: smallMemoryFigures,
         prefillRunners: 2,
         decodeRunners: 4,
       }).run(),
--- a/test/router/overload.test.ts
+++ b/test/router/overload.test.ts
@@ -3,22 +3,26 @@
 import type { PlanPolicy } from '../../src/core/memory/policy';
 import { planPolicy } from '../../src/core/memory/policy';
 import { SlotPolicy } from '../fakes/memory/baselines';
-import type { MemoryResult, PlacePolicy } from '../fakes/memory/bench';
+import type { MemoryResult, PlacementPolicy } from '../fakes/memory/bench';
 import { MemoryBench } from '../fakes/memory/bench';
-import { fastFigures, tightFigures } from '../fakes/memory/engines';
-import { KnownCosts } from '../fakes/memory/known';
+import { fastFigures, smallMemoryFigures } from '../fakes/memory/engines';
+import { KnownCosts } from '../fakes/memory/costs';
 import type { MemoryLoad } from '../fakes/memory/load';
 import { drawMemoryJobs, shiftBursts as bursts } from '../fakes/memory/load';
 
 const SEEDS = [1, 2, 3];
 
 /** Mean of several runs with different requests. */
-function play(load: MemoryLoad, prefillRunners: number, policy: () => PlacePolicy): MemoryResult {
+function play(
+  load: MemoryLoad,
+  prefillRunners: number,
+  policy: () => PlacementPolicy,
+): MemoryResult {
   const results = SEEDS.map((seed) =>
     new MemoryBench({
       jobs: drawMemoryJobs(load, seed),
       policy: policy(),
-      figures: tightFigures,
+      figures: smallMemoryFigures,
       prefillRunners,
       decodeRunners: 4,
     }).run(),
@@ -98,7 +102,7 @@
       ).reduce((sum, { worth }) => sum + worth / SEEDS.length, 0);
     const measured = worthOf(() => undefined);
     expect(measured).toBeGreaterThan(0.95 * worthOf(() => new KnownCosts(fastFigures)));
-    expect(measured).toBeGreaterThan(worthOf(() => new KnownCosts(tightFigures)));
+    expect(measured).toBeGreaterThan(worthOf(() => new KnownCosts(smallMemoryFigures)));
   }, 60_000);
 
   /*
--- a/test/router/plainbalancer.test.ts
+++ b/test/router/plainbalancer.test.ts
@@ -1,7 +1,7 @@
 import { RunnerHealth } from '../../src/core/cell/health';
 import { Failure } from '../../src/core/failure';
 import type { Runner } from '../../src/core/routing/types';
-import type { Knowledge } from '../../src/node/router/knowledge';
+import type { RoutingState } from '../../src/node/router/routingstate';
 import type { Permit } from '../../src/node/router/permits';
 import type { BalancerContext } from '../../src/node/router/plainbalancer';
 import { PlainBalancer } from '../../src/node/router/plainbalancer';
@@ -10,7 +10,7 @@
 import type { Dispatch } from '../../src/node/router/types';
 import { exchangeInto, promptRequest, replyOf, streamRoute } from '../fakes/exchange';
 import { runnerOf } from '../fakes/runner';
-import { noQuotas, runsOf } from '../fakes/runs';
+import { unlimitedQuotas, runsOf } from '../fakes/runs';
 
 const route = { ...streamRoute, kind: 'repeatable' as const, attempts: 2, aimMs: 200 };
 
@@ -45,7 +45,7 @@
         return this.#permit;
       },
     };
-    const knowledge = { runnersOf: () => runners } as unknown as Knowledge;
+    const knowledge = { runnersOf: () => runners } as unknown as RoutingState;
     return { knowledge, health: () => health, permits, domain: 'near' };
   }
 }
@@ -126,7 +126,7 @@
       ...limited.context([near, far]),
       runners: { send: async ({ runner }: Dispatch) => replyOf(500, `of ${runner.id}`) },
       runs: runsOf(),
-      quotas: noQuotas,
+      quotas: unlimitedQuotas,
       takeRetry: () => true,
     } as unknown as PlainContext;
     await new PlainHandler(context).run(exchange);
--- a/test/router/plannerhost.test.ts
+++ b/test/router/plannerhost.test.ts
@@ -4,13 +4,13 @@
 import { unlimited } from '../../src/core/ratelimits/types';
 import type { RoutingConfig } from '../../src/core/routing/types';
 import { StoreHistory } from '../../src/core/routing/position';
-import { Knowledge } from '../../src/node/router/knowledge';
+import { RoutingState } from '../../src/node/router/routingstate';
 import { PlannerHost } from '../../src/node/router/plannerhost';
 import type { ReservationRequest } from '../../src/node/router/messages';
 import type { RunnerClient } from '../../src/node/router/types';
-import { at } from '../fakes/position';
+import { positionAt } from '../fakes/position';
 import { runnerOf as runner } from '../fakes/runner';
-import { silentListener } from '../fakes/listener';
+import { noopListener } from '../fakes/listener';
 
 const log = pino({ level: 'silent' });
 
@@ -42,10 +42,10 @@
 
 /** A planner host with one decode runner that has memory for eleven requests, and enough prefill runners. */
 function hostAt(now: number, onIncompleteState: (service: string) => void = () => {}): PlannerHost {
-  const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
+  const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
   knowledge.learnConfig(now, config, 'store');
   const runners = [runner('d', 'decode'), ...'12345678'.split('').map((i) => runner(i, 'prefill'))];
-  const facts = runners.map((entry) => ({ id: entry.id, position: at(1), runner: entry }));
+  const facts = runners.map((entry) => ({ id: entry.id, position: positionAt(1), runner: entry }));
   knowledge.learnRunners(now, facts, 'store');
   return new PlannerHost(knowledge, {} as RunnerClient, log, {
     onIncompleteState,
--- a/test/router/quarantine.test.ts
+++ b/test/router/quarantine.test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
-import { eventually } from '../fakes/cluster';
-import { DEADLY, Routers } from '../fakes/routers';
+import { waitUntil } from '../fakes/cluster';
+import { CRASH_TEXT, RouterCluster } from '../fakes/routers';
 
 /** Time between two attempts of the caller, in milliseconds: news is with all VMs well before. */
 const ATTEMPT_MS = 300;
@@ -20,7 +20,7 @@
  * read in 72 to 77 ms where a prefill runner had it a second time, else in some 275.
  */
 describe('a request that ends each runner that begins to run it', () => {
-  const routers = new Routers();
+  const routers = new RouterCluster();
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -28,19 +28,19 @@
   test.each(['/model/deadly', '/plain/deadly'])(
     'is kept from runners once it has ended three: %s',
     async (path) => {
-      const endedBefore = routers.ended.length;
+      const endedBefore = routers.crashed.length;
       const reached: number[] = [];
       const statuses: number[] = [];
       for (let turn = 0; turn < ATTEMPTS; turn += 1) {
-        const before = routers.reached;
-        const known = routers.ended.length - endedBefore >= ENDS;
-        const { status } = await routers.ask(turn, path, DEADLY);
-        if (known) reached.push(routers.reached - before);
+        const before = routers.arrivalCount;
+        const known = routers.crashed.length - endedBefore >= ENDS;
+        const { status } = await routers.sendRequest(turn, path, CRASH_TEXT);
+        if (known) reached.push(routers.arrivalCount - before);
         statuses.push(status);
         await pause(ATTEMPT_MS);
       }
       expect(reached.filter((sends) => sends > 0).length).toBeLessThanOrEqual(LATE_SENDS);
-      expect(routers.ended.length - endedBefore).toBeLessThanOrEqual(ENDS + LATE_SENDS);
+      expect(routers.crashed.length - endedBefore).toBeLessThanOrEqual(ENDS + LATE_SENDS);
       expect(statuses.slice(-3)).toEqual([503, 503, 503]);
     },
     30_000,
@@ -48,7 +48,7 @@
 });
 
 describe('a request that is kept from runners', () => {
-  const routers = new Routers();
+  const routers = new RouterCluster();
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -57,7 +57,7 @@
   const askAll = async (vms: number, body: string): Promise<readonly number[]> => {
     const statuses: number[] = [];
     for (let turn = 0; turn < vms; turn += 1) {
-      statuses.push((await routers.ask(turn, '/model/x', body)).status);
+      statuses.push((await routers.sendRequest(turn, '/model/x', body)).status);
       await pause(ATTEMPT_MS);
     }
     return statuses;
@@ -69,17 +69,17 @@
    * that all start anew know it before a runner gets it again.
    */
   test('is known to VMs that are new, and when all start anew', async () => {
-    expect(await askAll(2, DEADLY)).toEqual([502, 502]);
-    routers.store.mood = 'busy';
-    expect(await askAll(4, DEADLY)).toEqual([502, 503, 503, 503]);
-    routers.store.mood = 'well';
+    expect(await askAll(2, CRASH_TEXT)).toEqual([502, 502]);
+    routers.store.fault = 'busy';
+    expect(await askAll(4, CRASH_TEXT)).toEqual([502, 503, 503, 503]);
+    routers.store.fault = 'well';
     const saved = (): boolean => routers.store.keys.some((key) => key.includes('/suspects/'));
-    await eventually('it is saved', saved);
+    await waitUntil('it is saved', saved);
     await routers.addVm();
-    expect(await askAll(4, DEADLY)).toEqual([503, 503, 503, 503]);
+    expect(await askAll(4, CRASH_TEXT)).toEqual([503, 503, 503, 503]);
     await routers.restart();
-    expect(await askAll(4, DEADLY)).toEqual([503, 503, 503, 503]);
-    expect(routers.ended.length).toBe(3);
+    expect(await askAll(4, CRASH_TEXT)).toEqual([503, 503, 503, 503]);
+    expect(routers.crashed.length).toBe(3);
   }, 30_000);
 
   /* The store comes back from a copy of before it was saved: those who read the store save it again. */
@@ -89,13 +89,13 @@
     const [saved = ''] = suspects();
     routers.store.remove(saved);
     const copy = routers.store.copy();
-    routers.store.comeBack(copy);
-    await eventually('it is saved again', () => suspects().includes(saved));
-    expect(await askAll(2, DEADLY)).toEqual([503, 503]);
+    routers.store.restore(copy);
+    await waitUntil('it is saved again', () => suspects().includes(saved));
+    expect(await askAll(2, CRASH_TEXT)).toEqual([503, 503]);
   }, 20_000);
 
   test('has the time to come back told, and no other request is refused', async () => {
-    const { status, retryAfter } = await routers.ask(0, '/model/x', DEADLY);
+    const { status, retryAfter } = await routers.sendRequest(0, '/model/x', CRASH_TEXT);
     // A third of the five seconds that the caller waits.
     expect([status, retryAfter]).toEqual([503, '1.7']);
     expect(await askAll(4, 'another')).toEqual([200, 200, 200, 200]);
--- a/test/router/quotas.test.ts
+++ b/test/router/quotas.test.ts
@@ -1,12 +1,12 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
-import { Routers, WARM_KEY } from '../fakes/routers';
+import { RouterCluster, WARMUP_KEY } from '../fakes/routers';
 import type { CallerAnswer } from '../fakes/routers';
 
 const PER_S = 10;
 const BURST = 20;
 const customers = [
-  { name: 'warm', 'api-keys': [WARM_KEY] },
+  { name: 'warm', 'api-keys': [WARMUP_KEY] },
   { name: 'few', 'api-keys': ['key-few'], 'rate-per-s': PER_S, burst: BURST },
   {
     name: 'tokens',
@@ -22,7 +22,7 @@
 });
 
 describe('quotas', () => {
-  const routers = new Routers({ customers });
+  const routers = new RouterCluster({ customers });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -30,7 +30,9 @@
   /* Answers to requests that come at once, to all VMs in turn. */
   function answersOf(count: number, path: string, key: string): Promise<readonly CallerAnswer[]> {
     const sent = bearer(key);
-    const asked = Array.from({ length: count }, (_, i) => routers.ask(i, path, `${i}`, sent));
+    const asked = Array.from({ length: count }, (_, i) =>
+      routers.sendRequest(i, path, `${i}`, sent),
+    );
     return Promise.all(asked);
   }
 
@@ -46,7 +48,7 @@
   test('hold over all VMs; what is over is told when to come back and runs nothing', async () => {
     // The owner's account fills up to the burst.
     await pause((BURST / PER_S) * 1000 + 500);
-    const before = routers.reached;
+    const before = routers.arrivalCount;
     const since = performance.now();
     const answers = await answersOf(BURST * 4, '/plain/flood', 'key-few');
     const statuses = answers.map(({ status }) => status);
@@ -55,7 +57,7 @@
     expect(through).toBeGreaterThanOrEqual(BURST);
     expect(through).toBeLessThanOrEqual(BURST + PER_S * seconds + 1);
     expect(new Set(statuses)).toEqual(new Set([200, 429]));
-    expect(routers.reached - before).toBe(through);
+    expect(routers.arrivalCount - before).toBe(through);
     const refused = answers.filter(({ status }) => status === 429);
     expect(refused.every(({ retryAfter }) => Number(retryAfter) > 0)).toBe(true);
   });
@@ -63,7 +65,7 @@
   test('of one customer leave the others alone', async () => {
     const [, others] = await Promise.all([
       flood(BURST * 2, '/plain/flood', 'key-few'),
-      flood(BURST * 2, '/plain/other', WARM_KEY),
+      flood(BURST * 2, '/plain/other', WARMUP_KEY),
     ]);
     expect(new Set(others)).toEqual(new Set([200]));
   });
@@ -83,10 +85,10 @@
   test.each(['-1000,10', '10', 'many,few', '1e400,1', '', '5,5,5'])(
     'are not evaded by a size that is none: %j',
     async (usage) => {
-      const before = routers.reached;
+      const before = routers.arrivalCount;
       const sent = { ...bearer('key-tokens'), 'token-usage': usage };
-      expect((await routers.ask(0, '/model/size', 'size', sent)).status).toBe(400);
-      expect(routers.reached).toBe(before);
+      expect((await routers.sendRequest(0, '/model/size', 'size', sent)).status).toBe(400);
+      expect(routers.arrivalCount).toBe(before);
     },
   );
 });
--- a/test/router/ratelimits.test.ts
+++ b/test/router/ratelimits.test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
-import { eventually } from '../fakes/cluster';
-import { Routers } from '../fakes/routers';
+import { waitUntil } from '../fakes/cluster';
+import { RouterCluster } from '../fakes/routers';
 import type { CallerAnswer, RunnerServer } from '../fakes/routers';
 
 /** Time over which requests are counted, in milliseconds. */
@@ -14,7 +14,7 @@
 const SLACK = 5;
 
 /** The most requests that reached a runner in a window after it named its limit. */
-function mostAfter(namedAt: number, { reachedAt }: RunnerServer): number {
+function mostAfter(namedAt: number, { arrivedAt: reachedAt }: RunnerServer): number {
   const counted = reachedAt.filter((at) => at >= namedAt + KNOWN_MS);
   const ends = counted.filter((at) => at >= namedAt + SETTLED_MS);
   const counts = ends.map((end) => counted.filter((at) => at > end - WINDOW_MS && at <= end));
@@ -34,7 +34,7 @@
 
 /** Sends requests at a steady pace to all VMs in turn, beginning before some runners name their limits. */
 async function load(
-  routers: Routers,
+  routers: RouterCluster,
   path: string,
   perS: number,
   limits: readonly (readonly [RunnerServer, number])[],
@@ -47,7 +47,7 @@
       namedAt = performance.now();
       for (const [runner, ratePerS] of limits) runner.rateLimit = String(ratePerS);
     }
-    asked.push(routers.ask(i, path, `${path} ${i}`));
+    asked.push(routers.sendRequest(i, path, `${path} ${i}`));
     await pause(1000 / perS);
   }
   for (const [runner] of limits) runner.rateLimit = undefined;
@@ -55,7 +55,7 @@
 }
 
 describe('runners that name a rate limit', () => {
-  const routers = new Routers({ vms: 7, runners: 3 });
+  const routers = new RouterCluster({ vms: 7, runners: 3 });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -115,16 +115,16 @@
     const since = performance.now();
     let turn = 0;
     while (performance.now() - since < RECOVERY_MS) {
-      await routers.ask(turn, '/plain/recovered', `${turn}`);
+      await routers.sendRequest(turn, '/plain/recovered', `${turn}`);
       turn += 1;
     }
-    const got = runner.reachedAt.filter((at) => at > since + RECOVERY_MS - 1000).length;
+    const got = runner.arrivedAt.filter((at) => at > since + RECOVERY_MS - 1000).length;
     expect(got).toBeGreaterThan(3);
   }, 30_000);
 });
 
 describe('a runner that names a rate limit to one VM', () => {
-  const routers = new Routers({ vms: 7, runners: 3 });
+  const routers = new RouterCluster({ vms: 7, runners: 3 });
 
   beforeAll(() => routers.start(), 30_000);
   afterAll(() => routers.stop(), 30_000);
@@ -134,16 +134,16 @@
     await pause(JOINED_MS);
     const [runner] = routers.runnersOf('plain') as [RunnerServer];
     runner.rateLimit = '0';
-    const before = runner.reachedAt.length;
-    await eventually('one VM got an answer', async () => {
-      await routers.ask(0, '/plain/first', 'first');
-      return runner.reachedAt.length > before;
+    const before = runner.arrivedAt.length;
+    await waitUntil('one VM got an answer', async () => {
+      await routers.sendRequest(0, '/plain/first', 'first');
+      return runner.arrivedAt.length > before;
     });
     await pause(NEWS_MS);
-    const told = runner.reachedAt.length;
-    for (let i = 0; i < 42; i += 1) await routers.ask(i, '/plain/heard', `${i}`);
+    const told = runner.arrivedAt.length;
+    for (let i = 0; i < 42; i += 1) await routers.sendRequest(i, '/plain/heard', `${i}`);
     // One request in four seconds sees whether the limit still holds.
-    expect(runner.reachedAt.length - told).toBeLessThanOrEqual(1);
+    expect(runner.arrivedAt.length - told).toBeLessThanOrEqual(1);
     runner.rateLimit = undefined;
   }, 30_000);
 });
--- a/test/router/knowledge.test.ts
+++ b/test/router/routingstate.test.ts
@@ -4,10 +4,10 @@
 import type { RoutingConfig, Runner } from '../../src/core/routing/types';
 import { StoreHistory } from '../../src/core/routing/position';
 import { instanceId } from '../../src/core/routing/types';
-import { Knowledge } from '../../src/node/router/knowledge';
-import { at } from '../fakes/position';
+import { RoutingState } from '../../src/node/router/routingstate';
+import { positionAt } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
-import { silentListener } from '../fakes/listener';
+import { noopListener } from '../fakes/listener';
 
 const runner = (id: string, change: Partial<Runner> = {}): Runner => runnerOf(id, 'plain', change);
 
@@ -18,10 +18,10 @@
   limits: { bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 });
 
-const fresh = (): Knowledge =>
-  new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+const fresh = (): RoutingState =>
+  new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
-const ids = (knowledge: Knowledge, now: number): readonly string[] =>
+const ids = (knowledge: RoutingState, now: number): readonly string[] =>
   knowledge.runnersOf(now, 's').map(({ id }) => id);
 
 describe('what a VM knows', () => {
@@ -36,8 +36,8 @@
   test('never goes back to an older fact of a runner', () => {
     const knowledge = fresh();
     const leaving = runner('r', { leaving: true });
-    knowledge.learnRunners(0, [{ id: 'r', position: at(9), runner: leaving }], 'store');
-    knowledge.learnRunners(1, [{ id: 'r', position: at(5), runner: runner('r') }], 'peer');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(9), runner: leaving }], 'store');
+    knowledge.learnRunners(1, [{ id: 'r', position: positionAt(5), runner: runner('r') }], 'peer');
     expect(ids(knowledge, 2)).toEqual([]);
   });
 
@@ -48,9 +48,9 @@
    */
   test('keeps runners that vanished in an outage until they had time to come back', () => {
     const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
     knowledge.storeFailed(1000);
-    knowledge.learnList(1500, new Set(), at(8));
+    knowledge.learnList(1500, new Set(), positionAt(8));
     expect(ids(knowledge, 2500)).toEqual(['r']);
     expect(ids(knowledge, 4100)).toEqual([]);
   });
@@ -62,10 +62,10 @@
    */
   test('keeps a runner that vanishes after the return of the store only for a moment', () => {
     const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
     knowledge.storeFailed(1000);
-    knowledge.learnList(1500, new Set(['r']), at(8));
-    knowledge.learnRunners(2100, [{ id: 'r', position: at(9), runner: undefined }], 'store');
+    knowledge.learnList(1500, new Set(['r']), positionAt(8));
+    knowledge.learnRunners(2100, [{ id: 'r', position: positionAt(9), runner: undefined }], 'store');
     expect(ids(knowledge, 3000)).toEqual(['r']);
     expect(ids(knowledge, 3200)).toEqual([]);
   });
@@ -77,10 +77,10 @@
    */
   test('keeps a runner that is gone already no longer because it is told again', () => {
     const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    knowledge.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
+    knowledge.learnRunners(9, [{ id: 'r', position: positionAt(2), runner: undefined }], 'store');
     knowledge.storeFailed(1000);
-    knowledge.learnRunners(2000, [{ id: 'r', position: at(3), runner: undefined }], 'store');
+    knowledge.learnRunners(2000, [{ id: 'r', position: positionAt(3), runner: undefined }], 'store');
     expect(ids(knowledge, 2001)).toEqual([]);
   });
 
@@ -92,7 +92,7 @@
     const knowledge = fresh();
     const tell = (revision: number, leaving: boolean): void => {
       const told = runner('r', { leaving });
-      knowledge.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
+      knowledge.learnRunners(0, [{ id: 'r', position: positionAt(revision), runner: told }], 'store');
     };
     tell(1, false);
     tell(2, true);
@@ -103,8 +103,8 @@
   /* Its entry is removed without an outage: the runner is leaving and serves for a while longer, but gets nothing new. */
   test('drops a runner whose entry is removed while the store is well', () => {
     const knowledge = fresh();
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
-    knowledge.learnRunners(9, [{ id: 'r', position: at(2), runner: undefined }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
+    knowledge.learnRunners(9, [{ id: 'r', position: positionAt(2), runner: undefined }], 'store');
     expect(ids(knowledge, 10)).toEqual([]);
   });
 
@@ -112,9 +112,9 @@
   test('does not keep a runner that had said it leaves', () => {
     const knowledge = fresh();
     const leaving = runner('r', { leaving: true });
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: leaving }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: leaving }], 'store');
     knowledge.storeFailed(1000);
-    knowledge.learnList(1500, new Set(), at(8));
+    knowledge.learnList(1500, new Set(), positionAt(8));
     expect(ids(knowledge, 1600)).toEqual([]);
   });
 
@@ -128,7 +128,7 @@
     const start = (bornAt: number, leaving = false): Runner =>
       runner('r', { id: instanceId('r', bornAt), bornAt, leaving });
     const tell = (revision: number, told: Runner): void =>
-      knowledge.learnRunners(0, [{ id: 'r', position: at(revision), runner: told }], 'store');
+      knowledge.learnRunners(0, [{ id: 'r', position: positionAt(revision), runner: told }], 'store');
     tell(1, start(1000, true));
     expect(ids(knowledge, 0)).toEqual([]);
     tell(2, start(2000));
@@ -142,12 +142,12 @@
   test('gives no work to a start that is over by the runner itself', () => {
     const knowledge = fresh();
     const start = (bornAt: number): Runner => runner('r', { id: instanceId('r', bornAt), bornAt });
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: start(1000) }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: start(1000) }], 'store');
     knowledge.learnStart('r', 2000);
     expect(ids(knowledge, 0)).toEqual([]);
-    knowledge.learnRunners(0, [{ id: 'r', position: at(2), runner: start(1000) }], 'peer');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(2), runner: start(1000) }], 'peer');
     expect(ids(knowledge, 0)).toEqual([]);
-    knowledge.learnRunners(0, [{ id: 'r', position: at(3), runner: start(2000) }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(3), runner: start(2000) }], 'store');
     expect(ids(knowledge, 0)).toEqual(['r@2000']);
   });
 
@@ -159,20 +159,20 @@
   test('reports an entry that names no runner once for each revision', () => {
     const lines: string[] = [];
     let counted = 0;
-    const knowledge = new Knowledge(
+    const knowledge = new RoutingState(
       new StoreHistory(),
       pino({ level: 'warn' }, { write: (line) => lines.push(line) }),
       {
-        onNews: () => {},
-        onUnfitEntry: () => {
+        onChange: () => {},
+        onInvalidEntry: () => {
           counted += 1;
         },
       },
     );
-    knowledge.learnRunners(0, [{ id: 'r', position: at(1), runner: runner('r') }], 'store');
+    knowledge.learnRunners(0, [{ id: 'r', position: positionAt(1), runner: runner('r') }], 'store');
     const unfit = (revision: number): RunnerRecord => ({
       id: 'r',
-      position: at(revision),
+      position: positionAt(revision),
       runner: undefined,
       unreadable: 'runner r: at slots: unfit',
     });
@@ -183,15 +183,15 @@
     knowledge.learnRunners(200_000, [unfit(3)], 'peer');
     expect([lines.length, counted]).toEqual([2, 2]);
     expect(lines[0]).toContain('[503] runner r: at slots: unfit');
-    knowledge.learnRunners(201_000, [{ id: 'r', position: at(4), runner: runner('r') }], 'store');
+    knowledge.learnRunners(201_000, [{ id: 'r', position: positionAt(4), runner: runner('r') }], 'store');
     expect(ids(knowledge, 201_000)).toEqual(['r']);
   });
 
   test('reports a runner of a service that it does not know once', () => {
     let counted = 0;
-    const knowledge = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), {
-      onNews: () => {},
-      onUnfitEntry: () => {
+    const knowledge = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), {
+      onChange: () => {},
+      onInvalidEntry: () => {
         counted += 1;
       },
     });
@@ -199,7 +199,7 @@
     for (let revision = 1; revision < 9; revision += 1) {
       knowledge.learnRunners(
         0,
-        [{ id: 'r', position: at(revision), runner: runner('r') }],
+        [{ id: 'r', position: positionAt(revision), runner: runner('r') }],
         'store',
       );
     }
--- a/test/router/runs.test.ts
+++ b/test/router/runs.test.ts
@@ -6,7 +6,7 @@
 import { Runs } from '../../src/node/router/runs';
 import { exchangeInto, promptRequest } from '../fakes/exchange';
 import { runnerOf } from '../fakes/runner';
-import { gateOf, quarantineOf, rateLimitsOf } from '../fakes/runs';
+import { authorizerOf, quarantineOf, rateLimitsOf } from '../fakes/runs';
 
 /** Runs and the log lines that they write. */
 class LoggedRuns {
@@ -26,7 +26,7 @@
     });
     this.runs = new Runs({
       quarantine: quarantineOf(),
-      authorizer: gateOf(),
+      authorizer: authorizerOf(),
       rateLimits: rateLimitsOf(),
       metrics: this.metrics,
       log: pino(sink),
--- a/test/router/beliefs.test.ts
+++ b/test/router/snapshot.test.ts
@@ -6,7 +6,7 @@
   test('tells what the node believes on one path and metrics on the others', async () => {
     const metrics = new RouterMetrics();
     const address = '127.0.0.1:19464';
-    metrics.ended('deed-reader', 503, 'runnerFull', 120);
+    metrics.recordRequest('deed-reader', 503, 'runnerFull', 120);
     await metrics.listen(address, () => ({ vm: 'front-1', configVersion: 7 }));
     const get = (path: string): ReturnType<typeof call> =>
       call({
--- a/test/router/sync.test.ts
+++ b/test/router/stateexchange.test.ts
@@ -3,10 +3,10 @@
 import type { RoutingConfig } from '../../src/core/routing/types';
 import { StoreHistory } from '../../src/core/routing/position';
 import type { RouterFleet } from '../../src/node/router/fleet';
-import { Knowledge } from '../../src/node/router/knowledge';
-import { FactSync, decodeFact, encodeFact } from '../../src/node/router/sync';
-import { silentListener } from '../fakes/listener';
-import { at } from '../fakes/position';
+import { RoutingState } from '../../src/node/router/routingstate';
+import { StateExchange, decodeRecord, encodeRecord } from '../../src/node/router/stateexchange';
+import { noopListener } from '../fakes/listener';
+import { positionAt } from '../fakes/position';
 import { runnerOf } from '../fakes/runner';
 import { quarantineOf, rateLimitsOf } from '../fakes/runs';
 
@@ -19,9 +19,9 @@
 
 /** Two VMs: what one asks, the other answers. */
 class Pair {
-  readonly asking = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly asking = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
-  readonly asked = new Knowledge(new StoreHistory(), pino({ level: 'silent' }), silentListener);
+  readonly asked = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
 
   readonly quarantines = { asking: quarantineOf(), asked: quarantineOf() };
 
@@ -34,7 +34,7 @@
   readonly answered: number[] = [];
 
   async exchange(): Promise<void> {
-    const bearer = new FactSync({
+    const bearer = new StateExchange({
       knowledge: this.asked,
       quarantine: this.quarantines.asked,
       rateLimits: this.rateLimits.asked,
@@ -48,14 +48,14 @@
     const fleet = { call, sync: () => {} } as unknown as RouterFleet;
     const { asking: quarantine } = this.quarantines;
     const { asking: rateLimits } = this.rateLimits;
-    const sync = new FactSync({ knowledge: this.asking, quarantine, rateLimits, fleet });
+    const sync = new StateExchange({ knowledge: this.asking, quarantine, rateLimits, fleet });
     await sync.fetch('a:1', false);
   }
 }
 
-const fact = (id: string, revision: number): Parameters<Knowledge['learnRunners']>[1][number] => ({
+const fact = (id: string, revision: number): Parameters<RoutingState['learnRunners']>[1][number] => ({
   id,
-  position: at(revision),
+  position: positionAt(revision),
   runner: runnerOf(id, 'plain'),
 });
 
@@ -71,7 +71,7 @@
     await pair.exchange();
     expect(pair.asking.configVersion).toBe(7);
     expect(pair.asking.digest).toBe(pair.asked.digest);
-    pair.asked.learnRunners(0, [{ id: 'r9', position: at(900), runner: undefined }], 'store');
+    pair.asked.learnRunners(0, [{ id: 'r9', position: positionAt(900), runner: undefined }], 'store');
     expect(pair.asking.digest).not.toBe(pair.asked.digest);
     await pair.exchange();
     expect(pair.asking.digest).toBe(pair.asked.digest);
@@ -101,17 +101,17 @@
     pair.asked.learnRunners(0, [fact('r1', 1)], 'store');
     pair.asking.learnRunners(0, [fact('r1', 1)], 'peer');
     pair.asked.storeFailed(1000);
-    pair.asked.learnList(1500, new Set(), at(8));
-    const [gone] = pair.asked.factsBeside(2000, pair.asking.digestParts, 100);
+    pair.asked.learnList(1500, new Set(), positionAt(8));
+    const [gone] = pair.asked.recordsDiffering(2000, pair.asking.digestParts, 100);
     expect(gone?.graceMs).toBe(2000);
-    pair.asking.learnRunners(2000, gone ? [decodeFact(encodeFact(gone))] : [], 'peer');
+    pair.asking.learnRunners(2000, gone ? [decodeRecord(encodeRecord(gone))] : [], 'peer');
     expect(pair.asking.runnersOf(3900, 's').length).toBe(1);
     expect(pair.asking.runnersOf(4100, 's').length).toBe(0);
   });
 
   test('refuses a fact that does not fit', () => {
-    expect(() => decodeFact('{"id": 3}')).toThrow('does not fit');
-    expect(() => decodeFact('{')).toThrow('no JSON');
+    expect(() => decodeRecord('{"id": 3}')).toThrow('does not fit');
+    expect(() => decodeRecord('{')).toThrow('no JSON');
   });
 
   /* A VM that starts while a runner is limited must not find that out by sending to it. */
--- a/test/router/news.test.ts
+++ b/test/router/statesync.test.ts
@@ -2,12 +2,12 @@
 
 import type { Member } from '../../src/core/membership/types';
 import { StoreHistory } from '../../src/core/routing/position';
-import { Knowledge } from '../../src/node/router/knowledge';
-import type { NewsContext } from '../../src/node/router/news';
-import { NewsDesk } from '../../src/node/router/news';
+import { RoutingState } from '../../src/node/router/routingstate';
+import type { StateSyncContext } from '../../src/node/router/statesync';
+import { StateSync } from '../../src/node/router/statesync';
 import { RouterMetrics } from '../../src/node/router/metrics';
-import { silentListener } from '../fakes/listener';
-import { gateOf, quarantineOf } from '../fakes/runs';
+import { noopListener } from '../fakes/listener';
+import { authorizerOf, quarantineOf } from '../fakes/runs';
 
 const memberOf = (vm: string): Member => ({
   vm,
@@ -27,7 +27,7 @@
 
   readonly lines: string[] = [];
 
-  readonly desk: NewsDesk;
+  readonly desk: StateSync;
 
   readonly #fetches: { readonly resolve: () => void; readonly reject: (error: Error) => void }[] =
     [];
@@ -36,10 +36,10 @@
     const log = pino({ base: null }, { write: (line) => this.lines.push(line) });
     const self = memberOf('new');
     const all = [self, ...others.map(memberOf)];
-    const knowledge = new Knowledge(new StoreHistory(), log, silentListener);
-    this.desk = new NewsDesk({
+    const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
+    this.desk = new StateSync({
       knowledge,
-      gate: gateOf(knowledge),
+      gate: authorizerOf(knowledge),
       quarantine: quarantineOf(),
       fleet: { self, all, members: { heardAt: 0 }, contact: () => {} },
       feed: {
@@ -59,7 +59,7 @@
       seeds: [],
       self: self.address,
       onDescription: () => {},
-    } as unknown as NewsContext);
+    } as unknown as StateSyncContext);
     this.desk.start();
   }
 
--- a/test/router/returns.test.ts
+++ b/test/router/storerestore.test.ts
@@ -2,7 +2,7 @@
 
 import type { RunnerRecord } from '../../src/core/routing/directory';
 import type { Position } from '../../src/core/routing/position';
-import type { News } from '../../src/node/router/knowledge';
+import type { StateChange } from '../../src/node/router/routingstate';
 import { seeded } from '../fakes/virtual/workload';
 import { HistoryStore, HistoryVm, SimulatedRunner } from '../fakes/virtual/storehistory';
 
@@ -128,7 +128,7 @@
     if (other) vm.fetchFrom(this.now, other);
   }
 
-  #spread(from: number, news: News): void {
+  #spread(from: number, news: StateChange): void {
     if (news.kind !== 'runners') return;
     for (let to = 0; to < VMS; to += 1) {
       const isLost = this.#random() < 0.3;
@@ -180,7 +180,7 @@
 
 /** Whether a VM knows that a runner leaves, by its word or by what it wrote when it left. */
 function knows({ knowledge }: HistoryVm, now: number, id: string, leftWith: Position): boolean {
-  const { runners } = knowledge.beliefs(now) as { runners: readonly Belief[] };
+  const { runners } = knowledge.snapshot(now) as { runners: readonly Belief[] };
   return runners.some(
     ({ id: known, era, revision, leaving }) =>
       known === id && (leaving || (era === leftWith.era && revision === leftWith.revision)),
--- a/test/router/streams.test.ts
+++ b/test/router/streams.test.ts
@@ -4,7 +4,7 @@
 import { ModelHandler } from '../../src/node/router/model';
 import type { DecodeDispatch, Reply } from '../../src/node/router/types';
 import {
-  CUT,
+  ABORTED,
   brokenReplyOf,
   exchangeInto,
   promptRequest,
@@ -13,7 +13,7 @@
   streamRoute,
 } from '../fakes/exchange';
 import { runnerOf as runner } from '../fakes/runner';
-import { noPermits, noQuotas, runsOf } from '../fakes/runs';
+import { unlimitedPermits, unlimitedQuotas, runsOf } from '../fakes/runs';
 
 const resumable: Route = { ...streamRoute, attempts: 2, resumable: true };
 
@@ -46,8 +46,8 @@
       reportProgress: () => {},
     },
     runs: runsOf(),
-    quotas: noQuotas,
-    permits: noPermits,
+    quotas: unlimitedQuotas,
+    permits: unlimitedPermits,
     takeRetry: () => true,
   } as unknown as ModelContext;
   await new ModelHandler(context).run(exchange, streamEngine);
@@ -100,7 +100,7 @@
       streamOf([brokenReplyOf(200, eventsOf(1, 2)), replyOf(status, '')]),
     );
     const outs = (await Promise.all(streams)).map(({ out }) => out);
-    expect(outs).toEqual(Array(3).fill(['200', eventsOf(1, 2), CUT]));
+    expect(outs).toEqual(Array(3).fill(['200', eventsOf(1, 2), ABORTED]));
   });
 });
 
@@ -129,14 +129,14 @@
     ['has events without ids', replyOf(200, 'data: token 1\n\n')],
   ])('leaves the stream incomplete: it %s', async (_, reply) => {
     const { out } = await streamOf([brokenReplyOf(200, eventsOf(1, 2)), reply]);
-    expect(out).toEqual(['200', eventsOf(1, 2), CUT]);
+    expect(out).toEqual(['200', eventsOf(1, 2), ABORTED]);
   });
 
   // Guards against duplicate events where ids are names.
   test('leaves the stream incomplete: it restarts with the first name', async () => {
     const first = named('a') + named('b');
     const { out } = await streamOf([brokenReplyOf(200, first), replyOf(200, first + named('c'))]);
-    expect(out).toEqual(['200', first, CUT]);
+    expect(out).toEqual(['200', first, ABORTED]);
   });
 
   // Guards against a run that goes on at its runner in parallel to the one that continues the stream.
@@ -172,7 +172,7 @@
     ];
     const { out, sent } = await streamOf(replies);
     expect(sent).toEqual(['d1 after none']);
-    expect(out).toEqual(['200', `${eventsOf(1, 1)}data: token 2\n\n`, CUT]);
+    expect(out).toEqual(['200', `${eventsOf(1, 1)}data: token 2\n\n`, ABORTED]);
   });
 
   test('continues at another runner if that event was a comment', async () => {
@@ -193,7 +193,7 @@
     expect((await streamOf([replyOf(200, truncated, 'close')], streamRoute)).out).toEqual([
       '200',
       eventsOf(1, 2),
-      CUT,
+      ABORTED,
     ]);
   });
 
