--- a/scripts/slopes.ts
+++ b/scripts/slopes.ts
@@ -161,7 +161,7 @@
 function propagationMs(size: number): number {
   const fleet = new Fleet(size, 3);
   fleet.run(20_000);
-  return fleet.spread('teams/a', 1);
+  return fleet.timeToSpread('teams/a', 1);
 }
 
 /** Heap bytes that the made object retains; exact only with `--expose-gc`. */
--- a/scripts/storm.ts
+++ b/scripts/storm.ts
@@ -11,7 +11,12 @@
 const events = Number(process.argv[2] ?? 1_000_000);
 const seed = Number(process.argv[3] ?? 1);
 const startedAt = Date.now();
-const { broken, ends, left, events: eventCount } = new Storm(seeded(seed)).run(events);
+const {
+  violations: broken,
+  outcomes: ends,
+  remaining: left,
+  events: eventCount,
+} = new Storm(seeded(seed)).run(events);
 console.log(
   `seed ${seed}: ${eventCount} events in ${Date.now() - startedAt} ms; ends ${JSON.stringify(ends)}`,
 );
