--- a/src/core/membership/readers.ts
+++ b/src/core/membership/readers.ts
@@ -44,12 +44,8 @@
 }
 
 /** Whether a VM has received no packet from others for `ISOLATED_MS`, counted from its start at the earliest. */
-export function isIsolated(
-  now: number,
-  startedAt: number,
-  { lastPacketAt: heardAt }: Members,
-): boolean {
-  return now - Math.max(startedAt, heardAt ?? startedAt) > ISOLATED_MS;
+export function isIsolated(now: number, startedAt: number, { lastPacketAt }: Members): boolean {
+  return now - Math.max(startedAt, lastPacketAt ?? startedAt) > ISOLATED_MS;
 }
 
 /** Whether a VM has to read the store: as a reader of its failure domain, or because it knows no other VM. */
@@ -61,8 +57,8 @@
 ): boolean {
   const isAlone = !members.some((member) => member.vm !== self.vm && isPresent(member));
   if (isAlone && now - startedAt < JOIN_MS) return false;
-  const { primaries: chosen, standbys: deputies } = readersOf(self.domain, members);
-  return [...chosen, ...deputies].some(({ vm }) => vm === self.vm);
+  const { primaries, standbys } = readersOf(self.domain, members);
+  return [...primaries, ...standbys].some(({ vm }) => vm === self.vm);
 }
 
 /**
--- a/src/core/memory/account.ts
+++ b/src/core/memory/account.ts
@@ -34,10 +34,8 @@
 export interface DecodeState {
   readonly runner: Runner;
   /** Total KV cache memory, in tokens. */
-  /** Total KV cache memory, in tokens. */
   readonly memoryTokens: number;
   /** Allocations by request id. */
-  /** Allocations by request id. */
   readonly allocations: Map<string, Allocation>;
   /** Tokens that the runner reports as used and that this account does not explain. */
   unexplainedTokens: number;
@@ -50,7 +48,6 @@
   /** Measured time of a token relative to the engine's usual time; 1.3 is 30 % slower. */
   slowness: number;
   /** Token time by the runner's reports. */
-  /** Token time by the runner's reports. */
   readonly pace: ReportedPace;
 }
 
--- a/src/node/router/authorizer.ts
+++ b/src/node/router/authorizer.ts
@@ -16,12 +16,12 @@
 
 /** Authenticates requests by the keys in this VM's configuration, as long as that is recent enough. */
 export class Authorizer {
-  readonly #knowledge: RoutingState;
+  readonly #routingState: RoutingState;
 
   readonly #bounds: () => AgeBounds;
 
-  constructor(knowledge: RoutingState, bounds: () => AgeBounds) {
-    this.#knowledge = knowledge;
+  constructor(routingState: RoutingState, bounds: () => AgeBounds) {
+    this.#routingState = routingState;
     this.#bounds = bounds;
   }
 
@@ -36,7 +36,7 @@
     route: Route,
     credential: Credential,
   ): Customer | undefined {
-    const ageMs = this.#knowledge.freshness.ageMs(now);
+    const ageMs = this.#routingState.freshness.ageMs(now);
     return identify(table, route, credential, ageMs, this.#bounds());
   }
 
@@ -47,7 +47,7 @@
    * missing item would look as if it had just been added.
    */
   staleRefusal(now: number, detail: string): Failure | undefined {
-    const { table, freshness } = this.#knowledge;
+    const { table, freshness } = this.#routingState;
     const ageMs = freshness.ageMs(now);
     const mayBeStale = table?.keyRing !== undefined && ageMs > this.#bounds().finalMs;
     return mayBeStale ? staleConfigFailure(ageMs, detail) : undefined;
@@ -55,14 +55,14 @@
 
   /** The source from which this VM should confirm that its configuration is current. */
   proofSource(now: number, isReader: boolean): ProofSource {
-    const { table, freshness } = this.#knowledge;
+    const { table, freshness } = this.#routingState;
     if (!table?.keyRing) return 'nobody';
     return proofSource(freshness.ageMs(now), this.#bounds().keyMs, isReader);
   }
 
   /** Whether the configuration is recent enough to accept keys by; always true where no keys are required. */
   isConfigFresh(now: number): boolean {
-    const { table, freshness } = this.#knowledge;
+    const { table, freshness } = this.#routingState;
     return !table?.keyRing || freshness.ageMs(now) <= this.#bounds().keyMs;
   }
 
@@ -71,7 +71,7 @@
    * been revoked while it waited or while this VM was paused. Undefined if it may be sent.
    */
   refusal(now: number, { route, request, customer }: Exchange): Failure | undefined {
-    const { table } = this.#knowledge;
+    const { table } = this.#routingState;
     if (!table) return undefined;
     try {
       const holder = this.identify(now, table, route, request.credential);
--- a/src/node/router/controllers.ts
+++ b/src/node/router/controllers.ts
@@ -25,7 +25,7 @@
 /** Dependencies of the controllers. */
 export interface ControllersContext {
   readonly settings: RouterSettings;
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly gate: Authorizer;
   readonly fleet: RouterFleet;
   readonly host: PlannerHost;
@@ -54,7 +54,7 @@
   readonly calls: PeerCalls;
 
   constructor(context: ControllersContext) {
-    const { settings, knowledge, gate, fleet, host, feed, archive, metrics, log } = context;
+    const { settings, routingState, gate, fleet, host, feed, archive, metrics, log } = context;
     const { vm, seeds, peer: self } = settings;
     this.quarantine = new QuarantineController({
       archive,
@@ -65,7 +65,7 @@
       onRefusedChange: () => this.stateSync.setDigest(),
     });
     this.rateLimits = new RateLimitController({
-      knowledge,
+      routingState,
       metrics,
       log: logOf(log, 'ratelimits'),
       onChanges: (changes) => this.#onRateChanges(performance.now(), changes),
@@ -82,21 +82,21 @@
     this.quotas = new QuotaController({
       vm,
       bounds: settings.quotas,
-      knowledge,
+      routingState,
       fleet,
       metrics,
       log: logOf(log, 'quotas'),
     });
     this.places = new ReservationClient(vm, fleet, host, logOf(log, 'places'));
-    const sync = new StateExchange({ knowledge, quarantine, rateLimits, fleet });
+    const sync = new StateExchange({ routingState, quarantine, rateLimits, fleet });
     this.stateSync = new StateSync({
-      knowledge,
-      gate,
+      routingState,
+      authorizer: gate,
       quarantine,
       rateLimits,
       fleet,
       feed,
-      sync,
+      exchange: sync,
       metrics,
       log: logOf(log, 'knowledge'),
       seeds,
--- a/src/node/router/daemon.ts
+++ b/src/node/router/daemon.ts
@@ -137,7 +137,7 @@
     });
     this.#controllers = new Controllers({
       settings,
-      knowledge: this.#state,
+      routingState: this.#state,
       gate: this.#gate,
       fleet: this.#fleet,
       host: this.#planHost,
@@ -158,7 +158,7 @@
       log: logOf(log, 'runner'),
     });
     this.#plain = new PlainHandler({
-      knowledge: this.#state,
+      routingState: this.#state,
       runners: this.#runners,
       health: (service) => this.#health.get(service),
       runs: this.#runs,
@@ -168,7 +168,7 @@
       domain: settings.domain,
     });
     this.#model = new ModelHandler({
-      knowledge: this.#state,
+      routingState: this.#state,
       runners: this.#runners,
       reservations: places,
       runs: this.#runs,
@@ -183,7 +183,7 @@
       addressTtlMs: () => this.#settings.addressTtlMs,
     });
     this.#front = new FrontEnd({
-      knowledge: this.#state,
+      routingState: this.#state,
       authorizer: this.#gate,
       codec: ports.ingress,
       metrics: this.#metrics,
@@ -214,7 +214,7 @@
     this.#controllers.stateSync.start();
     this.#orders = new OrderController({
       vm,
-      knowledge: this.#state,
+      routingState: this.#state,
       planners: this.#planHost,
       runners: this.#runners,
       lock: this.#ports.lock,
--- a/src/node/router/frontend.ts
+++ b/src/node/router/frontend.ts
@@ -24,7 +24,7 @@
 
 /** Dependencies of the front end. */
 export interface FrontEndContext {
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly authorizer: Authorizer;
   readonly codec: IngressCodec;
   readonly metrics: Metrics;
@@ -127,9 +127,9 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<Exchange | undefined> {
-    const { codec, knowledge, authorizer } = this.#context;
+    const { codec, routingState, authorizer } = this.#context;
     try {
-      const limit = knowledge.table?.config.limits.bodyBytes ?? DEFAULT_BODY_BYTES;
+      const limit = routingState.table?.config.limits.bodyBytes ?? DEFAULT_BODY_BYTES;
       const body = await readBody(req, limit);
       // An overloaded VM reads requests whose callers have already disconnected. The close follows
       // the request in the socket's buffer and has been read by the second turn of the event loop.
@@ -158,10 +158,10 @@
 
   /** Counts a refusal and logs it within the line budget, since anybody can flood the log with invalid keys. */
   #logRefusal(now: number, request: string | undefined, { codeName, message }: Failure): void {
-    const { knowledge, metrics, log } = this.#context;
+    const { routingState, metrics, log } = this.#context;
     metrics.count(`refused.${codeName}`);
     if (!this.#logBudget.tryAcquire(now)) return;
-    const { configVersion, freshness } = knowledge;
+    const { configVersion, freshness } = routingState;
     const ageMs = Math.round(freshness.ageMs(bootNow()));
     log.info(
       { request, configVersion, ageMs, code: codeName, detail: message },
@@ -170,7 +170,7 @@
   }
 
   #requireTable(): RouteTable {
-    const { table } = this.#context.knowledge;
+    const { table } = this.#context.routingState;
     if (table) return table;
     throw new Failure('noConfig', 'no configuration yet', { retryAfterMs: NO_CONFIG_RETRY_MS });
   }
@@ -186,7 +186,7 @@
   }
 
   #applyLimits(): void {
-    const limits = this.#context.knowledge.table?.config.limits;
+    const limits = this.#context.routingState.table?.config.limits;
     if (!limits) return;
     this.#server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS;
     this.#server.headersTimeout = limits.headerTimeoutMs;
--- a/src/node/router/model.ts
+++ b/src/node/router/model.ts
@@ -24,7 +24,7 @@
 
 /** Dependencies of the model request handler. */
 export interface ModelContext {
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly runners: RunnerClient;
   readonly reservations: ReservationClient;
   readonly runs: Runs;
@@ -129,10 +129,10 @@
     progress: Progress,
     id: string,
   ): Promise<KeptCache | undefined> {
-    const { knowledge, takeRetry, permits } = this.#context;
+    const { routingState, takeRetry, permits } = this.#context;
     const { service, signal } = exchange;
     const startedAt = performance.now();
-    const runner = findRunner(knowledge.runnersOf(startedAt, service, 'prefill'), id);
+    const runner = findRunner(routingState.runnersOf(startedAt, service, 'prefill'), id);
     if (!runner) return undefined;
     let cache = await this.#prefillOnce(exchange, progress, runner);
     const ms = performance.now() - startedAt;
@@ -206,10 +206,10 @@
       if (cache) this.#freeCache(cache);
       throw runnerFullFailure('no decode runner had free memory while the KV cache was kept');
     }
-    const { knowledge } = this.#context;
+    const { routingState } = this.#context;
     const { service } = exchange;
     const now = performance.now();
-    const runner = findRunner(knowledge.runnersOf(now, service, 'decode'), decode);
+    const runner = findRunner(routingState.runnersOf(now, service, 'decode'), decode);
     if (!runner || exchange.signal.aborted) {
       if (cache) this.#freeCache(cache);
       return 'rejected';
--- a/src/node/router/orders.ts
+++ b/src/node/router/orders.ts
@@ -11,7 +11,7 @@
 /** Dependencies of the controller. */
 export interface OrderContext {
   readonly vm: string;
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly planners: PlannerHost;
   readonly runners: RunnerClient;
   readonly lock: OrderLock;
@@ -115,9 +115,11 @@
     right: OrderLease,
     change: StageChange & { readonly service: string },
   ): Promise<void> {
-    const { planners, runners, vm, knowledge, log } = this.#context;
+    const { planners, runners, vm, routingState, log } = this.#context;
     const now = performance.now();
-    const runner = knowledge.runnersOf(now, change.service).find(({ id }) => id === change.runner);
+    const runner = routingState
+      .runnersOf(now, change.service)
+      .find(({ id }) => id === change.runner);
     if (!runner || this.#right !== right) return;
     if (!(await right.renew())) {
       this.#right = undefined;
--- a/src/node/router/plainbalancer.ts
+++ b/src/node/router/plainbalancer.ts
@@ -11,7 +11,7 @@
 
 /** Dependencies of the balancer. */
 export interface BalancerContext {
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly health: (service: string) => RunnerHealth;
   readonly permits: Pick<
     PermitController,
@@ -77,8 +77,8 @@
 
   /** Untried runners that are not ejected; all untried ones if every one of them is. */
   #candidates(now: number, service: string, tried: readonly string[]): readonly Runner[] {
-    const { knowledge, health } = this.#context;
-    const all = knowledge.runnersOf(now, service).filter(({ id }) => !tried.includes(id));
+    const { routingState, health } = this.#context;
+    const all = routingState.runnersOf(now, service).filter(({ id }) => !tried.includes(id));
     const records = health(service);
     records.setPoolSize(all.length + tried.length);
     const allowed = all.filter(({ id }) => records.allows(now, id));
--- a/src/node/router/plannerhost.ts
+++ b/src/node/router/plannerhost.ts
@@ -62,7 +62,7 @@
 
 /** All planners of this VM, by service. */
 export class PlannerHost {
-  readonly #knowledge: RoutingState;
+  readonly #routingState: RoutingState;
 
   readonly #runners: RunnerClient;
 
@@ -79,12 +79,12 @@
   #draining = false;
 
   constructor(
-    knowledge: RoutingState,
+    routingState: RoutingState,
     runners: RunnerClient,
     log: Logger,
     context: PlannerHostContext,
   ) {
-    this.#knowledge = knowledge;
+    this.#routingState = routingState;
     this.#runners = runners;
     this.#log = log;
     this.#context = context;
@@ -194,7 +194,7 @@
     now: number,
     owns: (service: string) => boolean,
   ): readonly (StageChange & { readonly service: string })[] {
-    const { table } = this.#knowledge;
+    const { table } = this.#routingState;
     const services = table?.config.services.filter(({ engine }) => engine) ?? [];
     return services.flatMap(({ name: service }) => {
       if (this.#draining || !owns(service)) return [];
@@ -264,7 +264,7 @@
     plan: ServicePlan,
     event: PlanEvent,
   ): ReadonlyMap<string, Decision> {
-    const engine = this.#knowledge.table?.service(service)?.engine;
+    const engine = this.#routingState.table?.service(service)?.engine;
     const decisions = new Map<string, Decision>();
     if (!engine) return decisions;
     const refreshed = this.#refreshRunners(now, service, engine, plan);
@@ -299,13 +299,13 @@
     engine: Engine,
     record: ServicePlan,
   ): readonly PlanAction[] {
-    const { runnerChanges } = this.#knowledge;
+    const { runnerChanges } = this.#routingState;
     const isDue =
       now - record.runnersAt >= RUNNER_REFRESH_MS || record.runnerChanges !== runnerChanges;
     if (!isDue) return [];
     record.runnersAt = now;
     record.runnerChanges = runnerChanges;
-    const runners = this.#knowledge.runnersOf(now, service);
+    const runners = this.#routingState.runnersOf(now, service);
     return record.planner.handle(now, { kind: 'runners', engine, runners });
   }
 
@@ -363,11 +363,11 @@
   }
 
   #requestReports(now: number, service: string, plan: ServicePlan): void {
-    for (const runner of this.#knowledge.runnersOf(now, service, 'decode')) {
+    for (const runner of this.#routingState.runnersOf(now, service, 'decode')) {
       this.#runners
         .report(runner)
         .then((report) => {
-          this.#knowledge.learnStart(runner.listing, report.bornAt);
+          this.#routingState.learnStart(runner.listing, report.bornAt);
           this.#handle(performance.now(), service, plan, { kind: 'reported', report });
         })
         .catch((error) => {
--- a/src/node/router/quotas.ts
+++ b/src/node/router/quotas.ts
@@ -24,7 +24,7 @@
 export interface QuotaContext {
   readonly vm: string;
   readonly bounds: QuotaBounds;
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly fleet: RouterFleet;
   readonly metrics: Metrics;
   readonly log: Logger;
@@ -102,7 +102,7 @@
     const quota = this.#quotaOf(request.customer);
     if (request.customer === undefined || !quota || charge.isCovered) return undefined;
     const size = sizeOf(quota, request.usage);
-    const version = this.#context.knowledge.configVersion;
+    const version = this.#context.routingState.configVersion;
     const verdict = await this.#ask({ customer: request.customer, quota, version, size });
     if (!verdict.granted) return this.#rejectionOf(exchange, size, verdict.retryAfterMs);
     charge.take(size);
@@ -145,13 +145,13 @@
   }
 
   get #hasQuotas(): boolean {
-    const { customers = [] } = this.#context.knowledge.table?.config ?? {};
+    const { customers = [] } = this.#context.routingState.table?.config ?? {};
     return customers.some(({ quota }) => quota);
   }
 
   #quotaOf(customer: string | undefined): Quota | undefined {
     if (customer === undefined) return undefined;
-    return this.#context.knowledge.table?.keyRing?.customer(customer)?.quota;
+    return this.#context.routingState.table?.keyRing?.customer(customer)?.quota;
   }
 
   /**
@@ -167,15 +167,15 @@
 
   /** Charges the quota as defined by the newer configuration of the two VMs. */
   #charge(now: number, vm: string, { customer, quota, version, size }: Ask): QuotaDecision {
-    const isOutdated = version > this.#context.knowledge.configVersion;
+    const isOutdated = version > this.#context.routingState.configVersion;
     const valid = isOutdated ? quota : this.#quotaOf(customer);
     if (!valid) return { granted: true, waitMs: 0 };
     return this.#accounts.take(now, vm, keyOf(customer), valid, this.#owners.members, size);
   }
 
   #rejectionOf({ request }: Exchange, size: number, retryAfterMs: number): Failure {
-    const { knowledge, log, metrics } = this.#context;
-    const { configVersion } = knowledge;
+    const { routingState, log, metrics } = this.#context;
+    const { configVersion } = routingState;
     const { customer } = request;
     metrics.count('quotas.refused');
     if (this.#lines.tryAcquire(performance.now())) {
--- a/src/node/router/ratelimits.ts
+++ b/src/node/router/ratelimits.ts
@@ -23,7 +23,7 @@
 
 /** Dependencies of the rate limit controller. */
 export interface RateLimitContext {
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly metrics: Metrics;
   readonly log: Logger;
   /**
@@ -166,7 +166,7 @@
 
   /** Ids of the runners that may get requests. */
   #listed(now: number): ReadonlySet<string> {
-    return new Set(this.#context.knowledge.runners(now).map(({ id }) => id));
+    return new Set(this.#context.routingState.runners(now).map(({ id }) => id));
   }
 
   #prune(now: number): void {
--- a/src/node/router/relay.ts
+++ b/src/node/router/relay.ts
@@ -63,7 +63,7 @@
 
   /** Handles a response that cannot be part of the stream. It is passed on only if nothing was sent before. */
   async #relayWhole({ reply, run }: Answer, afterEvent: string | undefined): Promise<RelayOutcome> {
-    const { exchange, stream, canResume: mayGoOn } = this.#context;
+    const { exchange, stream, canResume } = this.#context;
     const body = await readBody(reply.body, MAX_ANSWER_BYTES).catch(() => undefined);
     const part = streamPartOf(reply, afterEvent, stream);
     if (!body || !reply.body.complete) {
@@ -73,7 +73,7 @@
     run.completed(performance.now());
     if (stream.fault) run.diverged(part, stream.fault);
     const isServerError = reply.status >= SERVER_ERROR;
-    if (exchange.headSent || (isServerError && mayGoOn())) return 'broken';
+    if (exchange.headSent || (isServerError && canResume())) return 'broken';
     exchange.writeHead(reply.status, reply.headers);
     exchange.end(body);
     return isServerError ? 'failed' : 'done';
--- a/src/node/router/stateexchange.ts
+++ b/src/node/router/stateexchange.ts
@@ -20,7 +20,7 @@
 
 /** Dependencies of the state exchange. */
 export interface StateExchangeContext {
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
   readonly quarantine: QuarantineController;
   readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
@@ -144,30 +144,30 @@
 
   /** Answers another VM with the state in which the two differ. */
   answer(now: number, params: unknown): Answer {
-    const { knowledge, quarantine, rateLimits, fleet } = this.#context;
+    const { routingState, quarantine, rateLimits, fleet } = this.#context;
     const { configVersion, parts, members, eras, refused, limited } = fetchSchema.parse(params);
-    knowledge.learnEras(now, eras, 'asked');
+    routingState.learnEras(now, eras, 'asked');
     const includesSuspects = members || refused !== quarantine.digest(now);
     const includesRates = members || limited !== rateLimits.digest(now);
     return {
-      ...(configVersion < knowledge.configVersion ? { config: this.#packedConfig() } : {}),
-      facts: knowledge.recordsDiffering(now, parts, MAX_RUNNER_RECORDS).map(toWire),
-      eras: [...knowledge.eras],
+      ...(configVersion < routingState.configVersion ? { config: this.#packedConfig() } : {}),
+      facts: routingState.recordsDiffering(now, parts, MAX_RUNNER_RECORDS).map(toWire),
+      eras: [...routingState.eras],
       ...(members ? { members: fleet.all.map(toWireMember) } : {}),
       suspects: includesSuspects ? quarantine.suspects(now).map(toWireSuspect) : [],
       rates: includesRates ? rateLimits.shared(now).slice(0, MAX_RATE_LIMITS) : [],
-      ...knowledge.proof(bootNow()),
+      ...routingState.proof(bootNow()),
     };
   }
 
   /** Fetches the state of another VM and applies what is newer; `members` requests its members, too. */
   async fetch(address: string, members: boolean): Promise<void> {
-    const { knowledge, quarantine, rateLimits, fleet } = this.#context;
-    const { configVersion, digestParts } = knowledge;
+    const { routingState, quarantine, rateLimits, fleet } = this.#context;
+    const { configVersion, digestParts } = routingState;
     const sentAt = performance.now();
     const refused = quarantine.digest(sentAt);
     const limited = rateLimits.digest(sentAt);
-    const { eras } = knowledge;
+    const { eras } = routingState;
     const askedAt = bootNow();
     const request = { configVersion, parts: digestParts, members, eras, refused, limited };
     const answer = answerSchema.parse(
@@ -177,17 +177,17 @@
     // Before the configuration, since this VM accepts callers once it has one.
     quarantine.learn(now, answer.suspects, address);
     rateLimits.learn(now, answer.rates, address);
-    if (answer.config) knowledge.learnConfig(now, unpackConfig(answer.config), address);
+    if (answer.config) routingState.learnConfig(now, unpackConfig(answer.config), address);
     if (answer.proof) {
-      knowledge.freshness.acceptProof(askedAt, answer.proof, knowledge.configVersion);
+      routingState.freshness.acceptProof(askedAt, answer.proof, routingState.configVersion);
     }
-    knowledge.learnEras(now, answer.eras, address);
-    knowledge.learnRunners(now, answer.facts.map(fromWire), address);
+    routingState.learnEras(now, answer.eras, address);
+    routingState.learnRunners(now, answer.facts.map(fromWire), address);
     if (answer.members) fleet.sync(answer.members);
   }
 
   #packedConfig(): Uint8Array | undefined {
-    const { table } = this.#context.knowledge;
+    const { table } = this.#context.routingState;
     if (!table) return undefined;
     const { version } = table.config;
     if (this.#packed?.version !== version) {
--- a/src/node/router/statesync.ts
+++ b/src/node/router/statesync.ts
@@ -30,13 +30,13 @@
 
 /** Dependencies of the replication. */
 export interface StateSyncContext {
-  readonly knowledge: RoutingState;
-  readonly gate: Authorizer;
+  readonly routingState: RoutingState;
+  readonly authorizer: Authorizer;
   readonly quarantine: QuarantineController;
   readonly rateLimits: RateLimitController;
   readonly fleet: RouterFleet;
   readonly feed: Feed;
-  readonly sync: StateExchange;
+  readonly exchange: StateExchange;
   readonly metrics: Metrics;
   readonly log: Logger;
   /** Addresses through which this VM joins the fleet. */
@@ -78,7 +78,7 @@
 export class StateSync {
   readonly #context: StateSyncContext;
 
-  readonly #spread = new UpdatePropagation();
+  readonly #propagation = new UpdatePropagation();
 
   readonly #startedAt = performance.now();
 
@@ -154,12 +154,14 @@
 
   /** Announces a change of the routing state, whatever its source, to the other members. */
   announce(change: StateChange): void {
-    const { fleet, knowledge, metrics } = this.#context;
+    const { fleet, routingState, metrics } = this.#context;
     this.setDigest();
     const updates = match(change)
-      .with({ kind: 'config' }, () => this.#spread.configUpdates(knowledge.configVersion))
-      .with({ kind: 'runners' }, ({ facts }) => this.#spread.runnerUpdates(facts, encodeRecord))
-      .with({ kind: 'era' }, () => this.#spread.eraUpdates(knowledge.eras))
+      .with({ kind: 'config' }, () => this.#propagation.configUpdates(routingState.configVersion))
+      .with({ kind: 'runners' }, ({ facts }) =>
+        this.#propagation.runnerUpdates(facts, encodeRecord),
+      )
+      .with({ kind: 'era' }, () => this.#propagation.eraUpdates(routingState.eras))
       .exhaustive();
     if (change.kind === 'era' && change.cameBack) metrics.count('store.returns');
     fleet.gossip(updates);
@@ -167,9 +169,9 @@
 
   /** Publishes the digest of this VM's state, which other VMs compare with theirs. */
   setDigest(): void {
-    const { fleet, knowledge, quarantine, rateLimits } = this.#context;
+    const { fleet, routingState, quarantine, rateLimits } = this.#context;
     const now = performance.now();
-    const parts = [knowledge.digest, quarantine.digest(now), rateLimits.digest(now)];
+    const parts = [routingState.digest, quarantine.digest(now), rateLimits.digest(now)];
     fleet.setDigest(parts.filter((part) => part !== '').join('/'));
   }
 
@@ -186,7 +188,7 @@
 
   /** Applies a gossip update of a member. */
   receive(update: GossipUpdate, address: string): void {
-    const { knowledge, quarantine, rateLimits, log } = this.#context;
+    const { routingState, quarantine, rateLimits, log } = this.#context;
     const now = performance.now();
     const { path, text } = update;
     try {
@@ -194,11 +196,11 @@
         quarantine.learn(now, [fromUpdate(update, suspectSchema)], address);
       } else if (path.startsWith(RATE_PATH)) {
         rateLimits.learn(now, [fromUpdate(update, rateSchema)], address);
-      } else if (path === ERA_PATH) knowledge.learnEras(now, decodeEras(text ?? ''), address);
+      } else if (path === ERA_PATH) routingState.learnEras(now, decodeEras(text ?? ''), address);
       else if (path.startsWith(RUNNER_PATH) && text !== undefined) {
-        knowledge.learnRunners(now, [decodeRecord(text)], address);
+        routingState.learnRunners(now, [decodeRecord(text)], address);
       } else {
-        this.#spread.receive(update, address, knowledge);
+        this.#propagation.receive(update, address, routingState);
         this.#fetchDue();
       }
     } catch (error) {
@@ -208,15 +210,15 @@
 
   /** Schedules a state exchange with a member whose digest differs. */
   digestDiffers(address: string): void {
-    this.#spread.reportMismatch(performance.now(), address);
+    this.#propagation.reportMismatch(performance.now(), address);
     this.#fetchDue();
   }
 
   /** Records the result of a call to the store; logs when the store becomes reachable or unreachable. */
   storeCallEnded(now: number, up: boolean, detail: string): void {
-    const { knowledge, log, metrics } = this.#context;
-    if (up) knowledge.storeAnswered(now);
-    else knowledge.storeFailed(now);
+    const { routingState, log, metrics } = this.#context;
+    if (up) routingState.storeAnswered(now);
+    else routingState.storeFailed(now);
     metrics.count(up ? 'store.answers' : 'store.failures');
     this.#setFailed(now, up ? 0 : this.#failedCalls + 1);
     if (up === this.#isStoreUp) return;
@@ -250,8 +252,8 @@
     this.#isReading = reading;
     if (reading && !this.#hasFetched) log.info('Configured by the store alone: no VM answered.');
     feed.setReading(reading);
-    const { primaries: chosen, standbys: deputies } = readersOf(self.domain, all);
-    const names = [...chosen, ...deputies].map(({ vm }) => vm);
+    const { primaries, standbys } = readersOf(self.domain, all);
+    const names = [...primaries, ...standbys].map(({ vm }) => vm);
     log.info({ reading, readers: names }, 'Readers of the store changed.');
   }
 
@@ -261,15 +263,15 @@
    * after the other; after an outage that alone took seconds, in which all keys were rejected.
    */
   #checkFreshness(now: number): void {
-    const { feed, fleet, gate, knowledge, metrics } = this.#context;
-    metrics.gauge('config.age_ms', knowledge.freshness.ageMs(now));
+    const { feed, fleet, authorizer: gate, routingState, metrics } = this.#context;
+    metrics.gauge('config.age_ms', routingState.freshness.ageMs(now));
     const source = gate.proofSource(now, this.#isReading);
     if (source === 'nobody') {
       this.#confirmationPace.reset();
       return;
     }
-    const { primaries: chosen, standbys: deputies } = readersOf(fleet.self.domain, fleet.all);
-    fleet.contact([...chosen, ...deputies].map(({ address }) => address));
+    const { primaries, standbys } = readersOf(fleet.self.domain, fleet.all);
+    fleet.contact([...primaries, ...standbys].map(({ address }) => address));
     if (source !== 'store' || !this.#confirmationPace.tryQuery(now, this.#isReading)) return;
     metrics.count('proofs.asked');
     feed.confirmConfig();
@@ -303,17 +305,17 @@
 
   #fetchDue(): void {
     const now = performance.now();
-    const address = this.#spread.takeFetchTarget(now);
+    const address = this.#propagation.takeFetchTarget(now);
     if (address !== undefined) this.#fetch(address, false);
     clearTimeout(this.#fetchTimer);
-    const { nextFetchAt: dueAt } = this.#spread;
-    if (Number.isFinite(dueAt)) {
-      this.#fetchTimer = setTimeout(() => this.#fetchDue(), Math.max(1, dueAt - now)).unref();
+    const { nextFetchAt } = this.#propagation;
+    if (Number.isFinite(nextFetchAt)) {
+      this.#fetchTimer = setTimeout(() => this.#fetchDue(), Math.max(1, nextFetchAt - now)).unref();
     }
   }
 
   #fetch(address: string, members: boolean): void {
-    const { sync, metrics, log } = this.#context;
+    const { exchange: sync, metrics, log } = this.#context;
     metrics.count('news.fetches');
     this.#pendingFetches += 1;
     sync
--- a/test/core/cell.test.ts
+++ b/test/core/cell.test.ts
@@ -248,8 +248,8 @@
   test('neither loses slots nor counts them twice for random events in random order', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 1e6 }), (seed) => {
-        const { violations: broken, remaining: left } = new Storm(seeded(seed)).run(2000);
-        expect({ broken, left }).toEqual({ broken: [], left: 0 });
+        const { violations, remaining } = new Storm(seeded(seed)).run(2000);
+        expect({ broken: violations, left: remaining }).toEqual({ broken: [], left: 0 });
       }),
       { numRuns: 30, seed: 20261202 },
     );
--- a/test/core/membership.test.ts
+++ b/test/core/membership.test.ts
@@ -92,8 +92,8 @@
     memberOf(i, { domain: i < 6 ? 'a' : 'b', cores: i % 3 === 0 ? 1.35 : 0.324 }),
   );
   const names = (all: readonly Member[], domain = 'a'): readonly string[] => {
-    const { primaries: chosen, standbys: deputies } = readersOf(domain, all);
-    return [...chosen, ...deputies].map(({ vm }) => vm);
+    const { primaries, standbys } = readersOf(domain, all);
+    return [...primaries, ...standbys].map(({ vm }) => vm);
   };
 
   test('are two strong VMs of each failure domain, the same in every view', () => {
--- a/test/fakes/runs.ts
+++ b/test/fakes/runs.ts
@@ -46,14 +46,14 @@
 };
 
 /** Returns an authorizer that accepts configuration of any age. */
-export function authorizerOf(knowledge = emptyKnowledge()): Authorizer {
-  return new Authorizer(knowledge, () => ({ keyMs: Infinity, finalMs: Infinity }));
+export function authorizerOf(routingState = emptyKnowledge()): Authorizer {
+  return new Authorizer(routingState, () => ({ keyMs: Infinity, finalMs: Infinity }));
 }
 
 /** Returns the rate limits of a VM, by default one without runner records. */
-export function rateLimitsOf(knowledge = emptyKnowledge()): RateLimitController {
+export function rateLimitsOf(routingState = emptyKnowledge()): RateLimitController {
   return new RateLimitController({
-    knowledge,
+    routingState,
     metrics: new RouterMetrics(),
     log,
     onChanges: () => {},
--- a/test/fakes/virtual/storehistory.ts
+++ b/test/fakes/virtual/storehistory.ts
@@ -155,7 +155,7 @@
 export class HistoryVm {
   readonly history = new StoreHistory();
 
-  readonly knowledge: RoutingState;
+  readonly routingState: RoutingState;
 
   /** Time until which it cannot reach the store. */
   storeLostUntil = 0;
@@ -164,7 +164,7 @@
 
   constructor(onNews: (news: StateChange) => void) {
     const log = pino({ level: 'silent' });
-    this.knowledge = new RoutingState(this.history, log, {
+    this.routingState = new RoutingState(this.history, log, {
       onChange: onNews,
       onInvalidEntry: () => {},
     });
@@ -173,34 +173,34 @@
   /** Reads what is new in the store. */
   readStore(now: number, store: HistoryStore): void {
     if (now < this.storeLostUntil) {
-      this.knowledge.storeFailed(now);
+      this.routingState.storeFailed(now);
       this.#cursor = undefined;
       return;
     }
     const { era, revision } = store;
     const changes = this.#cursor?.era === era ? store.changes(this.#cursor.revision) : undefined;
     this.#cursor = { era, revision };
-    this.knowledge.storeAnswered(now);
+    this.routingState.storeAnswered(now);
     if (changes) {
-      this.knowledge.learnRunners(now, this.#records(changes), 'store');
+      this.routingState.learnRunners(now, this.#records(changes), 'store');
       return;
     }
-    if (era !== this.history.era) this.knowledge.learnEras(now, [{ era, revision }], 'store');
-    this.knowledge.learnRunners(now, this.#records(store.listed), 'store');
+    if (era !== this.history.era) this.routingState.learnEras(now, [{ era, revision }], 'store');
+    this.routingState.learnRunners(now, this.#records(store.listed), 'store');
     const ids = new Set(store.listed.map(([id]) => id));
-    this.knowledge.learnList(now, ids, { era, revision });
+    this.routingState.learnList(now, ids, { era, revision });
   }
 
   /** Fetches the state of another VM that differs from its own. */
   fetchFrom(now: number, other: HistoryVm): void {
-    this.knowledge.learnEras(now, other.knowledge.eras, 'peer');
-    const records = other.knowledge.recordsDiffering(now, this.knowledge.digestParts, 1000);
-    this.knowledge.learnRunners(now, records, 'peer');
+    this.routingState.learnEras(now, other.routingState.eras, 'peer');
+    const records = other.routingState.recordsDiffering(now, this.routingState.digestParts, 1000);
+    this.routingState.learnRunners(now, records, 'peer');
   }
 
   /** Runners that it would send requests to. */
   usable(now: number): readonly Runner[] {
-    return this.knowledge.runnersOf(now, 's');
+    return this.routingState.runnersOf(now, 's');
   }
 
   #records(items: readonly [string, StoreEntry][]): readonly RunnerRecord[] {
--- a/test/fakes/virtual/syncfleet.ts
+++ b/test/fakes/virtual/syncfleet.ts
@@ -573,9 +573,9 @@
   #exchangeIfDue(vm: Vm): void {
     const address = vm.propagation.takeFetchTarget(this.now);
     if (address !== undefined) this.#exchange(vm, address, false);
-    const { nextFetchAt: dueAt } = vm.propagation;
-    if (Number.isFinite(dueAt)) {
-      this.#runLater(vm, Math.max(1, dueAt - this.now), () => this.#exchangeIfDue(vm));
+    const { nextFetchAt } = vm.propagation;
+    if (Number.isFinite(nextFetchAt)) {
+      this.#runLater(vm, Math.max(1, nextFetchAt - this.now), () => this.#exchangeIfDue(vm));
     }
   }
 
--- a/test/platform/restore.test.ts
+++ b/test/platform/restore.test.ts
@@ -15,25 +15,25 @@
 class Reader {
   readonly #history = new StoreHistory();
 
-  readonly knowledge = new RoutingState(this.#history, log, noopListener);
+  readonly routingState = new RoutingState(this.#history, log, noopListener);
 
   readonly #feed: StoreFeed;
 
   constructor(store: FakeStore) {
     const self = { vm: 'vm1', address: '10.0.0.9:1' };
     this.#feed = new StoreFeed(clientOf(store, this.#history), self, this.#history, log);
-    const { knowledge } = this;
+    const { routingState } = this;
     this.#feed.start({
       onConfig: (config) => {
-        knowledge.learnConfig(performance.now(), config, 'store');
+        routingState.learnConfig(performance.now(), config, 'store');
       },
-      onRunners: (facts) => knowledge.learnRunners(performance.now(), facts, 'store'),
-      onEra: (start) => knowledge.learnEras(performance.now(), [start], 'store'),
-      onListed: (ids, position) => knowledge.learnList(performance.now(), ids, position),
+      onRunners: (facts) => routingState.learnRunners(performance.now(), facts, 'store'),
+      onEra: (start) => routingState.learnEras(performance.now(), [start], 'store'),
+      onListed: (ids, position) => routingState.learnList(performance.now(), ids, position),
       onVms: () => {},
       onStore: (up) => {
-        if (up) knowledge.storeAnswered(performance.now());
-        else knowledge.storeFailed(performance.now());
+        if (up) routingState.storeAnswered(performance.now());
+        else routingState.storeFailed(performance.now());
       },
       onSuspects: () => {},
       onConfirmed: () => {},
@@ -46,7 +46,7 @@
   }
 
   get runners(): readonly string[] {
-    return this.knowledge
+    return this.routingState
       .runnersOf(performance.now(), 's')
       .map(({ id }) => id)
       .sort();
--- a/test/router/authorizer.test.ts
+++ b/test/router/authorizer.test.ts
@@ -17,9 +17,13 @@
 
 /** The authorizer of a VM that has a configuration of unknown age. */
 function authorizerOf(customers?: readonly Customer[]): Authorizer {
-  const knowledge = new RoutingState(new StoreHistory(), pino({ level: 'silent' }), noopListener);
-  knowledge.learnConfig(0, config(customers), 'test');
-  return new Authorizer(knowledge, () => ({ keyMs: 4700, finalMs: 2000 }));
+  const routingState = new RoutingState(
+    new StoreHistory(),
+    pino({ level: 'silent' }),
+    noopListener,
+  );
+  routingState.learnConfig(0, config(customers), 'test');
+  return new Authorizer(routingState, () => ({ keyMs: 4700, finalMs: 2000 }));
 }
 
 describe('a VM whose configuration is of unknown age', () => {
--- a/test/router/frontend.test.ts
+++ b/test/router/frontend.test.ts
@@ -58,10 +58,10 @@
 const log = pino({ level: 'silent' });
 
 /** A front end that passes its requests to `onRequest`. */
-function frontOf(knowledge: RoutingState, onRequest: FrontEndContext['onRequest']): FrontEnd {
+function frontOf(routingState: RoutingState, onRequest: FrontEndContext['onRequest']): FrontEnd {
   return new FrontEnd({
-    knowledge,
-    authorizer: authorizerOf(knowledge),
+    routingState,
+    authorizer: authorizerOf(routingState),
     codec: new PlatformIngress(),
     metrics: new RouterMetrics(),
     log,
@@ -71,9 +71,9 @@
 }
 
 describe('the front end', () => {
-  const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
+  const routingState = new RoutingState(new StoreHistory(), log, noopListener);
   const seen: string[] = [];
-  const front = frontOf(knowledge, async (exchange) => {
+  const front = frontOf(routingState, async (exchange) => {
     seen.push(exchange.request.target);
     exchange.writeHead(200, ['content-length', '2']);
     exchange.end(Buffer.from('ok'));
@@ -91,7 +91,7 @@
   });
 
   test('answers 404 only once it has a configuration', async () => {
-    knowledge.learnConfig(0, config, 'test');
+    routingState.learnConfig(0, config, 'test');
     expect(await talk(port, requestOf('/b/1'))).toMatch(/^HTTP\/1.1 404/);
     expect(await talk(port, requestOf('/a/2'))).toMatch(/^HTTP\/1.1 200/);
   });
@@ -120,8 +120,8 @@
   const REQUEST = 'GET /a/ HTTP/1.0\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n';
   /** Time to observe a connection, longer than a response of this test takes. */
   const OBSERVED_MS = 300;
-  const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
-  const front = frontOf(knowledge, async (exchange) => {
+  const routingState = new RoutingState(new StoreHistory(), log, noopListener);
+  const front = frontOf(routingState, async (exchange) => {
     exchange.writeHead(200, ['content-type', 'text/event-stream']);
     await exchange.write(Buffer.from(EVENT));
     await pause(OBSERVED_MS / 3);
@@ -130,7 +130,7 @@
   const port = 18_100 + Number(process.env.JEST_WORKER_ID ?? 0);
 
   beforeAll(() => {
-    knowledge.learnConfig(0, config, 'test');
+    routingState.learnConfig(0, config, 'test');
     return front.listen(`127.0.0.1:${port}`);
   });
   afterAll(() => front.close());
--- a/test/router/handover.test.ts
+++ b/test/router/handover.test.ts
@@ -53,8 +53,8 @@
   for (const one of steps) world.apply(one);
   world.endFaults();
   world.run(QUIET_MS);
-  const { open, counts: counted, reservedMemory: memory } = world;
-  return { open, counted, memory };
+  const { open, counts, reservedMemory: memory } = world;
+  return { open, counted: counts, memory };
 }
 
 const emptyState = {
--- a/test/router/model.test.ts
+++ b/test/router/model.test.ts
@@ -17,7 +17,7 @@
     const runners = [runner('p', 'prefill'), runner('d1', 'decode'), runner('d2', 'decode')];
     const sent: string[] = [];
     const context = {
-      knowledge: { runnersOf: () => runners },
+      routingState: { runnersOf: () => runners },
       runners: {
         prefill: async () => {
           sent.push('prefill');
@@ -58,7 +58,7 @@
   test('retries at the same prefill runner when its response was lost', async () => {
     const sent: string[] = [];
     const context = {
-      knowledge: { runnersOf: () => [runner('p', 'prefill'), runner('d', 'decode')] },
+      routingState: { runnersOf: () => [runner('p', 'prefill'), runner('d', 'decode')] },
       runners: {
         prefill: async (dispatch: Dispatch) => {
           sent.push(`prefill ${dispatch.runner.id}`);
@@ -128,7 +128,7 @@
     for (const id of ['x', 'y']) quarantine.crashed(performance.now(), exchange.fingerprint, id);
     const sent: string[] = [];
     const context = {
-      knowledge: { runnersOf: () => [runner('d1', 'decode'), runner('d2', 'decode')] },
+      routingState: { runnersOf: () => [runner('d1', 'decode'), runner('d2', 'decode')] },
       runners: {
         decode: async (dispatch: DecodeDispatch) => {
           sent.push(dispatch.runner.id);
@@ -160,7 +160,7 @@
     const exchange = exchangeInto(out, promptRequest, route);
     let asked = 0;
     const context = {
-      knowledge: { runnersOf: () => [runner('d1', 'decode')] },
+      routingState: { runnersOf: () => [runner('d1', 'decode')] },
       runners: {
         decode: async () => {
           throw new Failure('runnerFailed', 'reset');
--- a/test/router/orders.test.ts
+++ b/test/router/orders.test.ts
@@ -21,7 +21,7 @@
     let fence = 0;
     const controller = new OrderController({
       vm: 'vm1',
-      knowledge: { runnersOf: () => [runnerOf('p', 'prefill')] },
+      routingState: { runnersOf: () => [runnerOf('p', 'prefill')] },
       planners: {
         stageChanges: () => [{ service: 's', runner: 'p', role: 'decode' }],
         onOrderOutcome: () => {},
--- a/test/router/plain.test.ts
+++ b/test/router/plain.test.ts
@@ -15,7 +15,7 @@
   const health = new RunnerHealth();
   const remaining = [...failures];
   const context = {
-    knowledge: { runnersOf: () => ['a', 'b', 'c'].map((id) => runnerOf(id, 'plain')) },
+    routingState: { runnersOf: () => ['a', 'b', 'c'].map((id) => runnerOf(id, 'plain')) },
     runners: {
       send: async () => {
         throw new Failure(remaining.shift() ?? 'internal', 'failed by the test');
--- a/test/router/plainbalancer.test.ts
+++ b/test/router/plainbalancer.test.ts
@@ -45,8 +45,8 @@
         return this.#permit;
       },
     };
-    const knowledge = { runnersOf: () => runners } as unknown as RoutingState;
-    return { knowledge, health: () => health, permits, domain: 'near' };
+    const routingState = { runnersOf: () => runners } as unknown as RoutingState;
+    return { routingState, health: () => health, permits, domain: 'near' };
   }
 }
 
--- a/test/router/plannerhost.test.ts
+++ b/test/router/plannerhost.test.ts
@@ -42,12 +42,12 @@
 
 /** A planner host with one decode runner that has memory for eleven requests, and enough prefill runners. */
 function hostAt(now: number, onIncompleteState: (service: string) => void = () => {}): PlannerHost {
-  const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
-  knowledge.learnConfig(now, config, 'store');
+  const routingState = new RoutingState(new StoreHistory(), log, noopListener);
+  routingState.learnConfig(now, config, 'store');
   const runners = [runner('d', 'decode'), ...'12345678'.split('').map((i) => runner(i, 'prefill'))];
   const facts = runners.map((entry) => ({ id: entry.id, position: positionAt(1), runner: entry }));
-  knowledge.learnRunners(now, facts, 'store');
-  return new PlannerHost(knowledge, {} as RunnerClient, log, {
+  routingState.learnRunners(now, facts, 'store');
+  return new PlannerHost(routingState, {} as RunnerClient, log, {
     onIncompleteState,
     rateAllowanceOf: () => unlimited,
   });
--- a/test/router/ratelimits.test.ts
+++ b/test/router/ratelimits.test.ts
@@ -17,8 +17,8 @@
 const SLACK = 5;
 
 /** The most requests that reached a runner in any window after it announced its limit. */
-function mostAfter(announcedAt: number, { arrivedAt: reachedAt }: RunnerServer): number {
-  const counted = reachedAt.filter((at) => at >= announcedAt + KNOWN_MS);
+function mostAfter(announcedAt: number, { arrivedAt }: RunnerServer): number {
+  const counted = arrivedAt.filter((at) => at >= announcedAt + KNOWN_MS);
   const ends = counted.filter((at) => at >= announcedAt + SETTLED_MS);
   const counts = ends.map((end) => counted.filter((at) => at > end - WINDOW_MS && at <= end));
   return Math.max(0, ...counts.map(({ length }) => length));
--- a/test/router/stateexchange.test.ts
+++ b/test/router/stateexchange.test.ts
@@ -35,7 +35,7 @@
 
   async exchange(): Promise<void> {
     const server = new StateExchange({
-      knowledge: this.callee,
+      routingState: this.callee,
       quarantine: this.quarantines.callee,
       rateLimits: this.rateLimits.callee,
       fleet: { all: [] } as unknown as RouterFleet,
@@ -48,7 +48,7 @@
     const fleet = { call, sync: () => {} } as unknown as RouterFleet;
     const { caller: quarantine } = this.quarantines;
     const { caller: rateLimits } = this.rateLimits;
-    const sync = new StateExchange({ knowledge: this.caller, quarantine, rateLimits, fleet });
+    const sync = new StateExchange({ routingState: this.caller, quarantine, rateLimits, fleet });
     await sync.fetch('a:1', false);
   }
 }
--- a/test/router/statesync.test.ts
+++ b/test/router/statesync.test.ts
@@ -36,10 +36,10 @@
     const log = pino({ base: null }, { write: (line) => this.lines.push(line) });
     const self = memberOf('new');
     const all = [self, ...others.map(memberOf)];
-    const knowledge = new RoutingState(new StoreHistory(), log, noopListener);
+    const routingState = new RoutingState(new StoreHistory(), log, noopListener);
     this.controller = new StateSync({
-      knowledge,
-      gate: authorizerOf(knowledge),
+      routingState,
+      gate: authorizerOf(routingState),
       quarantine: quarantineOf(),
       fleet: { self, all, members: { heardAt: 0 }, contact: () => {} },
       feed: {
--- a/test/router/storerestore.test.ts
+++ b/test/router/storerestore.test.ts
@@ -106,7 +106,7 @@
 
   get living(): readonly string[] {
     return this.runners
-      .filter(({ isActive: isLiving }) => isLiving)
+      .filter(({ isActive }) => isActive)
       .map(({ runner }) => runner.id)
       .sort();
   }
@@ -153,13 +153,13 @@
     store.tick(now);
     for (const message of this.#messages.splice(0)) {
       if (message.at > now) this.#messages.push(message);
-      else this.vms[message.to]?.knowledge.learnRunners(now, message.facts, 'peer');
+      else this.vms[message.to]?.routingState.learnRunners(now, message.facts, 'peer');
     }
     this.vms.forEach((vm, number) => {
       if (number < READERS && (now + number * 300) % READ_MS === 0) vm.readStore(now, store);
       // VMs whose digests differ exchange state.
       const other = this.vms[Math.floor(this.#random() * VMS)];
-      const differs = other && other.knowledge.digest !== vm.knowledge.digest;
+      const differs = other && other.routingState.digest !== vm.routingState.digest;
       if (differs && this.#random() < 0.2) vm.fetchFrom(now, other);
       this.#check(number, vm);
     });
@@ -167,10 +167,11 @@
 
   #check(number: number, vm: HistoryVm): void {
     const usable = new Set(vm.usable(this.now).map(({ id }) => id));
-    for (const { runner, leavePosition: leftWith } of this.runners) {
+    for (const { runner, leavePosition } of this.runners) {
       const { id } = runner;
       const key = `${number} ${id}`;
-      const isNew = leftWith && !this.#acknowledged.has(key) && knows(vm, this.now, id, leftWith);
+      const isNew =
+        leavePosition && !this.#acknowledged.has(key) && knows(vm, this.now, id, leavePosition);
       if (isNew) this.#acknowledged.set(key, this.now);
       const since = this.now - (this.#acknowledged.get(key) ?? Infinity);
       if (since > BOUND_MS && usable.has(id)) {
@@ -188,8 +189,8 @@
 }
 
 /** Whether a VM knows that a runner leaves: by its record or by the position of its last write. */
-function knows({ knowledge }: HistoryVm, now: number, id: string, leftWith: Position): boolean {
-  const { runners } = knowledge.snapshot(now) as { runners: readonly RunnerEntry[] };
+function knows({ routingState }: HistoryVm, now: number, id: string, leftWith: Position): boolean {
+  const { runners } = routingState.snapshot(now) as { runners: readonly RunnerEntry[] };
   return runners.some(
     ({ id: known, era, revision, leaving }) =>
       known === id && (leaving || (era === leftWith.era && revision === leftWith.revision)),
--- a/test/router/streams.test.ts
+++ b/test/router/streams.test.ts
@@ -34,7 +34,7 @@
   const runners = replies.map((_, index) => runner(`d${index + 1}`, 'decode'));
   const sent: string[] = [];
   const context = {
-    knowledge: { runnersOf: () => runners },
+    routingState: { runnersOf: () => runners },
     runners: {
       decode: async ({ runner: { id }, afterEvent }: DecodeDispatch) => {
         sent.push(`${id} after ${afterEvent ?? 'none'}`);
