--- a/src/node/router/statesync.ts
+++ b/src/node/router/statesync.ts
@@ -263,9 +263,9 @@
    * after the other; after an outage that alone took seconds, in which all keys were rejected.
    */
   #checkFreshness(now: number): void {
-    const { feed, fleet, authorizer: gate, routingState, metrics } = this.#context;
+    const { feed, fleet, authorizer, routingState, metrics } = this.#context;
     metrics.gauge('config.age_ms', routingState.freshness.ageMs(now));
-    const source = gate.proofSource(now, this.#isReading);
+    const source = authorizer.proofSource(now, this.#isReading);
     if (source === 'nobody') {
       this.#confirmationPace.reset();
       return;
@@ -315,10 +315,10 @@
   }
 
   #fetch(address: string, members: boolean): void {
-    const { exchange: sync, metrics, log } = this.#context;
+    const { exchange, metrics, log } = this.#context;
     metrics.count('news.fetches');
     this.#pendingFetches += 1;
-    sync
+    exchange
       .fetch(address, members)
       .then(() => {
         this.#hasFetched = true;
--- a/test/router/statesync.test.ts
+++ b/test/router/statesync.test.ts
@@ -39,7 +39,7 @@
     const routingState = new RoutingState(new StoreHistory(), log, noopListener);
     this.controller = new StateSync({
       routingState,
-      gate: authorizerOf(routingState),
+      authorizer: authorizerOf(routingState),
       quarantine: quarantineOf(),
       fleet: { self, all, members: { heardAt: 0 }, contact: () => {} },
       feed: {
@@ -48,7 +48,7 @@
         },
         stop: () => {},
       },
-      sync: {
+      exchange: {
         fetch: () =>
           new Promise<void>((resolve, reject) => {
             this.#fetches.push({ resolve, reject });
